--- a/driftcleat/api/__init__.py
+++ b/driftcleat/api/__init__.py
@@ -1,8 +1,8 @@
 """The users' and workers' interfaces and the servers that listen on `bind` and `back`."""
 
-from .answers import Answer
-from .reports import ReportApi
-from .server import Listener, serve
-from .users import UserApi
+from driftcleat.api.answers import Answer
+from driftcleat.api.heartbeats import HeartbeatApi
+from driftcleat.api.server import Listener, serve
+from driftcleat.api.users import UserApi
 
-__all__ = ["Answer", "Listener", "ReportApi", "UserApi", "serve"]
+__all__ = ["Answer", "HeartbeatApi", "Listener", "UserApi", "serve"]
--- a/driftcleat/api/answers.py
+++ b/driftcleat/api/answers.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 from driftcleat import wire
-from driftcleat.wire.users import ErrorView
+from driftcleat.wire.users import ErrorResponse
 
 _REASONS = {status.value: status.phrase for status in HTTPStatus}
 
@@ -29,7 +29,7 @@
         close: bool = False,
     ) -> "Answer":
         """Return an error's answer."""
-        return cls(status, wire.encode(ErrorView(text, field)), retry_after_s, close)
+        return cls(status, wire.encode(ErrorResponse(text, field)), retry_after_s, close)
 
 
 def encode_answer(answer: Answer, close: bool, with_body: bool = True) -> bytes:
--- a/driftcleat/api/requests.py
+++ b/driftcleat/api/requests.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from .answers import Answer
+from driftcleat.api.answers import Answer
 
 # What the head of a request may take beside its body.
 MAX_HEAD = 16 * 1024
--- a/driftcleat/api/server.py
+++ b/driftcleat/api/server.py
@@ -5,13 +5,12 @@
 import socket
 from collections.abc import Awaitable, Callable
 
+from driftcleat.api.answers import Answer, encode_answer
+from driftcleat.api.requests import HttpRequest, RequestReader
 from driftcleat.net import ConnectionLimiter
 from driftcleat.net.limiter import ClientKind
 from driftcleat.wire.users import MAX_BODY
 
-from .answers import Answer, encode_answer
-from .requests import HttpRequest, RequestReader
-
 log = logging.getLogger(__name__)
 
 # What a handler returns: the answer if it can be given at once, else what to wait for.
--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -12,28 +12,27 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.leadership import CurrentTerm
-from driftcleat.model import JobState
+from driftcleat.api.answers import Answer
+from driftcleat.api.deadline import Deadline
+from driftcleat.cluster import JobState
+from driftcleat.leadership import ActiveTerm
 from driftcleat.peers.client import PeerClient, PeerError
+from driftcleat.scheduler import PendingRequest, Scheduler, never_fits
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.client import RefusedError, StoreClient, StoreError
-from driftcleat.store.records import ENDED, JOBS, EndedRecord, load_head
-from driftcleat.term import Term, Ticket, never_fits
+from driftcleat.store.client import StoreClient, StoreError, StoreUnavailableError
+from driftcleat.store.records import ENDED_JOBS_PREFIX, JOBS_PREFIX, EndedJobRecord, decode_head
 from driftcleat.wire import peers as peer_messages
 from driftcleat.wire.users import (
-    BadFieldError,
-    JobView,
-    Kind,
-    Submission,
+    InvalidFieldError,
+    JobKind,
+    JobSpec,
+    JobStatus,
     is_job_id,
-    parse_id,
+    parse_job_id,
     parse_object,
     parse_submission,
 )
 
-from .answers import Answer
-from .deadline import Deadline
-
 log = logging.getLogger(__name__)
 
 FINAL = ("done", "cancelled")
@@ -57,23 +56,29 @@
         tuning: Tuning,
         store: StoreClient,
         peers: PeerClient,
-        current: CurrentTerm,
+        active_term: ActiveTerm,
         clock: Callable[[], float],
         most_in_progress: int,
         most_passed_on: int,
     ) -> None:
         """Beyond `most_in_progress` requests at once, and `most_passed_on` of them to the leader, all are refused."""
-        self.platform, self.tuning, self.store, self.peers, self.current = platform, tuning, store, peers, current
+        self.platform, self.tuning, self.store, self.peers, self.active_term = (
+            platform,
+            tuning,
+            store,
+            peers,
+            active_term,
+        )
         self.clock = clock
         self.most_in_progress, self.most_passed_on = most_in_progress, most_passed_on
         self._in_progress = self._passed_on = 0
         # Requests that were refused since too many others were under way.
-        self.shed = 0
+        self.requests_shed = 0
         self.retry_s = max(1, round(tuning.retry * platform.report_s))
         # Users wait 2 to 5 s for a response: what cannot have its turn at the store soon is refused at once.
         self.most_wait_s = platform.report_s / 6
-        self.finals: OrderedDict[str, JobView] = OrderedDict()
-        self.outstanding: set[asyncio.Future[JobView | None]] = set()
+        self.finals: OrderedDict[str, JobStatus] = OrderedDict()
+        self.outstanding: set[asyncio.Future[JobStatus | None]] = set()
 
     def unavailable(self, why: str) -> Answer:
         """Return the answer to what cannot be taken now: at once, saying when to come back."""
@@ -81,7 +86,7 @@
 
     def _refuse(self, why: str) -> Answer:
         """Refuse a request since there are too many."""
-        self.shed += 1
+        self.requests_shed += 1
         return self.unavailable(why)
 
     @property
@@ -148,81 +153,85 @@
     async def _submit(self, path: str, body: bytes, forwarded: bool, deadline: Deadline) -> Answer:
         try:
             raw = parse_object(body)
-            job_id = parse_id(raw)
-        except BadFieldError as error:
+            job_id = parse_job_id(raw)
+        except InvalidFieldError as error:
             return Answer.error(400, str(error), error.field)
-        if not self.current.holds:
+        if not self.active_term.may_decide:
             return await self._pass_on("POST", path, body, forwarded, deadline)
         return await self._submit_here(job_id, raw, deadline)
 
     async def _submit_here(self, job_id: str, raw: dict[str, Any], deadline: Deadline) -> Answer:
-        term = self.current.term
-        if term is None:
+        scheduler = self.active_term.scheduler
+        if scheduler is None:
             return self.unavailable("no leader")
         # A job accepted before is known whatever its repeat looks like, so it is looked up first.
-        view = await self._known(term, job_id)
-        if isinstance(view, Answer):
-            return view
-        if view is not None:
-            return Answer(200, wire.encode(JobView(view.id, view.state)))
+        status = await self._known(scheduler, job_id)
+        if isinstance(status, Answer):
+            return status
+        if status is not None:
+            return Answer(200, wire.encode(JobStatus(status.id, status.state)))
         try:
             spec = parse_submission(raw)
-        except BadFieldError as error:
+        except InvalidFieldError as error:
             return Answer.error(400, str(error), error.field)
-        if not term.cluster.types:
+        if not scheduler.cluster.machine_types:
             return self.unavailable("the machine types are not known yet")
-        why = never_fits(spec, term.cluster.types, self.platform)
+        why = never_fits(spec, scheduler.cluster.machine_types, self.platform)
         if why is not None:
             return Answer.error(422, why)
-        if not term.layout.fits(spec):
-            field = "tows" if spec.needs else "builds"
+        if not scheduler.layout.spec_fits(spec):
+            field = "tows" if spec.dependencies else "builds"
             return Answer.error(400, f"{field}: more is named than can be stored", field)
-        ended = await self._needed(term, spec)
+        ended = await self._needed(scheduler, spec)
         if isinstance(ended, Answer):
             return ended
-        if term.admission.full:
+        if scheduler.admission.full:
             return Answer.error(429, "too many requests are waiting", retry_after_s=self.retry_s)
-        view = await self._decide(term, Ticket(lambda view: None, spec, job_id, ended), deadline, submission=True)
-        if view is None:
+        status = await self._decide(
+            scheduler, PendingRequest(lambda status: None, spec, job_id, ended), deadline, submission=True
+        )
+        if status is None:
             return self.unavailable("not decided")
-        return Answer(201, wire.encode(JobView(view.id, view.state)))
+        return Answer(201, wire.encode(JobStatus(status.id, status.state)))
 
-    async def _needed(self, term: Term, spec: Submission) -> dict[str, str] | Answer:
+    async def _needed(self, scheduler: Scheduler, spec: JobSpec) -> dict[str, str] | Answer:
         """Return the final states of the jobs that a submission needs and that are over, or why it is not taken."""
         ended: dict[str, str] = {}
-        for need in spec.needs or ():
-            job = term.cluster.jobs.get(need)
+        for need in spec.dependencies or ():
+            job = scheduler.cluster.jobs.get(need)
             if job is not None:
-                if job.spec.kind is Kind.SERVICE:
+                if job.spec.kind is JobKind.SERVICE:
                     return Answer.error(422, f"tows: {need} is a service", "tows")
                 continue
-            view = await self._known(term, need)
-            if isinstance(view, Answer):
-                return view
-            if view is None:
+            status = await self._known(scheduler, need)
+            if isinstance(status, Answer):
+                return status
+            if status is None:
                 return Answer.error(422, f"tows: {need} was never accepted", "tows")
-            if view.state in FINAL:
-                ended[need] = view.state
+            if status.state in FINAL:
+                ended[need] = status.state
         return ended
 
-    async def _known(self, term: Term, job_id: str) -> JobView | Answer | None:
+    async def _known(self, scheduler: Scheduler, job_id: str) -> JobStatus | Answer | None:
         """Return a job's state from memory or the store, None if nobody knows it, or why that cannot be said."""
-        view = term.admission.lookup(job_id)
-        if view is None:
+        status = scheduler.admission.lookup(job_id)
+        if status is None:
             try:
-                view = await self._final(job_id)
+                status = await self._final(job_id)
             except (StoreError, wire.WireError):
                 return self.unavailable("the state service does not answer")
-            view = view or term.admission.lookup(job_id)
-        return view if self._still(term) else self.unavailable("leadership changed")
+            status = status or scheduler.admission.lookup(job_id)
+        return status if self._still(scheduler) else self.unavailable("leadership changed")
 
-    async def _decide(self, term: Term, ticket: Ticket, deadline: Deadline, submission: bool) -> JobView | None:
+    async def _decide(
+        self, scheduler: Scheduler, request: PendingRequest, deadline: Deadline, submission: bool
+    ) -> JobStatus | None:
         """Wait until a request's batch is committed; None if that is given up."""
-        future: asyncio.Future[JobView | None] = asyncio.get_running_loop().create_future()
-        ticket.answer = lambda view: None if future.done() else future.set_result(view)
-        (term.admission.submit if submission else term.admission.cancel)(ticket)
+        future: asyncio.Future[JobStatus | None] = asyncio.get_running_loop().create_future()
+        request.answer = lambda status: None if future.done() else future.set_result(status)
+        (scheduler.admission.submit if submission else scheduler.admission.cancel)(request)
         self.outstanding.add(future)
-        self.current.wake_writer()
+        self.active_term.wake_committer()
         try:
             return await asyncio.wait_for(future, min(self.platform.report_s, deadline.left_s))
         except TimeoutError:
@@ -230,134 +239,145 @@
         finally:
             self.outstanding.discard(future)
 
-    def _still(self, term: Term) -> bool:
-        return self.current.holds and self.current.term is term
+    def _still(self, scheduler: Scheduler) -> bool:
+        return self.active_term.may_decide and self.active_term.scheduler is scheduler
 
     # -- polls --------------------------------------------------------------------------------------------
 
     async def _poll(self, path: str, job_id: str, forwarded: bool, deadline: Deadline) -> Answer:
-        term = self.current.term
-        view = self.finals.get(job_id)
-        if view is None and term is not None:
-            view = term.admission.lookup(job_id)
-            if view is not None and view.state not in FINAL and not self.current.holds:
-                view = None
-        if view is not None:
-            return self._found(view)
-        if not self.current.holds and not forwarded and self.current.leader not in (None, self.platform.label):
+        scheduler = self.active_term.scheduler
+        status = self.finals.get(job_id)
+        if status is None and scheduler is not None:
+            status = scheduler.admission.lookup(job_id)
+            if status is not None and status.state not in FINAL and not self.active_term.may_decide:
+                status = None
+        if status is not None:
+            return self._found(status)
+        if (
+            not self.active_term.may_decide
+            and not forwarded
+            and self.active_term.leader not in (None, self.platform.label)
+        ):
             busy = self._leader_is_busy
             answer = await self._pass_on("GET", path, b"", forwarded, deadline)
             if busy or answer.status in (200, 404):
                 # The records are read for a leader that is away, not for one that is busy: it needs the store's time.
                 return answer
-        return await self._poll_store(job_id, term)
+        return await self._poll_store(job_id, scheduler)
 
-    async def _poll_store(self, job_id: str, term: Term | None) -> Answer:
+    async def _poll_store(self, job_id: str, scheduler: Scheduler | None) -> Answer:
         """Answer from the records: the head first, so that a job ending in between is still found."""
         try:
-            if term is None or not self.current.holds:
-                item = await self.store.get(JOBS + job_id, self.most_wait_s)
-                if item is not None:
-                    job = load_head(item)
+            if scheduler is None or not self.active_term.may_decide:
+                key_value = await self.store.get(JOBS_PREFIX + job_id, self.most_wait_s)
+                if key_value is not None:
+                    job = decode_head(key_value)
                     state = (
                         "cancelled"
                         if job.state.value == "cancelled" or await self._cancelled_by_need(job.spec)
-                        else ("running" if job.places else "pending")
+                        else ("running" if job.placements else "pending")
                     )
-                    return self._found(JobView(job_id, state, job.done, len(job.places)))
-            view = await self._final(job_id)
+                    return self._found(JobStatus(job_id, state, job.tasks_done, len(job.placements)))
+            status = await self._final(job_id)
         except (StoreError, wire.WireError):
             return self.unavailable("the state service does not answer")
-        if view is None and term is not None:
-            view = term.admission.lookup(job_id)
-        if view is not None:
-            return self._found(view)
-        if term is not None and not self._still(term):
+        if status is None and scheduler is not None:
+            status = scheduler.admission.lookup(job_id)
+        if status is not None:
+            return self._found(status)
+        if scheduler is not None and not self._still(scheduler):
             return self.unavailable("leadership changed")
         return Answer.error(404, "no such job")
 
-    async def _cancelled_by_need(self, spec: Submission) -> bool:
+    async def _cancelled_by_need(self, spec: JobSpec) -> bool:
         """Whether a job that the records call active stands below a cancelled one: it is cancelled then.
 
         `StoreError` if that takes more reads than a user waits for.
         """
         seen: set[str] = set()
-        asked = list(spec.needs or ())
+        asked = list(spec.dependencies or ())
         while asked:
             need = asked.pop()
             if need in seen:
                 continue
             seen.add(need)
             if len(seen) > MOST_READS:
-                raise RefusedError("too many records to read")
-            item = await self.store.get(JOBS + need, self.most_wait_s)
-            if item is not None:
-                job = load_head(item)
+                raise StoreUnavailableError("too many records to read")
+            key_value = await self.store.get(JOBS_PREFIX + need, self.most_wait_s)
+            if key_value is not None:
+                job = decode_head(key_value)
                 if job.state is JobState.CANCELLED:
                     return True
-                asked.extend(job.spec.needs or ())
+                asked.extend(job.spec.dependencies or ())
                 continue
-            view = await self._final(need)
-            if view is not None and view.state == JobState.CANCELLED.value:
+            status = await self._final(need)
+            if status is not None and status.state == JobState.CANCELLED.value:
                 return True
         return False
 
-    def _found(self, view: JobView) -> Answer:
-        if view.state in FINAL:
-            self.finals[view.id] = view
+    def _found(self, status: JobStatus) -> Answer:
+        if status.state in FINAL:
+            self.finals[status.id] = status
             while len(self.finals) > KEPT_FINALS:
                 self.finals.popitem(last=False)
         return Answer(
             200,
             wire.encode(
-                {"nameId": view.id, "bearing": view.state, "done": view.done or 0, "running": view.running or 0}
+                {
+                    "nameId": status.id,
+                    "bearing": status.state,
+                    "done": status.done or 0,
+                    "running": status.running or 0,
+                }
             ),
         )
 
-    async def _final(self, job_id: str) -> JobView | None:
+    async def _final(self, job_id: str) -> JobStatus | None:
         """Return the kept final state of a job, from memory or the store."""
-        view = self.finals.get(job_id)
-        if view is not None:
-            return view
-        item = await self.store.get(ENDED + job_id, self.most_wait_s)
-        if item is None:
+        status = self.finals.get(job_id)
+        if status is not None:
+            return status
+        key_value = await self.store.get(ENDED_JOBS_PREFIX + job_id, self.most_wait_s)
+        if key_value is None:
             return None
-        record = wire.decode(bytes(item.value), EndedRecord)
-        return JobView(job_id, record.state, record.done, 0)
+        record = wire.decode(bytes(key_value.value), EndedJobRecord)
+        return JobStatus(job_id, record.state, record.tasks_done, 0)
 
     # -- cancellations ------------------------------------------------------------------------------------
 
     async def _cancel(self, path: str, job_id: str, forwarded: bool, deadline: Deadline) -> Answer:
         final = self.finals.get(job_id)
         if final is not None:
-            return Answer(200, wire.encode(JobView(job_id, final.state)))
-        if not self.current.holds:
+            return Answer(200, wire.encode(JobStatus(job_id, final.state)))
+        if not self.active_term.may_decide:
             return await self._pass_on("POST", path, b"", forwarded, deadline)
-        term = self.current.term
-        if term is None:
+        scheduler = self.active_term.scheduler
+        if scheduler is None:
             return self.unavailable("no leader")
-        view = await self._known(term, job_id)
-        if isinstance(view, Answer):
-            return view
-        if view is None:
+        status = await self._known(scheduler, job_id)
+        if isinstance(status, Answer):
+            return status
+        if status is None:
             return Answer.error(404, "no such job")
-        if view.state not in FINAL:
-            if term.admission.full:
+        if status.state not in FINAL:
+            if scheduler.admission.full:
                 return Answer.error(429, "too many requests are waiting", retry_after_s=self.retry_s)
-            view = await self._decide(term, Ticket(lambda view: None, None, job_id), deadline, submission=False)
-        if view is None or view.state not in FINAL:
+            status = await self._decide(
+                scheduler, PendingRequest(lambda status: None, None, job_id), deadline, submission=False
+            )
+        if status is None or status.state not in FINAL:
             return self.unavailable("not decided")
-        return Answer(200, wire.encode(JobView(job_id, view.state)))
+        return Answer(200, wire.encode(JobStatus(job_id, status.state)))
 
     # -- passing on ---------------------------------------------------------------------------------------
 
     async def _pass_on(self, method: str, path: str, body: bytes, forwarded: bool, deadline: Deadline) -> Answer:
-        leader = self.current.leader
+        leader = self.active_term.leader
         if forwarded or leader is None or leader == self.platform.label:
             return self.elsewhere("no leader")
         if self._leader_is_busy and not path.endswith(CANCEL):
             return self._refuse("too many requests wait for the leader")
-        message = peer_messages.Forward(method, path, body.decode("utf-8", "replace"))
+        message = peer_messages.ForwardRequest(method, path, body.decode("utf-8", "replace"))
         # A question that the leader does not answer can still be answered from the records.
         timeout_s = deadline.left_s * (LEADER_POLL_SHARE if method == "GET" else 1.0)
         self._passed_on += 1
@@ -368,6 +388,6 @@
             return self.elsewhere("the leader does not answer")
         finally:
             self._passed_on -= 1
-        if not isinstance(answer, peer_messages.Forwarded):
+        if not isinstance(answer, peer_messages.ForwardResponse):
             return self.unavailable("the leader's answer is not one")
         return Answer(answer.status, answer.body.encode(), answer.retry_after_s)
--- a/driftcleat/fleet/arrivals.py
+++ b/driftcleat/capacity/arrivals.py
@@ -1,28 +1,28 @@
 """How many tasks of each class arrive, estimated from those that did."""
 
-from driftcleat.wire.users import Submission
+from driftcleat.wire.users import JobSpec
 
 # Jobs that arrive together count as at most this many: what was handed in at one go does not repeat.
 TOGETHER = 2
 
 
-class Arrivals:
+class ArrivalRates:
     """A sliding estimate by class, over `window_s`; jobs in the same `bucket_s` arrived together."""
 
     def __init__(self, window_s: float, bucket_s: float) -> None:
         self.window_s, self.bucket_s = window_s, bucket_s
         self._seen: dict[str, list[tuple[float, int]]] = {}
-        self._spec: dict[str, Submission] = {}
+        self._spec: dict[str, JobSpec] = {}
         self._since: float | None = None
 
-    def note(self, spec: Submission, at: float) -> None:
+    def record(self, spec: JobSpec, at: float) -> None:
         """Count a job that arrived."""
         self._seen.setdefault(spec.job_class, []).append((at, spec.tasks))
         self._spec[spec.job_class] = spec
         if self._since is None or at < self._since:
             self._since = at
 
-    def rates(self, now: float) -> list[tuple[Submission, float, float]]:
+    def rates(self, now: float) -> list[tuple[JobSpec, float, float]]:
         """Return the newest job of each class with its jobs a second and their mean number of tasks."""
         out = []
         age = now - (self._since if self._since is not None else now)
--- a/driftcleat/fleet/silence.py
+++ b/driftcleat/capacity/failure_detector.py
@@ -5,7 +5,7 @@
 MOST = 0.8
 
 
-class Silence:
+class FailureDetector:
     """How many machines are silent, by zone, and how long that is borne.
 
     A machine that is silent alone is given up soon: it is most likely gone. Many that fall silent together were cut
--- a/driftcleat/fleet/sizing.py
+++ b/driftcleat/capacity/sizing.py
@@ -12,9 +12,9 @@
     share,
 )
 from driftcleat.wire.cloud import MachineType
-from driftcleat.wire.users import Submission
+from driftcleat.wire.users import JobSpec
 
-Offer = tuple[str, str, bool]
+MachineOffer = tuple[str, str, bool]
 
 # What stays free on a new machine is worth this part of its price: later arrivals use it.
 LEFT_OVER = 0.6
@@ -24,7 +24,7 @@
 class Demand:
     """Tasks of one shape that want room now, or are expected to."""
 
-    spec: Submission
+    spec: JobSpec
     tasks: int
     zones: dict[str, int]
     # Set once it is decided in which zone a job that wants only one shall be.
@@ -53,9 +53,9 @@
             spec = self.spec
             self._cost = min(
                 (
-                    kind.price * share(spec, kind.cpus, kind.gpus, kind.memory_gb)
-                    for kind in types.values()
-                    if spec.types is None or kind.name in spec.types
+                    machine_type.price * share(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+                    for machine_type in types.values()
+                    if spec.machine_types is None or machine_type.name in spec.machine_types
                 ),
                 default=0.0,
             )
@@ -63,11 +63,11 @@
 
 
 @dataclass(slots=True)
-class Plan:
+class CapacityPlan:
     """What to rent, and which present machines the demand uses."""
 
-    rentals: dict[Offer, int]
-    used: set[str]
+    scale_out: dict[MachineOffer, int]
+    machines_in_use: set[str]
 
 
 GroupKey = tuple[str, str, bool, bool, float, float, float, str]
@@ -93,7 +93,7 @@
 
     def _add(self, candidate: Candidate, names: list[str]) -> None:
         key = (
-            candidate.type,
+            candidate.machine_type,
             candidate.zone,
             candidate.spot,
             candidate.busy,
@@ -108,11 +108,11 @@
         else:
             group[1].extend(names)
 
-    def tasks(self, spec: Submission, zone: str, most: int) -> int:
+    def tasks(self, spec: JobSpec, zone: str, most: int) -> int:
         """Return how many tasks of this shape fit into the candidates of a zone, up to `most`."""
         count = 0
         for candidate, names in self.groups.values():
-            if candidate.zone == zone and allowed(spec, candidate.type, zone, candidate.spot):
+            if candidate.zone == zone and allowed(spec, candidate.machine_type, zone, candidate.spot):
                 count += len(names) * candidate.capacity(spec, most)
                 if count >= most:
                     return most
@@ -136,8 +136,8 @@
                 if tasks > 0 and count > 0:
                     taken, names[:count] = names[:count], []
                     used.update(taken)
-                    smaller = replace(candidate, name=taken[0], fetching=set())
-                    smaller.take(spec, tasks)
+                    smaller = replace(candidate, name=taken[0], fetching_images=set())
+                    smaller.allocate(spec, tasks)
                     self._add(smaller, taken)
             demand.took(candidate.zone, whole * each + rest)
 
@@ -150,11 +150,13 @@
         for key, (candidate, names) in self.groups.items():
             if not names or not candidate.fits(spec) or not _may_use(demand, candidate):
                 continue
-            kind = (candidate.type, candidate.spot)
+            kind = (candidate.machine_type, candidate.spot)
             cost = costs.get(kind)
             if cost is None:
                 cost = costs[kind] = candidate.slow_cost(spec)
-            fitting.append((not candidate.busy, cost, candidate.away, candidate.gpus, candidate.cpus, key))
+            fitting.append(
+                (not candidate.busy, cost, candidate.controllers_elsewhere, candidate.gpus, candidate.cpus, key)
+            )
         fitting.sort(key=lambda row: row[:5])
         return [row[5] for row in fitting]
 
@@ -163,18 +165,18 @@
     demands: Iterable[Demand],
     candidates: Iterable[Candidate] | CandidatePool,
     types: dict[str, MachineType],
-    refused: Callable[[Offer], bool],
+    refused: Callable[[MachineOffer], bool],
     most: int,
     away: Callable[[str], int] = lambda zone: 0,
-) -> Plan:
+) -> CapacityPlan:
     """Pack demands into present and booting machines first, then into the new machines they fill best."""
-    plan = Plan({}, set())
+    plan = CapacityPlan({}, set())
     left: list[Demand] = []
     pool = candidates if isinstance(candidates, CandidatePool) else CandidatePool(candidates)
     for demand in demands:
-        if demand.spec.one_zone:
+        if demand.spec.single_zone:
             demand.only = _one_zone(demand, pool, types, refused, away)
-        pool.fill(demand, plan.used)
+        pool.fill(demand, plan.machines_in_use)
         if demand.tasks > 0:
             left.append(demand)
     rented = 0
@@ -191,7 +193,7 @@
             for demand, taken in filled:
                 demand.took(offer[1], taken * (count - 1))
         left = [demand for demand in left if demand.tasks > 0]
-        plan.rentals[offer] = plan.rentals.get(offer, 0) + count
+        plan.scale_out[offer] = plan.scale_out.get(offer, 0) + count
         rented += count
     return plan
 
@@ -200,7 +202,7 @@
     demand: Demand,
     pool: CandidatePool,
     types: dict[str, MachineType],
-    refused: Callable[[Offer], bool],
+    refused: Callable[[MachineOffer], bool],
     away: Callable[[str], int],
 ) -> str | None:
     """Return the zone where a one-zone job lacks least, of those where what it lacks can be had.
@@ -211,18 +213,18 @@
     if demand.zones:
         return next(iter(demand.zones))
     zones = sorted(
-        {zone for kind in types.values() for zone in kind.zones}
+        {zone for machine_type in types.values() for zone in machine_type.zones}
         | {candidate.zone for candidate, _ in pool.groups.values()}
     )
     best: tuple[int, int, str] | None = None
     for zone in zones:
         lacking = demand.tasks - pool.tasks(spec, zone, demand.tasks)
         to_be_had = any(
-            zone in kind.zones
-            and allowed(spec, kind.name, zone, spot)
-            and capacity(spec, kind.cpus, kind.gpus, kind.memory_gb, 1)
-            and not refused((kind.name, zone, spot))
-            for kind in types.values()
+            zone in machine_type.zones
+            and allowed(spec, machine_type.name, zone, spot)
+            and capacity(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb, 1)
+            and not refused((machine_type.name, zone, spot))
+            for machine_type in types.values()
             for spot in (True, False)
         )
         if (lacking == 0 or to_be_had) and (best is None or (lacking, away(zone), zone) < best):
@@ -230,22 +232,29 @@
     return best[2] if best is not None else None
 
 
-def _fresh(kind: MachineType, offer: Offer) -> Candidate:
+def _fresh(machine_type: MachineType, offer: MachineOffer) -> Candidate:
     return Candidate(
-        "", kind.name, offer[1], offer[2], kind.cpus, kind.gpus, kind.memory_gb, fetch_gb_per_s=kind.fetch_gb_per_s
+        "",
+        machine_type.name,
+        offer[1],
+        offer[2],
+        machine_type.cpus,
+        machine_type.gpus,
+        machine_type.memory_gb,
+        fetch_gb_per_s=machine_type.fetch_gb_per_s,
     )
 
 
-def _free_share(kind: MachineType, candidate: Candidate) -> float:
+def _free_share(machine_type: MachineType, candidate: Candidate) -> float:
     """Return the part of a machine that is still free, by what is scarcest on it."""
     return max(
         0.0,
         min(
             free / whole
             for free, whole in (
-                (candidate.cpus, kind.cpus),
-                (candidate.gpus, kind.gpus),
-                (candidate.memory_gb, kind.memory_gb),
+                (candidate.cpus, machine_type.cpus),
+                (candidate.gpus, machine_type.gpus),
+                (candidate.memory_gb, machine_type.memory_gb),
             )
             if whole > 0
         ),
@@ -253,27 +262,30 @@
 
 
 def _best_offer(
-    left: list[Demand], types: dict[str, MachineType], refused: Callable[[Offer], bool], away: Callable[[str], int]
-) -> Offer | None:
+    left: list[Demand],
+    types: dict[str, MachineType],
+    refused: Callable[[MachineOffer], bool],
+    away: Callable[[str], int],
+) -> MachineOffer | None:
     """Return the offer that is worth most for its price, filled with what is left; None when nothing helps."""
     wanted = sum(demand.tasks for demand in left)
-    best: Offer | None = None
+    best: MachineOffer | None = None
     best_worth = 0.0
-    fastest = max((kind.fetch_gb_per_s for kind in types.values()), default=1.0)
-    for kind in types.values():
-        for zone in sorted(kind.zones, key=away):
+    fastest = max((machine_type.fetch_gb_per_s for machine_type in types.values()), default=1.0)
+    for machine_type in types.values():
+        for zone in sorted(machine_type.zones, key=away):
             for spot in (True, False):
-                offer = (kind.name, zone, spot)
-                price = kind.spot_price if spot else kind.price
+                offer = (machine_type.name, zone, spot)
+                price = machine_type.spot_price if spot else machine_type.price
                 if refused(offer):
                     continue
-                candidate = _fresh(kind, offer)
+                candidate = _fresh(machine_type, offer)
                 worth, filled = 0.0, 0
                 for demand in left:
                     if (candidate.gpus > 0 or candidate.cpus > 0) and (taken := _fill(demand, candidate, dry=True)):
                         filled += taken
                         speed = (
-                            (kind.fetch_gb_per_s / fastest) ** FETCH_SPEED_WEIGHT
+                            (machine_type.fetch_gb_per_s / fastest) ** FETCH_SPEED_WEIGHT
                             if latency_sensitive(demand.spec)
                             else 1.0
                         )
@@ -281,7 +293,7 @@
                 if worth > 0:
                     # Guards against many small machines with one task each: what none of the others fits into
                     # is worth nothing while others wait.
-                    spare = LEFT_OVER * price * _free_share(kind, candidate) if filled == wanted else 0.0
+                    spare = LEFT_OVER * price * _free_share(machine_type, candidate) if filled == wanted else 0.0
                     worth = (worth + spare) / max(price, 1e-9)
                 if worth > best_worth + 1e-9:
                     best, best_worth = offer, worth
@@ -313,7 +325,7 @@
     taken = candidate.capacity(spec, most) if most > 0 else 0
     if taken <= 0:
         return 0
-    candidate.take(spec, taken)
+    candidate.allocate(spec, taken)
     if not dry:
         demand.took(candidate.zone, taken)
     return taken
--- a/driftcleat/cli/__init__.py
+++ b/driftcleat/cli/__init__.py
@@ -10,11 +10,11 @@
     """Run the command that the arguments name."""
     match sys.argv[1:]:
         case [option, config] if option == CONFIG_OPTION:
-            from .serve import serve
+            from driftcleat.cli.serve import serve
 
             serve(config, None)
         case _:
-            from .commands import main
+            from driftcleat.cli.commands import main
 
             main()
 
--- a/driftcleat/cli/commands.py
+++ b/driftcleat/cli/commands.py
@@ -5,8 +5,7 @@
 import click
 
 from driftcleat import __version__
-
-from .serve import fail, load_settings, load_sharing_settings, serve
+from driftcleat.cli.serve import fail, load_settings, load_sharing_settings, serve
 
 
 @click.group(invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
@@ -77,6 +76,6 @@
 def shares(words: tuple[str, ...], as_json: bool) -> None:
     """Show which controller owns which share of the machines, or move a share."""
     # Loaded here alone: serving must not wait for it.
-    from .shares import run
+    from driftcleat.cli.shares import run
 
     run(words, as_json)
--- a/driftcleat/cli/serve.py
+++ b/driftcleat/cli/serve.py
@@ -58,7 +58,7 @@
 def _run(platform: Platform, tuning: Tuning, sharing: "SharingSettings | None") -> None:
     import uvloop
 
-    from driftcleat.controller import Controller
+    from driftcleat.controller.controller import Controller
 
     # What is loaded now stays: the collector, off until here, need not look at it.
     gc.freeze()
--- a/driftcleat/cli/shares.py
+++ b/driftcleat/cli/shares.py
@@ -8,7 +8,7 @@
 
 import click
 
-from .serve import fail
+from driftcleat.cli.serve import fail
 
 TIMEOUT_S = 10
 # Exit status of an order that was refused.
--- a/driftcleat/fleet/cloud.py
+++ b/driftcleat/cloud/client.py
@@ -35,14 +35,14 @@
         self, client: HttpClient, address: str, rps: float, timeout_s: float, clock: Callable[[], float]
     ) -> None:
         self.client, self.address, self.timeout_s, self.clock = client, address, timeout_s, clock
-        self.malformed = 0
+        self.malformed_responses = 0
         # The cloud permits bursts worth two seconds.
         self.requests = TokenBucket(rps * 0.9, clock, burst_s=2.0)
 
     async def _call(self, method: str, path: str, body: bytes | None, kind: type[T]) -> T:
-        while (delay := self.requests.delay(1)) > 0:
+        while (delay := self.requests.delay_s(1)) > 0:
             await asyncio.sleep(delay)
-        self.requests.take(1)
+        self.requests.consume(1)
         try:
             answer = await self.exchange(method, path, body)
         except (HttpError, TimeoutError) as error:
@@ -54,7 +54,7 @@
         try:
             return wire.decode(answer.body, kind)
         except wire.WireError as error:
-            self.malformed += 1
+            self.malformed_responses += 1
             log.warning("cloud: malformed answer: %s", error)
             raise CloudError(f"malformed answer: {error}") from None
 
@@ -62,25 +62,25 @@
         """Send one request."""
         return await self.client.request(method, self.address, path, body, self.timeout_s)
 
-    async def types(self) -> tuple[messages.MachineType, ...]:
+    async def list_machine_types(self) -> tuple[messages.MachineType, ...]:
         """Return the types on offer."""
-        return (await self._call("GET", "/machine_types", None, messages.TypesAnswer)).types
+        return (await self._call("GET", "/machine_types", None, messages.MachineTypesResponse)).types
 
-    async def rent(self, request: messages.RentRequest) -> tuple[str, ...]:
+    async def create_machines(self, request: messages.CreateMachinesRequest) -> tuple[str, ...]:
         """Rent machines; repeated under the same name it gives the same answer."""
-        return (await self._call("POST", "/rentals", wire.encode(request), messages.RentAnswer)).machines
+        return (await self._call("POST", "/rentals", wire.encode(request), messages.CreateMachinesResponse)).machines
 
-    async def give_back(self, names: list[str]) -> None:
+    async def delete_machines(self, names: list[str]) -> None:
         """Return machines; once this returns they are gone with all that is on them."""
-        await self._call("POST", "/rentals/return", wire.encode(messages.ReturnRequest(names)), object)
+        await self._call("POST", "/rentals/return", wire.encode(messages.DeleteMachinesRequest(names)), object)
 
-    async def machines(self) -> list[messages.Listed]:
+    async def list_machines(self) -> list[messages.ListedMachine]:
         """Return the whole machine list, as it was some time ago."""
-        out: list[messages.Listed] = []
+        out: list[messages.ListedMachine] = []
         after = ""
         while True:
             path = f"/rentals?page={PAGE}" + (f"&from={after}" if after else "")
-            page = await self._call("GET", path, None, messages.ListAnswer)
+            page = await self._call("GET", path, None, messages.MachineListResponse)
             out.extend(page.machines)
             if not page.more or not page.machines:
                 return out
--- a/driftcleat/model/untracked.py
+++ b/driftcleat/cluster/orphaned_tasks.py
@@ -1,9 +1,9 @@
 """Attempts on machines that no record knows: their tasks must not start elsewhere while one is there."""
 
-from .machines import TaskKey
+from driftcleat.cluster.machines import TaskKey
 
 
-class UntrackedTasks:
+class OrphanedTasks:
     """Tasks by the machine that reported such an attempt last."""
 
     def __init__(self) -> None:
@@ -14,7 +14,7 @@
     def __contains__(self, key: TaskKey) -> bool:
         return key in self._machine_of
 
-    def note(self, key: TaskKey, machine: str) -> None:
+    def record(self, key: TaskKey, machine: str) -> None:
         """A machine reports an attempt that no record knows."""
         before = self._machine_of.get(key)
         if before is not None and before != machine:
--- a/driftcleat/model/usage.py
+++ b/driftcleat/cluster/usage.py
@@ -1,9 +1,9 @@
 """What the tasks of one team may be using."""
 
-from driftcleat.wire.users import Submission
+from driftcleat.wire.users import JobSpec
 
 
-class Usage:
+class ResourceUsage:
     """What a team's tasks may be using, by possible presence."""
 
     __slots__ = ("cpus", "gpus", "tasks")
@@ -12,7 +12,7 @@
         self.cpus = self.gpus = 0.0
         self.tasks = 0
 
-    def add(self, spec: Submission, sign: int) -> None:
+    def add(self, spec: JobSpec, sign: int) -> None:
         """Count a task in or out."""
         self.tasks += sign
         self.cpus += sign * spec.cpus
--- a/driftcleat/clients.py
+++ b/driftcleat/controller/clients.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from driftcleat.fleet.cloud import CloudClient
+from driftcleat.cloud.client import CloudClient
 from driftcleat.net import HttpClient, SocketBudget
 from driftcleat.settings import Platform
 from driftcleat.store.client import StoreClient, StoreLimits
--- a/driftcleat/controller.py
+++ b/driftcleat/controller/controller.py
@@ -7,24 +7,24 @@
 from collections.abc import Awaitable, Callable
 
 from driftcleat import wire
-from driftcleat.api import Answer, Listener, ReportApi, UserApi, serve
+from driftcleat.api import Answer, HeartbeatApi, Listener, UserApi, serve
 from driftcleat.api.server import Reply
-from driftcleat.background import Background, run_for_ever
-from driftcleat.clients import connect
-from driftcleat.fleet.manager import FleetManager
-from driftcleat.leadership import CurrentTerm, Election, PeerSurvey
-from driftcleat.metrics import Metrics
+from driftcleat.cloud.manager import FleetManager
+from driftcleat.controller.clients import connect
+from driftcleat.controller.commit_pipeline import CommitPipeline
+from driftcleat.controller.overload import OverloadDetector
+from driftcleat.controller.recovery import recover
+from driftcleat.leadership import ActiveTerm, Election, PeerSurvey
 from driftcleat.net import HttpClient, SocketBudget
-from driftcleat.overload import OverloadDetector
 from driftcleat.peers import PeerClient
 from driftcleat.peers.server import PeerApi
 from driftcleat.peers.survey import PeerSurveyor
-from driftcleat.rebuild import rebuild
+from driftcleat.runtime.background import Background, run_for_ever
+from driftcleat.runtime.metrics import Metrics
+from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.records import DATA_VERSION
-from driftcleat.term import Term
 from driftcleat.workers.dispatch import StopDispatcher
-from driftcleat.writer import BatchWriter
 
 log = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
         self.rng = rng if rng is not None else random.Random()
         self.metrics = Metrics()
         self.background = Background()
-        self.current = CurrentTerm()
+        self.active_term = ActiveTerm()
         self.overload = OverloadDetector(platform.report_s)
         self._leader_reached_at = float("-inf")
 
@@ -91,29 +91,29 @@
 
     def _assemble(self, sockets: SocketBudget) -> None:
         """Make the parts that need the clients."""
-        platform, tuning, current, clock = self.platform, self.tuning, self.current, self.clock
+        platform, tuning, active_term, clock = self.platform, self.tuning, self.active_term, self.clock
         self.users = UserApi(
             platform,
             tuning,
             self.store,
             self.peers,
-            current,
+            active_term,
             clock,
             most_in_progress=sockets.users,
             most_passed_on=sockets.peers.each * PASSED_ON_A_CONNECTION,
         )
-        self.reports = ReportApi(platform, tuning, current, self.metrics, clock)
-        self.surveyor = PeerSurveyor(platform, self.peers, current, clock)
-        self.election = current.election = self.make_election()
-        self.peer_api = PeerApi(platform, self.store, self.users, current, self.metrics, clock)
-        self.writer = BatchWriter(platform, self.store, current, self.metrics, clock)
-        self.dispatcher = StopDispatcher(platform, tuning, self.workers, current, self.background, clock)
+        self.heartbeats = HeartbeatApi(platform, tuning, active_term, self.metrics, clock)
+        self.surveyor = PeerSurveyor(platform, self.peers, active_term, clock)
+        self.election = active_term.election = self.make_election()
+        self.peer_api = PeerApi(platform, self.store, self.users, active_term, self.metrics, clock)
+        self.commit_pipeline = CommitPipeline(platform, self.store, active_term, self.metrics, clock)
+        self.dispatcher = StopDispatcher(platform, tuning, self.workers, active_term, self.background, clock)
         self.fleet_manager = FleetManager(
             platform,
             tuning,
             self.cloud,
-            current,
-            self.reports,
+            active_term,
+            self.heartbeats,
             self.dispatcher,
             self.background,
             self.metrics,
@@ -128,8 +128,8 @@
             self.store,
             self.rng,
             self.clock,
-            self._rebuild,
-            self._resigned,
+            self._recover,
+            self._end_term,
             self._ask_peers,
             self.surveyor.ask_leader,
         )
@@ -137,7 +137,7 @@
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
         return [
             self.election.run,
-            self.writer.run,
+            self.commit_pipeline.run,
             self.dispatcher.scan,
             self.dispatcher.run,
             *self.fleet_manager.loops(),
@@ -148,7 +148,7 @@
         """Note how late the event loop does what is due, and each report interval whether reports suffer from it."""
         pause_s = self.platform.report_s * DELAY_PAUSE
         while True:
-            began_at, heard, worst_s = self.clock(), self.reports.heard, 0.0
+            began_at, heard, worst_s = self.clock(), self.heartbeats.heartbeats_received, 0.0
             while self.clock() - began_at < self.platform.report_s:
                 due = self.clock() + pause_s
                 await asyncio.sleep(pause_s)
@@ -156,57 +156,59 @@
                 self.metrics.loop_delay.record(delay_s)
                 worst_s = max(worst_s, delay_s)
             intervals = (self.clock() - began_at) / self.platform.report_s
-            self.overload.note_interval(
-                round((self.reports.heard - heard) / intervals), self._machines_alive(), worst_s
+            self.overload.record_interval(
+                round((self.heartbeats.heartbeats_received - heard) / intervals), self._machines_alive(), worst_s
             )
 
     def _machines_alive(self) -> int:
         """Return how many machines have reported to our term within their lease."""
-        if self.current.term is None:
+        if self.active_term.scheduler is None:
             return 0
         since = self.clock() - self.platform.lease_s
-        machines = self.current.term.cluster.machines.values()
-        return sum(machine.report is not None and machine.heard_at > since for machine in machines)
+        machines = self.active_term.scheduler.cluster.machines.values()
+        return sum(machine.last_heartbeat is not None and machine.last_heartbeat_at > since for machine in machines)
 
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
         """Open the addresses that are served."""
         self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=REPORTS)
         back = await serve(self.platform.back, self.handle_back, sockets.back, MOST_PEER_BODY)
-        self.reports.crowded = lambda: self.front.limiter.crowded
+        self.heartbeats.is_crowded = lambda: self.front.limiter.crowded
         return [back, self.front]
 
     # -- terms --------------------------------------------------------------------------------------------
 
     @property
-    def term(self) -> Term | None:
+    def scheduler(self) -> Scheduler | None:
         """This controller's term, if it leads."""
-        return self.current.term
+        return self.active_term.scheduler
 
     @property
-    def holds(self) -> bool:
+    def may_decide(self) -> bool:
         """Whether this controller leads for certain."""
-        return self.current.holds
+        return self.active_term.may_decide
 
     @property
     def leader(self) -> str | None:
         """The leader's label as far as known."""
-        return self.current.leader
+        return self.active_term.leader
 
-    async def _rebuild(self, token: int) -> None:
+    async def _recover(self, token: int) -> None:
         """Begin a term: its picture is made of the records."""
-        found = await rebuild(token, self.store, self.platform, self.tuning, self.rng, self.clock, self.wall)
-        self.writer.begin(found.mark_version)
-        self.current.term = term = found.term
-        term.pacing.overload_pause_s = lambda: self.overload.pause_s
+        found = await recover(token, self.store, self.platform, self.tuning, self.rng, self.clock, self.wall)
+        self.commit_pipeline.start_term(found.marker_mod_revision)
+        self.active_term.scheduler = scheduler = found.scheduler
+        scheduler.pacing.overload_pause_s = lambda: self.overload.pause_s
         self.peer_api.note_version(self.platform.label, DATA_VERSION)
-        self.fleet_manager.reset(found.types_stored)
-        log.info("term %d: %d jobs, %d open rentals", token, len(term.cluster.jobs), len(term.rentals.open))
-        self.current.wake_writer()
+        self.fleet_manager.start_term(found.machine_types_stored)
+        log.info(
+            "term %d: %d jobs, %d open rentals", token, len(scheduler.cluster.jobs), len(scheduler.scale_out.open)
+        )
+        self.active_term.wake_committer()
 
-    def _resigned(self) -> None:
-        self.current.term = None
+    def _end_term(self) -> None:
+        self.active_term.scheduler = None
         self.users.drop_outstanding()
-        self.current.announce_commit()
+        self.active_term.announce_commit()
 
     async def _ask_peers(self) -> PeerSurvey:
         """Ask the others how they see the store; a leader that has to ask can promise its users nothing."""
@@ -219,7 +221,7 @@
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
         """Answer a request at `bind`; reports, the most of them, at once if possible."""
         if path == REPORTS and method == "POST":
-            return self.reports.handle(body)
+            return self.heartbeats.handle(body)
         return self.handle_front(method, path, body)
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
@@ -227,7 +229,7 @@
         if path == REPORTS:
             if method != "POST":
                 return Answer.error(405, "only POST is allowed here")
-            reply = self.reports.handle(body)
+            reply = self.heartbeats.handle(body)
             return reply if isinstance(reply, Answer) else await reply
         if path == "/ready":
             if method != "GET":
@@ -235,7 +237,7 @@
             return Answer(200, b'{"ready":true}') if await self._ready() else self.users.unavailable("not ready")
         started = self.clock()
         answer = await self.users.handle(method, path, body)
-        self.metrics.user_ms.record(self.clock() - started)
+        self.metrics.user_request_latency.record(self.clock() - started)
         return answer if answer is not None else Answer.error(404, "no such path")
 
     async def _ready(self) -> bool:
@@ -244,7 +246,7 @@
         Guards against a follower that the leader refuses, or that took a dead controller for the leader: it drew
         its share of the users and could do nothing for them.
         """
-        if self.election.answers_workers or await self.surveyor.reaches_leader():
+        if self.election.may_answer_heartbeats or await self.surveyor.reaches_leader():
             self._leader_reached_at = self.clock()
         return self.clock() - self._leader_reached_at < self.platform.lease_s * self.tuning.ready
 
--- a/driftcleat/overload.py
+++ b/driftcleat/controller/overload.py
@@ -20,7 +20,7 @@
         # What a placement round, or a round of sizing, is to wait longer than it would.
         self.pause_s = 0.0
 
-    def note_interval(self, reports: int, machines: int, delay_s: float) -> None:
+    def record_interval(self, reports: int, machines: int, delay_s: float) -> None:
         """Take in one report interval: reports taken in, machines alive, and how late the event loop was at worst.
 
         Machines behind a cut are missing as well, but they leave the event loop idle.
--- a/driftcleat/leadership/__init__.py
+++ b/driftcleat/leadership/__init__.py
@@ -1,7 +1,7 @@
 """Leadership: one leader by a key attached to a lease; the revision of the winning put is the token."""
 
-from .current import CurrentTerm
-from .election import Election, LeaderKey, PeerSurvey, Role
-from .lease import LeaseClock
+from driftcleat.leadership.active_term import ActiveTerm
+from driftcleat.leadership.election import Election, LeaderRecord, PeerSurvey, Role
+from driftcleat.leadership.lease import LeaseClock
 
-__all__ = ["CurrentTerm", "Election", "LeaderKey", "LeaseClock", "PeerSurvey", "Role"]
+__all__ = ["ActiveTerm", "Election", "LeaderRecord", "LeaseClock", "PeerSurvey", "Role"]
--- a/driftcleat/leadership/lease.py
+++ b/driftcleat/leadership/lease.py
@@ -6,35 +6,35 @@
 
     def __init__(self, ttl_s: float, drift: float) -> None:
         self.ttl_s, self.drift = ttl_s, drift
-        self.lease: int | None = None
+        self.lease_id: int | None = None
         self._valid_until = float("-inf")
 
-    def granted(self, lease: int, sent_at: float) -> None:
+    def record_grant(self, lease: int, sent_at: float) -> None:
         """A lease was granted by a request sent at that time."""
-        self.lease = lease
+        self.lease_id = lease
         self._valid_until = sent_at + self.ttl_s * (1 - self.drift)
 
-    def renewed(self, sent_at: float) -> None:
+    def record_renewal(self, sent_at: float) -> None:
         """The lease was renewed by a request sent at that time."""
         self._valid_until = max(self._valid_until, sent_at + self.ttl_s * (1 - self.drift))
 
-    def give_up(self, now: float) -> None:
+    def surrender(self, now: float) -> None:
         """From now on another controller may hold the leader key, although the lease goes on."""
         self._valid_until = min(self._valid_until, now)
 
-    def lost(self) -> None:
+    def clear(self) -> None:
         """The lease has ended."""
-        self.lease = None
+        self.lease_id = None
         self._valid_until = float("-inf")
 
-    def valid(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether no other controller can hold the leader key."""
-        return self.lease is not None and now < self._valid_until
+        return self.lease_id is not None and now < self._valid_until
 
-    def certain_until(self, now: float) -> float:
+    def held_until(self, now: float) -> float:
         """Return the last moment, now at the latest, up to which no other controller can have held the key."""
         return min(now, self._valid_until)
 
-    def left(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return the seconds for which the lease certainly holds."""
-        return max(0.0, self._valid_until - now) if self.lease is not None else 0.0
+        return max(0.0, self._valid_until - now) if self.lease_id is not None else 0.0
--- a/driftcleat/net/__init__.py
+++ b/driftcleat/net/__init__.py
@@ -1,9 +1,9 @@
 """Sockets: how many each use may open, which of those that came in are kept, and the HTTP client."""
 
-from .budget import Allowance, SocketBudget
-from .http_client import HttpClient
-from .http_connection import ConnectError, HttpAnswer, HttpError
-from .limiter import ConnectionLimiter
+from driftcleat.net.budget import Allowance, SocketBudget
+from driftcleat.net.http_client import HttpClient
+from driftcleat.net.http_connection import ConnectError, HttpAnswer, HttpError
+from driftcleat.net.limiter import ConnectionLimiter
 
 __all__ = [
     "Allowance",
--- a/driftcleat/net/budget.py
+++ b/driftcleat/net/budget.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from .http_client import HttpClient
-from .limiter import KEPT, WORKERS
+from driftcleat.net.http_client import HttpClient
+from driftcleat.net.limiter import KEPT, WORKERS
 
 # The event loop, the log, the listeners and what the libraries keep open.
 OWN = 24
--- a/driftcleat/net/http_client.py
+++ b/driftcleat/net/http_client.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections import deque
 
-from .http_connection import ConnectError, HttpAnswer, HttpConnection, HttpError
+from driftcleat.net.http_connection import ConnectError, HttpAnswer, HttpConnection, HttpError
 
 # Methods that may be carried out twice: sent once more if a kept connection turns out to be closed.
 _REPEATABLE = frozenset(("GET", "DELETE"))
--- a/driftcleat/peers/client.py
+++ b/driftcleat/peers/client.py
@@ -52,10 +52,13 @@
         )
         return [answer for answer in answers if isinstance(answer, messages.Pong)]
 
-    async def views(self, timeout_s: float) -> list[messages.View]:
+    async def views(self, timeout_s: float) -> list[messages.ViewResponse]:
         """Ask every other controller how it sees the world; those that answer are returned."""
         answers = await asyncio.gather(
-            *(self.send(label, messages.Ask(self.label, DATA_VERSION), timeout_s) for label in self.addresses),
+            *(
+                self.send(label, messages.ViewRequest(self.label, DATA_VERSION), timeout_s)
+                for label in self.addresses
+            ),
             return_exceptions=True,
         )
-        return [answer for answer in answers if isinstance(answer, messages.View)]
+        return [answer for answer in answers if isinstance(answer, messages.ViewResponse)]
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -7,11 +7,11 @@
 from driftcleat import wire
 from driftcleat.api.answers import Answer
 from driftcleat.api.users import UserApi
-from driftcleat.leadership import CurrentTerm
-from driftcleat.metrics import Metrics
+from driftcleat.leadership import ActiveTerm
+from driftcleat.runtime.metrics import Metrics
 from driftcleat.settings import Platform
 from driftcleat.store.client import StoreClient, StoreError
-from driftcleat.store.records import DATA_VERSION, LEADER
+from driftcleat.store.records import DATA_VERSION, LEADER_KEY
 from driftcleat.wire import peers as messages
 
 log = logging.getLogger(__name__)
@@ -33,12 +33,12 @@
         platform: Platform,
         store: StoreClient,
         users: UserApi,
-        current: CurrentTerm,
+        active_term: ActiveTerm,
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
         self._platform, self._store, self._users = platform, store, users
-        self._current, self._metrics, self._clock = current, metrics, clock
+        self._active_term, self._metrics, self._clock = active_term, metrics, clock
         # The data versions that the other controllers have said they can write.
         self._versions: dict[str, int] = {}
 
@@ -51,25 +51,25 @@
         try:
             message: messages.PeerMessage = wire.decode(body, messages.PeerMessage)  # type: ignore[arg-type]
         except wire.WireError as error:
-            self._metrics.bad_peer_messages += 1
+            self._metrics.malformed_peer_messages += 1
             log.info("malformed message of a controller: %s", error)
             return Answer.error(400, str(error))
-        if isinstance(message, messages.Forward):
+        if isinstance(message, messages.ForwardRequest):
             return Answer(200, wire.encode(await self._carry_out(message)))
         if isinstance(message, messages.Ping):
             self.note_version(message.sender, message.data_version)
             return Answer(200, wire.encode(self._pong()))
-        if isinstance(message, messages.Ask):
+        if isinstance(message, messages.ViewRequest):
             self.note_version(message.sender, message.data_version)
             return Answer(200, wire.encode(await self._view()))
         return Answer.error(400, "not a question")
 
-    async def _carry_out(self, message: messages.Forward) -> messages.Forwarded:
+    async def _carry_out(self, message: messages.ForwardRequest) -> messages.ForwardResponse:
         """Answer a user's request that another controller passes on."""
         answer = await self._users.handle(message.method, message.path, message.body.encode(), forwarded=True)
         if answer is None:
             answer = Answer.error(404, "no such path")
-        return messages.Forwarded(answer.status, answer.body.decode(), answer.retry_after_s)
+        return messages.ForwardResponse(answer.status, answer.body.decode(), answer.retry_after_s)
 
     def note_version(self, label: str, version: int) -> None:
         """A controller has said which data version it can write; once all write ours, it may begin.
@@ -77,39 +77,39 @@
         Nobody goes back after it was upgraded, so answers may be gathered over time.
         """
         self._versions[label] = version
-        term = self._current.term
-        if term is None or term.migration.latch_wanted:
+        scheduler = self._active_term.scheduler
+        if scheduler is None or scheduler.migration.latch_requested:
             return
         if all(self._versions.get(peer.label, 1) >= DATA_VERSION for peer in self._platform.peers):
-            term.migration.latch_wanted = True
-            self._current.wake_writer()
+            scheduler.migration.latch_requested = True
+            self._active_term.wake_committer()
 
     def _pong(self) -> messages.Pong:
-        election = self._current.election
+        election = self._active_term.election
         return messages.Pong(
             self._platform.label,
-            election.answers_workers,
+            election.may_answer_heartbeats,
             election.leader,
-            election.leader_token,
+            election.leader_fencing_token,
             self._leader_status(),
             DATA_VERSION,
         )
 
-    async def _view(self) -> messages.View:
+    async def _view(self) -> messages.ViewResponse:
         """Return how we see the store, asked just now."""
-        election = self._current.election
+        election = self._active_term.election
         try:
-            await asyncio.wait_for(self._store.get(LEADER), election.ttl_s * STORE_WAIT)
+            await asyncio.wait_for(self._store.get(LEADER_KEY), election.ttl_s * STORE_WAIT)
         except (StoreError, TimeoutError):
             pass
-        return messages.View(
+        return messages.ViewResponse(
             self._platform.label,
             election.role.value,
             election.leader,
-            election.leader_token,
-            self._age(self._store.served_at),
-            self._age(self._store.refused_at),
-            election.confirms,
+            election.leader_fencing_token,
+            self._age(self._store.last_success_at),
+            self._age(self._store.last_failure_at),
+            election.has_read_leader_key,
             self._leader_status(),
             DATA_VERSION,
         )
@@ -120,9 +120,9 @@
 
     def _leader_status(self) -> messages.LeaderStatus | None:
         """Tell how we stand, if we lead."""
-        term, election = self._current.term, self._current.election
-        if term is None or not election.is_leader:
+        scheduler, election = self._active_term.scheduler, self._active_term.election
+        if scheduler is None or not election.is_leader:
             return None
-        cancelled = sorted(term.cancellations.still_placed())
+        cancelled = sorted(scheduler.cancellations.jobs_still_placed())
         named = cancelled if len(cancelled) <= MOST_NAMED else None
-        return messages.LeaderStatus(self._clock() - election.certain_at, named)
+        return messages.LeaderStatus(self._clock() - election.last_confirmed_at, named)
--- a/driftcleat/peers/survey.py
+++ b/driftcleat/peers/survey.py
@@ -2,14 +2,13 @@
 
 from collections.abc import Callable
 
-from driftcleat.leadership import CurrentTerm, PeerSurvey, Role
+from driftcleat.leadership import ActiveTerm, PeerSurvey, Role
+from driftcleat.peers.client import PeerClient
 from driftcleat.settings import Platform
 from driftcleat.wire import peers as messages
 
-from .client import PeerClient
-
 # Roles in which a controller answers reports in its own right.
-LEADING_ROLES = frozenset((Role.REBUILDING.value, Role.LEADING.value, Role.UNSURE.value))
+LEADING_ROLES = frozenset((Role.RECOVERING.value, Role.LEADER.value, Role.UNCONFIRMED_LEADER.value))
 # A controller that the store served so many seconds ago is served by it.
 SERVED_S = 0.5
 # How long to wait for answers: to a question about the store of the leader's lease, to a ping of a report interval.
@@ -21,58 +20,59 @@
     """Asks the other controllers."""
 
     def __init__(
-        self, platform: Platform, peers: PeerClient, current: CurrentTerm, clock: Callable[[], float]
+        self, platform: Platform, peers: PeerClient, active_term: ActiveTerm, clock: Callable[[], float]
     ) -> None:
         self._platform, self._peers = platform, peers
-        self._current, self._clock = current, clock
+        self._active_term, self._clock = active_term, clock
 
     async def ask_all(self) -> PeerSurvey:
         """Ask the other controllers how they see the store and who leads."""
         asked_at = self._clock()
-        views = await self._peers.views(self._current.election.ttl_s * VIEW_WAIT)
-        highest = max(views, key=lambda view: view.token, default=None)
+        views = await self._peers.views(self._active_term.election.ttl_s * VIEW_WAIT)
+        highest = max(views, key=lambda view: view.fencing_token, default=None)
         contact_at, cancelled = _contact(asked_at, [view.leader_status for view in views])
         return PeerSurvey(
-            others_served=any(_served(view) or view.role in LEADING_ROLES for view in views),
-            leader_contact_at=contact_at,
-            cancelled=cancelled,
-            token=highest.token if highest else 0,
+            peer_reaches_store=any(_served(view) or view.role in LEADING_ROLES for view in views),
+            leader_confirmed_at=contact_at,
+            cancelled_jobs=cancelled,
+            highest_fencing_token=highest.fencing_token if highest else 0,
             leader=highest.leader if highest else None,
-            all_confirm=len(views) == len(self._platform.peers) and all(view.confirms for view in views),
+            all_have_read_leader_key=len(views) == len(self._platform.peers)
+            and all(view.has_read_leader_key for view in views),
         )
 
     async def ask_leader(self) -> PeerSurvey:
         """Ask the leader how it stands."""
-        asked_at, leader = self._clock(), self._current.leader
+        asked_at, leader = self._clock(), self._active_term.leader
         if leader is None or leader not in self._peers.addresses:
             return PeerSurvey()
         pongs = await self._peers.ping([leader], self._platform.report_s * PING_WAIT)
         contact_at, cancelled = _contact(asked_at, [pong.leader_status for pong in pongs])
-        return PeerSurvey(leader_contact_at=contact_at, cancelled=cancelled)
+        return PeerSurvey(leader_confirmed_at=contact_at, cancelled_jobs=cancelled)
 
     async def reaches_leader(self) -> bool:
         """Ask the leader whether it leads; if it does not, learn from the others who does."""
         timeout_s = self._platform.report_s * PING_WAIT
-        leader = self._current.leader
+        leader = self._active_term.leader
         if leader is not None and leader in self._peers.addresses:
             pongs = await self._peers.ping([leader], timeout_s)
             if any(pong.leads for pong in pongs):
                 return True
         others = [label for label in self._peers.addresses if label != leader]
         for pong in await self._peers.ping(others, timeout_s):
-            self._current.election.learn(pong.sender if pong.leads else pong.leader, pong.token)
+            self._active_term.election.observe_leader(pong.sender if pong.leads else pong.leader, pong.fencing_token)
         return False
 
 
 def _contact(asked_at: float, statuses: list[messages.LeaderStatus | None]) -> tuple[float, frozenset[str]]:
     """Return as of when the surest leader that was asked was certain, and the cancelled jobs it named."""
-    known = [status for status in statuses if status is not None and status.cancelled is not None]
+    known = [status for status in statuses if status is not None and status.cancelled_jobs is not None]
     if not known:
         return float("-inf"), frozenset()
-    surest = min(known, key=lambda status: status.certain_age_s)
-    return asked_at - surest.certain_age_s, frozenset(surest.cancelled or ())
+    surest = min(known, key=lambda status: status.confirmed_age_s)
+    return asked_at - surest.confirmed_age_s, frozenset(surest.cancelled_jobs or ())
 
 
-def _served(view: messages.View) -> bool:
+def _served(view: messages.ViewResponse) -> bool:
     """Whether the store has served this controller just now."""
-    return 0 <= view.served_age_s < SERVED_S
+    return 0 <= view.store_success_age_s < SERVED_S
--- a/driftcleat/placement/__init__.py
+++ b/driftcleat/placement/__init__.py
@@ -1,6 +1,6 @@
 """Placement: a pure function from jobs, candidate machines and limits to places. It changes nothing itself."""
 
-from .candidates import Candidate, allowed, fits
-from .engine import PlacementRound, PreemptionPlan
+from driftcleat.placement.candidates import Candidate, allowed, fits
+from driftcleat.placement.placement_round import PlacementRound, PreemptionPlan
 
 __all__ = ["Candidate", "PlacementRound", "PreemptionPlan", "allowed", "fits"]
--- a/driftcleat/placement/engine.py
+++ b/driftcleat/placement/placement_round.py
@@ -4,31 +4,30 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from driftcleat.model.jobs import Job
-from driftcleat.wire.users import Submission
+from driftcleat.cluster.jobs import Job
+from driftcleat.placement.candidates import Candidate, fits, spread_limit
+from driftcleat.placement.victims import Victim
+from driftcleat.wire.users import JobSpec
 
-from .candidates import Candidate, fits, spread_limit
-from .victims import Victim
-
-MANY = 1_000_000
+UNBOUNDED = 1_000_000
 
 # What one task costs on machines of a type, ordinary or spot, with its image or without.
 PlaceCosts = dict[tuple[str, bool, bool], float]
-Shape = tuple[float, float, float, tuple[str, ...] | None, str | None, bool, bool, bool]
+TaskShape = tuple[float, float, float, tuple[str, ...] | None, str | None, bool, bool, bool]
 
 
 @dataclass(slots=True)
-class Limits:
+class QuotaHeadroom:
     """What a team may still take; infinite where it has no limit."""
 
     cpus: float
     gpus: float
 
-    def fits(self, spec: Submission, tasks: int) -> bool:
+    def fits(self, spec: JobSpec, tasks: int) -> bool:
         """Tell whether that many tasks stay within the limit."""
         return spec.cpus * tasks <= self.cpus + 1e-6 and spec.gpus * tasks <= self.gpus + 1e-6
 
-    def take(self, spec: Submission, tasks: int) -> None:
+    def consume(self, spec: JobSpec, tasks: int) -> None:
         """Use up what tasks need."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
@@ -55,11 +54,13 @@
     ) -> None:
         self.candidates = [candidate for candidate in candidates]
         rng.shuffle(self.candidates)
-        self.sample, self.rng, self.blocked = max(1, sample), rng, blocked
-        self.unplaceable: set[Shape] = set()
-        self.max_fetch_rank = MANY
+        self.sample, self.rng, self.is_blocked = max(1, sample), rng, blocked
+        self.unplaceable: set[TaskShape] = set()
+        self.max_fetch_rank = UNBOUNDED
 
-    def place(self, job: Job, limits: Limits, most: int, max_fetch_rank: int = MANY) -> list[tuple[int, Candidate]]:
+    def place(
+        self, job: Job, quota: QuotaHeadroom, most: int, max_fetch_rank: int = UNBOUNDED
+    ) -> list[tuple[int, Candidate]]:
         """Return places for queued tasks of a job; candidates and limits are used up by them.
 
         `max_fetch_rank` is the highest `Candidate.fetch_rank` that will do: 0 wants the image to be there, 1 wants
@@ -67,97 +68,97 @@
         """
         self.max_fetch_rank = max_fetch_rank
         if job.is_gang:
-            return self._place_gang(job, limits)
-        return self._place_some(job, limits, min(most, job.queued))
+            return self._place_gang(job, quota)
+        return self._place_some(job, quota, min(most, job.tasks_queued))
 
-    def _place_some(self, job: Job, limits: Limits, most: int) -> list[tuple[int, Candidate]]:
+    def _place_some(self, job: Job, quota: QuotaHeadroom, most: int) -> list[tuple[int, Candidate]]:
         spec = job.spec
-        counts = job.zone_counts()
+        counts = job.placements_by_zone()
         per_zone = spread_limit(spec)
-        zone = next(iter(counts), None) if spec.one_zone else None
+        zone = next(iter(counts), None) if spec.single_zone else None
         placed: list[tuple[int, Candidate]] = []
         candidate: Candidate | None = None
         index = -1
-        while len(placed) < most and limits.fits(spec, 1):
-            index = job.next_queued(index)
+        while len(placed) < most and quota.fits(spec, 1):
+            index = job.next_queued_task(index)
             if index < 0:
                 break
-            if self.blocked(job.id, index):
+            if self.is_blocked(job.id, index):
                 continue
             if candidate is None or not self._usable(spec, candidate) or counts.get(candidate.zone, 0) >= per_zone:
                 # The candidate found last is filled up first: it was the best, and is better now that it fetches.
-                candidate = self.find(spec, zone, lambda candidate: counts.get(candidate.zone, 0) < per_zone)
+                candidate = self.find_best(spec, zone, lambda candidate: counts.get(candidate.zone, 0) < per_zone)
             if candidate is None:
                 break
-            candidate.take(spec)
-            limits.take(spec, 1)
+            candidate.allocate(spec)
+            quota.consume(spec, 1)
             counts[candidate.zone] = counts.get(candidate.zone, 0) + 1
-            if spec.one_zone:
+            if spec.single_zone:
                 zone = candidate.zone
             placed.append((index, candidate))
         return placed
 
     @staticmethod
-    def _usable(spec: Submission, candidate: Candidate) -> bool:
+    def _usable(spec: JobSpec, candidate: Candidate) -> bool:
         return candidate.fits(spec)
 
-    def _place_gang(self, job: Job, limits: Limits) -> list[tuple[int, Candidate]]:
+    def _place_gang(self, job: Job, quota: QuotaHeadroom) -> list[tuple[int, Candidate]]:
         """All queued tasks at once or none; only when no task of an older attempt is left anywhere."""
         spec = job.spec
-        need = job.queued
-        if job.places or not limits.fits(spec, need):
+        need = job.tasks_queued
+        if job.placements or not quota.fits(spec, need):
             return []
         indices: list[int] = []
-        index = job.next_queued(-1)
+        index = job.next_queued_task(-1)
         while index >= 0:
-            if self.blocked(job.id, index):
+            if self.is_blocked(job.id, index):
                 return []
             indices.append(index)
-            index = job.next_queued(index)
+            index = job.next_queued_task(index)
         zones: list[str | None] = [None]
-        if spec.one_zone:
+        if spec.single_zone:
             free: dict[str, int] = {}
             for candidate in self.candidates:
                 if candidate.fits(spec) and candidate.reserved_for in (None, spec.id) and candidate.allows(spec):
                     free[candidate.zone] = free.get(candidate.zone, 0) + candidate.capacity(spec, need)
             free = {name: count for name, count in free.items() if count >= need}
-            away = {candidate.zone: candidate.away for candidate in self.candidates}
+            away = {candidate.zone: candidate.controllers_elsewhere for candidate in self.candidates}
             zones = [*sorted(free, key=lambda name: (away[name], -free[name], name))]
         for zone in zones:
             chosen = self._gang_in(spec, zone, need)
             if chosen is not None:
-                limits.take(spec, need)
+                quota.consume(spec, need)
                 return list(zip(indices, chosen, strict=True))
         return []
 
-    def _gang_in(self, spec: Submission, zone: str | None, need: int) -> list[Candidate] | None:
+    def _gang_in(self, spec: JobSpec, zone: str | None, need: int) -> list[Candidate] | None:
         chosen: list[Candidate] = []
         counts: dict[str, int] = {}
         per_zone = spread_limit(spec)
         while len(chosen) < need:
-            candidate = self.find(spec, zone, lambda candidate: counts.get(candidate.zone, 0) < per_zone)
+            candidate = self.find_best(spec, zone, lambda candidate: counts.get(candidate.zone, 0) < per_zone)
             if candidate is None:
                 for used in chosen:
-                    used.give(spec)
+                    used.release(spec)
                 return None
             # Fill the machine before looking further: consecutive tasks make short records.
             while len(chosen) < need and candidate.fits(spec) and counts.get(candidate.zone, 0) < per_zone:
-                candidate.take(spec)
+                candidate.allocate(spec)
                 counts[candidate.zone] = counts.get(candidate.zone, 0) + 1
                 chosen.append(candidate)
         return chosen
 
-    def find(self, spec: Submission, zone: str | None, also: Callable[[Candidate], bool]) -> Candidate | None:
+    def find_best(self, spec: JobSpec, zone: str | None, also: Callable[[Candidate], bool]) -> Candidate | None:
         """Return the best fit among the first sample of candidates of which any fits."""
         shape = (
             spec.cpus,
             spec.gpus,
             spec.memory_gb,
-            spec.types,
+            spec.machine_types,
             zone or spec.zone,
             spec.spot,
             spec.spread,
-            spec.one_zone,
+            spec.single_zone,
         )
         if shape in self.unplaceable:
             return None
@@ -192,27 +193,27 @@
         return best
 
     @staticmethod
-    def _score(spec: Submission, candidate: Candidate, costs: PlaceCosts) -> tuple[float, ...]:
+    def _score(spec: JobSpec, candidate: Candidate, costs: PlaceCosts) -> tuple[float, ...]:
         """Lower is better: image there already, what the place is worth, zone, machine in use, what is left over.
 
         `costs` keeps what the task costs on each kind of machine: worked out once for hundreds of machines alike.
         """
         rank = candidate.fetch_rank(spec.image)
-        kind = (candidate.type, candidate.spot, rank > 0)
+        kind = (candidate.machine_type, candidate.spot, rank > 0)
         cost = costs.get(kind)
         if cost is None:
             cost = costs[kind] = candidate.slow_cost(spec) if rank else candidate.share_cost(spec)
         return (
             float(rank),
             cost,
-            float(candidate.away),
+            float(candidate.controllers_elsewhere),
             0.0 if candidate.busy else 1.0,
             candidate.gpus - spec.gpus,
             candidate.cpus - spec.cpus,
         )
 
 
-def plan_preemption(spec: Submission, candidate: Candidate, victims: list[Victim]) -> PreemptionPlan | None:
+def plan_preemption(spec: JobSpec, candidate: Candidate, victims: list[Victim]) -> PreemptionPlan | None:
     """Return the cheapest set of these tasks whose stop makes room for one task; empty if there is room already."""
     if (
         spec.id in candidate.failed_jobs
--- a/driftcleat/placement/victims.py
+++ b/driftcleat/placement/victims.py
@@ -3,10 +3,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from driftcleat.model.jobs import Job, JobState
-from driftcleat.model.machines import Machine, TaskKey
-
-from .order import Order
+from driftcleat.cluster.jobs import Job, JobState
+from driftcleat.cluster.machines import Machine, TaskKey
+from driftcleat.placement.fair_share import FairShareOrder
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,14 +17,14 @@
     cost: float
 
 
-class Victims:
+class PreemptibleTasks:
     """The tasks of one round's machines that could be stopped at all, and who may displace them."""
 
     def __init__(
         self,
         machines: Iterable[Machine],
         job_of: Callable[[str], Job | None],
-        order: Order,
+        order: FairShareOrder,
         loss: Callable[[Job, Machine, TaskKey], float],
     ) -> None:
         self.order, self.loss = order, loss
@@ -35,17 +34,17 @@
         for machine in machines:
             tasks: list[tuple[Job, int]] = []
             lowest, beyond = -1, False
-            for (job_id, index), place in machine.tasks.items():
+            for (job_id, index), placement in machine.tasks.items():
                 job = job_of(job_id)
                 if (
                     job is None
                     or job.state is not JobState.ACTIVE
-                    or place.stop is not None
+                    or placement.stop_grace_s is not None
                     or (job.is_gang and job.spec.tasks > 1)
                 ):
                     continue
                 tasks.append((job, index))
-                lowest = max(lowest, job.level)
+                lowest = max(lowest, job.priority_level)
                 beyond = beyond or job.id not in order.guaranteed
             if tasks:
                 self._found[machine.name] = (lowest, beyond, tasks)
@@ -53,7 +52,7 @@
 
     def machines(self, job: Job) -> list[Machine]:
         """Return the machines on which this job may displace something."""
-        level, guaranteed = job.level, job.id in self.order.guaranteed
+        level, guaranteed = job.priority_level, job.id in self.order.guaranteed
         return [
             self._machines[name]
             for name, (lowest, beyond, _) in self._found.items()
@@ -68,9 +67,9 @@
         return [
             Victim(other, index, self.loss(other, machine, (other.id, index)))
             for other, index in found[2]
-            if self.order.may_displace(job, other)
+            if self.order.may_preempt(job, other)
         ]
 
-    def take(self, machine: Machine) -> None:
+    def exclude(self, machine: Machine) -> None:
         """Something is stopped there for a job: nobody else displaces there in this round."""
         self._found.pop(machine.name, None)
--- a/driftcleat/metrics.py
+++ b/driftcleat/runtime/metrics.py
@@ -5,7 +5,7 @@
 from hdrh.histogram import HdrHistogram
 
 if TYPE_CHECKING:
-    from driftcleat.controller import Controller
+    from driftcleat.controller.controller import Controller
 
 
 class Timing:
@@ -30,71 +30,76 @@
     """What this process has counted."""
 
     def __init__(self) -> None:
-        self.build_ms, self.batch_ms, self.user_ms, self.report_ms = Timing(), Timing(), Timing(), Timing()
+        self.batch_build_time, self.commit_latency, self.user_request_latency, self.heartbeat_latency = (
+            Timing(),
+            Timing(),
+            Timing(),
+            Timing(),
+        )
         # How late the event loop does what is due: everything else waits as long.
         self.loop_delay = Timing()
         # Seconds spent in the parts of the leader's work that do not wait for anything.
-        self.parts: dict[str, float] = {}
-        self.bad_reports = self.stale_reports = self.bad_peer_messages = 0
+        self.seconds_by_part: dict[str, float] = {}
+        self.malformed_heartbeats = self.stale_heartbeats = self.malformed_peer_messages = 0
 
-    def spent(self, part: str, seconds: float) -> None:
+    def record_part(self, part: str, seconds: float) -> None:
         """Count time that a part has taken."""
-        self.parts[part] = self.parts.get(part, 0.0) + seconds
+        self.seconds_by_part[part] = self.seconds_by_part.get(part, 0.0) + seconds
 
     def status(self, controller: "Controller") -> dict[str, Any]:
         """Return the state of a controller for operators."""
-        election, term = controller.election, controller.term
+        election, scheduler = controller.election, controller.scheduler
         out: dict[str, Any] = {
             "controller": controller.platform.label,
             "role": election.role.value,
             "leader": election.leader,
-            "term": election.leader_token,
-            "holds": controller.holds,
-            "lease_left_s": round(election.lease.left(controller.clock()), 3),
-            "build": self.build_ms.summary(),
-            "batch": self.batch_ms.summary(),
-            "users": self.user_ms.summary(),
-            "reports": self.report_ms.summary(),
+            "term": election.leader_fencing_token,
+            "holds": controller.may_decide,
+            "lease_left_s": round(election.lease.remaining_s(controller.clock()), 3),
+            "build": self.batch_build_time.summary(),
+            "batch": self.commit_latency.summary(),
+            "users": self.user_request_latency.summary(),
+            "reports": self.heartbeat_latency.summary(),
             "loop_delay": self.loop_delay.summary(),
-            "parts_s": {part: round(seconds, 3) for part, seconds in sorted(self.parts.items())},
-            "requests_shed": controller.users.shed,
-            "bad_reports": self.bad_reports,
-            "stale_reports": self.stale_reports,
-            "bad_peer_messages": self.bad_peer_messages,
-            "bad_store_answers": controller.store.malformed,
-            "bad_cloud_answers": controller.cloud.malformed,
+            "parts_s": {part: round(seconds, 3) for part, seconds in sorted(self.seconds_by_part.items())},
+            "requests_shed": controller.users.requests_shed,
+            "bad_reports": self.malformed_heartbeats,
+            "stale_reports": self.stale_heartbeats,
+            "bad_peer_messages": self.malformed_peer_messages,
+            "bad_store_answers": controller.store.malformed_responses,
+            "bad_cloud_answers": controller.cloud.malformed_responses,
             "connections": len(controller.front.limiter.open),
             "connections_most": controller.front.limiter.most,
             "connections_closed": controller.front.limiter.last_answers,
             "connections_refused": controller.front.limiter.turned_away,
         }
-        if term is not None:
+        if scheduler is not None:
             machines: dict[str, int] = {}
-            for machine in term.cluster.machines.values():
+            for machine in scheduler.cluster.machines.values():
                 machines[machine.state.value] = machines.get(machine.state.value, 0) + 1
             classes: dict[str, dict[str, int]] = {}
-            for job in term.cluster.jobs.values():
+            for job in scheduler.cluster.jobs.values():
                 row = classes.setdefault(job.spec.job_class, {"jobs": 0, "queued": 0, "placed": 0})
                 row["jobs"] += 1
-                row["queued"] += job.queued
-                row["placed"] += len(job.places)
-            counters = term.counters
+                row["queued"] += job.tasks_queued
+                row["placed"] += len(job.placements)
+            counters = scheduler.counters
             out |= {
-                "data_version": 2 if term.layout.switched else 1,
-                "records_to_move": len(term.migration.unmoved),
-                "jobs_waiting_for_others": len(term.cluster.needs.unmet),
+                "data_version": 2 if scheduler.layout.version_2_active else 1,
+                "records_to_move": len(scheduler.migration.jobs_to_migrate),
+                "jobs_waiting_for_others": len(scheduler.cluster.dependencies.unmet_dependencies),
                 "machines": machines,
                 "classes": classes,
-                "waiting_submissions": term.admission.waiting_submissions,
-                "waiting_cancellations": term.admission.waiting_cancellations,
-                "open_rentals": len(term.rentals.open),
+                "waiting_submissions": scheduler.admission.waiting_submissions,
+                "waiting_cancellations": scheduler.admission.waiting_cancellations,
+                "open_rentals": len(scheduler.scale_out.open),
                 "batches": counters.batches,
                 "rounds": counters.rounds,
-                "rounds_cut": counters.rounds_cut,
+                "rounds_cut": counters.rounds_truncated,
                 "placed": counters.placed,
                 "preempted": counters.preempted,
-                "rented": counters.rented,
-                "returned": counters.returned,
-                "exits": counters.failures,
+                "rented": counters.machines_created,
+                "returned": counters.machines_deleted,
+                "exits": counters.exits,
             }
         return out
--- a/driftcleat/term/context.py
+++ b/driftcleat/scheduler/context.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from driftcleat.model import Cluster
+from driftcleat.cluster import ClusterState
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.records import Layout
+from driftcleat.store.records import RecordLayout
 
 INFINITE = float("inf")
 
@@ -17,22 +17,22 @@
 
     batches: int = 0
     rounds: int = 0
-    rounds_cut: int = 0
+    rounds_truncated: int = 0
     placed: int = 0
     preempted: int = 0
-    rented: int = 0
-    returned: int = 0
-    failures: dict[str, int] = field(default_factory=dict)
+    machines_created: int = 0
+    machines_deleted: int = 0
+    exits: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class TermContext:
+class SchedulerContext:
     """Settings, the cluster's state, the layout of its records, clocks and the source of random numbers."""
 
     platform: Platform
     tuning: Tuning
-    cluster: Cluster
-    layout: Layout
+    cluster: ClusterState
+    layout: RecordLayout
     rng: random.Random
     clock: Callable[[], float]
     wall: Callable[[], float]
--- a/driftcleat/term/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -3,21 +3,20 @@
 import logging
 from functools import partial
 
-from driftcleat.fleet.arrivals import Arrivals
-from driftcleat.fleet.silence import Silence
-from driftcleat.fleet.sizing import ALIKE_DIGITS, CandidatePool, Demand, Plan, plan_fleet
-from driftcleat.model import Job, JobState, Machine, MachineState
-from driftcleat.placement.candidates import SLACK, Candidate, capacity, fits, latency_sensitive
-from driftcleat.placement.engine import Limits
+from driftcleat.capacity.arrivals import ArrivalRates
+from driftcleat.capacity.failure_detector import FailureDetector
+from driftcleat.capacity.sizing import ALIKE_DIGITS, CandidatePool, CapacityPlan, Demand, plan_fleet
+from driftcleat.cluster import Job, JobState, Machine, MachineState
+from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate, capacity, fits, latency_sensitive
+from driftcleat.placement.placement_round import QuotaHeadroom
+from driftcleat.scheduler.context import INFINITE, SchedulerContext
+from driftcleat.scheduler.estimates import fetch_s
+from driftcleat.scheduler.queue import JobQueue
+from driftcleat.scheduler.reachability import Reachability
+from driftcleat.scheduler.scale_out import ScaleOut, ScaleOutRequest
 from driftcleat.settings import Platform
 from driftcleat.wire.cloud import MachineType
-from driftcleat.wire.users import Submission
-
-from .context import INFINITE, TermContext
-from .estimates import fetch_s
-from .queue import JobQueue
-from .reachability import Reachability
-from .rentals import OpenRental, Rentals
+from driftcleat.wire.users import JobSpec
 
 log = logging.getLogger(__name__)
 
@@ -34,30 +33,30 @@
 
     def __init__(
         self,
-        context: TermContext,
+        context: SchedulerContext,
         queue: JobQueue,
         reachability: Reachability,
-        rentals: Rentals,
-        arrivals: Arrivals,
+        scale_out: ScaleOut,
+        arrivals: ArrivalRates,
     ) -> None:
         self._platform, self._tuning, self._cluster = context.platform, context.tuning, context.cluster
         self._queue, self._reachability = queue, reachability
-        self._rentals, self._arrivals = rentals, arrivals
+        self._scale_out, self._arrivals = scale_out, arrivals
 
-    def plan(self, now: float, silence: Silence, most_rented: int) -> Plan:
+    def plan(self, now: float, failures: FailureDetector, most_rented: int) -> CapacityPlan:
         """Return what to rent for queued and expected work, and which machines that work would use."""
         demands = self.queued()
-        demands.extend(self._presumed_lost(silence, now))
+        demands.extend(self._presumed_lost(failures, now))
         demands.extend(self._expected(now))
         if log.isEnabledFor(logging.DEBUG):
             log.debug("demands %s", [(demand.spec.job_class, demand.tasks) for demand in demands])
-        zones = {zone for kind in self._cluster.types.values() for zone in kind.zones}
-        partitioned = {zone for zone in zones if silence.partitioned_now(zone)}
+        zones = {zone for machine_type in self._cluster.machine_types.values() for zone in machine_type.zones}
+        partitioned = {zone for zone in zones if failures.partitioned_now(zone)}
         return plan_fleet(
             demands,
             self.free(),
-            self._cluster.types,
-            lambda offer: self._rentals.is_refused(offer, now) or offer[1] in partitioned,
+            self._cluster.machine_types,
+            lambda offer: self._scale_out.is_refused(offer, now) or offer[1] in partitioned,
             most_rented,
             self._platform.away,
         )
@@ -65,17 +64,17 @@
     def queued(self) -> list[Demand]:
         """Return what waits in the queue and its team may still take."""
         queued = self._queue.queued()
-        limits: dict[str, Limits] = {}
+        quotas: dict[str, QuotaHeadroom] = {}
         demands: list[Demand] = []
         alike: dict[Shape, Demand] = {}
         for job in queued.jobs:
-            if self._cluster.failures.get(job.id, 0) >= MOST_FAILURES:
+            if self._cluster.failure_counts.get(job.id, 0) >= MOST_FAILURES:
                 continue
-            limit = limits.setdefault(job.spec.team, self._queue.limits(job.spec.team))
-            wanted = self._wanted(job, limit)
+            quota = quotas.setdefault(job.spec.team, self._queue.quota_headroom(job.spec.team))
+            wanted = self._wanted(job, quota)
             if wanted <= 0:
                 continue
-            limit.take(job.spec, wanted)
+            quota.consume(job.spec, wanted)
             if latency_sensitive(job.spec):
                 # Machines boot at their own pace: with none to spare, the last replicas wait for the slowest.
                 wanted += round(wanted * self._tuning.slack)
@@ -84,7 +83,7 @@
             if known is not None:
                 known.tasks += wanted
                 continue
-            demand = Demand(job.spec, wanted, job.zone_counts())
+            demand = Demand(job.spec, wanted, job.placements_by_zone())
             demands.append(demand)
             if shape is not None:
                 alike[shape] = demand
@@ -97,83 +96,83 @@
         The work of a round then grows with the kinds of jobs that wait, not with the jobs.
         """
         spec = job.spec
-        bound = spec.tasks > 1 and (spec.one_zone or spec.spread)
-        if bound or job.id in self._cluster.failures:
+        bound = spec.tasks > 1 and (spec.single_zone or spec.spread)
+        if bound or job.id in self._cluster.failure_counts:
             return None
         return (
             guaranteed,
-            job.level,
+            job.priority_level,
             spec.cpus,
             spec.gpus,
             spec.memory_gb,
-            spec.types,
+            spec.machine_types,
             spec.zone,
             spec.spot,
             latency_sensitive(spec),
         )
 
     @staticmethod
-    def _wanted(job: Job, limit: Limits) -> int:
+    def _wanted(job: Job, quota: QuotaHeadroom) -> int:
         """Return for how many of a job's tasks its team's limit leaves room."""
         if job.is_gang:
-            return job.queued if limit.fits(job.spec, job.queued) else 0
-        return capacity(job.spec, limit.cpus, limit.gpus, INFINITE, job.queued)
+            return job.tasks_queued if quota.fits(job.spec, job.tasks_queued) else 0
+        return capacity(job.spec, quota.cpus, quota.gpus, INFINITE, job.tasks_queued)
 
     def free(self) -> CandidatePool:
         """Return what is free on machines that are up or boot, and on those that were asked for."""
         pool = CandidatePool()
         for machine in self._cluster.machines.values():
-            kind = machine.type
-            if kind is None or machine.state not in (MachineState.UP, MachineState.BOOTING):
+            machine_type = machine.type
+            if machine_type is None or machine.state not in (MachineState.UP, MachineState.BOOTING):
                 continue
-            cpus, gpus = kind.cpus - machine.cpus, kind.gpus - machine.gpus
-            if gpus + cpus <= SLACK:
+            cpus, gpus = machine_type.cpus - machine.used_cpus, machine_type.gpus - machine.used_gpus
+            if gpus + cpus <= ROUNDING_TOLERANCE:
                 continue
             key = (
-                kind.name,
+                machine_type.name,
                 machine.zone,
                 machine.spot,
                 bool(machine.tasks),
                 round(cpus, ALIKE_DIGITS),
                 round(gpus, ALIKE_DIGITS),
-                round(kind.memory_gb - machine.memory_gb, ALIKE_DIGITS),
+                round(machine_type.memory_gb - machine.used_memory_gb, ALIKE_DIGITS),
                 machine.name if machine.failed_jobs else "",
             )
-            pool.add(key, machine.name, partial(_sizing_candidate, machine, kind, self._platform))
-        for rental in self._rentals.unsettled:
-            self._add_rental(pool, rental)
+            pool.add(key, machine.name, partial(_sizing_candidate, machine, machine_type, self._platform))
+        for request in self._scale_out.unsettled:
+            self._add_rental(pool, request)
         return pool
 
-    def _add_rental(self, pool: CandidatePool, rental: OpenRental) -> None:
+    def _add_rental(self, pool: CandidatePool, request: ScaleOutRequest) -> None:
         """Count in the machines of a rental request that is not answered."""
-        record = rental.record
-        kind = self._cluster.types.get(record.type)
-        if kind is None:
+        record = request.record
+        machine_type = self._cluster.machine_types.get(record.machine_type)
+        if machine_type is None:
             return
         key = (
-            kind.name,
+            machine_type.name,
             record.zone,
             record.spot,
             False,
-            round(kind.cpus, ALIKE_DIGITS),
-            round(kind.gpus, ALIKE_DIGITS),
-            round(kind.memory_gb, ALIKE_DIGITS),
+            round(machine_type.cpus, ALIKE_DIGITS),
+            round(machine_type.gpus, ALIKE_DIGITS),
+            round(machine_type.memory_gb, ALIKE_DIGITS),
             "",
         )
         asked = Candidate(
-            f"{rental.name}+0",
-            kind.name,
+            f"{request.name}+0",
+            machine_type.name,
             record.zone,
             record.spot,
-            kind.cpus,
-            kind.gpus,
-            kind.memory_gb,
-            away=self._platform.away(record.zone),
+            machine_type.cpus,
+            machine_type.gpus,
+            machine_type.memory_gb,
+            controllers_elsewhere=self._platform.away(record.zone),
         )
         for number in range(record.count):
-            pool.add(key, f"{rental.name}+{number}", lambda: asked)
+            pool.add(key, f"{request.name}+{number}", lambda: asked)
 
-    def _presumed_lost(self, silence: Silence, now: float) -> list[Demand]:
+    def _presumed_lost(self, failures: FailureDetector, now: float) -> list[Demand]:
         """Return the work of the two highest ranks on machines that fell silent with many others, whose leases must
         have ended: room for it boots while it is found out whether they are gone.
 
@@ -182,9 +181,9 @@
         tasks: dict[str, int] = {}
         for machine in self._cluster.machines.values():
             if (
-                silence.correlated(machine.zone)
-                and not silence.partitioned(machine.zone)
-                and self._reachability.runs(machine)
+                failures.correlated(machine.zone)
+                and not failures.partitioned(machine.zone)
+                and self._reachability.is_running(machine)
                 and self._reachability.silent_s(machine, now) > self._platform.lease_s
             ):
                 for job_id, _ in machine.tasks:
@@ -193,7 +192,7 @@
         return [
             Demand(job.spec, count, {})
             for job, count in jobs
-            if job is not None and job.state is JobState.ACTIVE and job.level <= URGENT_LEVEL
+            if job is not None and job.state is JobState.ACTIVE and job.priority_level <= URGENT_LEVEL
         ]
 
     def _expected(self, now: float) -> list[Demand]:
@@ -202,20 +201,20 @@
         out: list[Demand] = []
         for spec, rate, mean in self._arrivals.rates(now):
             kinds = [
-                kind
-                for kind in self._cluster.types.values()
-                if fits(spec, kind.cpus, kind.gpus, kind.memory_gb)
-                and (spec.types is None or kind.name in spec.types)
+                machine_type
+                for machine_type in self._cluster.machine_types.values()
+                if fits(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+                and (spec.machine_types is None or machine_type.name in spec.machine_types)
             ]
             if not kinds or self._can_wait(spec, kinds):
                 continue
-            jobs = rate * min(kind.boot_s for kind in kinds)
+            jobs = rate * min(machine_type.boot_s for machine_type in kinds)
             tasks = round(jobs * self._tuning.headroom * mean)
             if tasks > 0:
                 out.append(Demand(spec, tasks, {}))
         return out
 
-    def _can_wait(self, spec: Submission, kinds: list[MachineType]) -> bool:
+    def _can_wait(self, spec: JobSpec, kinds: list[MachineType]) -> bool:
         """Whether a job meets its class's aims although it has to wait for a machine to boot and fetch."""
         ready_s = self._platform.report_s + min(
             kind.boot_s * self._tuning.boots + fetch_s(spec, kind) for kind in kinds
@@ -228,25 +227,25 @@
         if spec.deadline_s is not None:
             aims.append((spec.deadline_s, "finished"))
         if not aims:
-            return spec.rank.level > 1
-        run_s = spec.estimate_s * self._tuning.doubt
+            return spec.priority.level > 1
+        run_s = spec.estimated_run_s * self._tuning.doubt
         return all(ready_s + (run_s if kind == "finished" else 0.0) <= within_s for within_s, kind in aims)
 
 
-def _sizing_candidate(machine: Machine, kind: MachineType, platform: Platform) -> Candidate:
+def _sizing_candidate(machine: Machine, machine_type: MachineType, platform: Platform) -> Candidate:
     """Return a machine without its images: sizing does not look at them."""
     return Candidate(
         machine.name,
-        kind.name,
+        machine_type.name,
         machine.zone,
         machine.spot,
-        kind.cpus - machine.cpus,
-        kind.gpus - machine.gpus,
-        kind.memory_gb - machine.memory_gb,
+        machine_type.cpus - machine.used_cpus,
+        machine_type.gpus - machine.used_gpus,
+        machine_type.memory_gb - machine.used_memory_gb,
         failed_jobs=machine.failed_jobs,
         busy=bool(machine.tasks),
-        price=kind.spot_price if machine.spot else kind.price,
-        whole=(kind.cpus, kind.gpus, kind.memory_gb),
-        fetch_gb_per_s=kind.fetch_gb_per_s,
-        away=platform.away(machine.zone),
+        price=machine_type.spot_price if machine.spot else machine_type.price,
+        total_resources=(machine_type.cpus, machine_type.gpus, machine_type.memory_gb),
+        fetch_gb_per_s=machine_type.fetch_gb_per_s,
+        controllers_elsewhere=platform.away(machine.zone),
     )
--- a/driftcleat/term/machine_candidates.py
+++ b/driftcleat/scheduler/machine_candidates.py
@@ -2,12 +2,11 @@
 
 from collections.abc import Mapping
 
-from driftcleat.model import Job, Machine, MachineState
-from driftcleat.placement.candidates import SLACK, Candidate
-from driftcleat.wire.workers import FETCHING
-
-from .context import TermContext
-from .reservations import Reservations
+from driftcleat.cluster import Job, Machine, MachineState
+from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate
+from driftcleat.scheduler.context import SchedulerContext
+from driftcleat.scheduler.reservations import Reservations
+from driftcleat.wire.workers import TaskPhase
 
 # Reports that a machine may miss until it is given no more tasks.
 FRESH_REPORTS = 2.0
@@ -18,7 +17,7 @@
 class MachineCandidates:
     """Makes candidates of machines."""
 
-    def __init__(self, context: TermContext, reservations: Reservations) -> None:
+    def __init__(self, context: SchedulerContext, reservations: Reservations) -> None:
         self._platform, self._cluster = context.platform, context.cluster
         self._reservations = reservations
         # By zone how many controllers are elsewhere: asked for each machine in each round.
@@ -33,23 +32,23 @@
         return (
             machine.state is MachineState.UP
             and machine.type is not None
-            and machine.trusted
-            and not machine.unacknowledged
-            and machine.full_until <= now
-            and machine.heard_at >= now - self._platform.report_s * FRESH_REPORTS
+            and machine.fence_acknowledged
+            and not machine.unacknowledged_responses
+            and machine.no_placement_until <= now
+            and machine.last_heartbeat_at >= now - self._platform.report_s * FRESH_REPORTS
         )
 
     def all(self, now: float, least: Amounts = (0.0, 0.0, 0.0)) -> list[Candidate]:
         """Return the machines that take tasks and have at least this much free."""
-        cpus, gpus, memory_gb = (need - SLACK for need in least)
+        cpus, gpus, memory_gb = (need - ROUNDING_TOLERANCE for need in least)
         out = []
         for machine in self._cluster.machines.values():
-            kind = machine.type
+            machine_type = machine.type
             if (
-                kind is not None
-                and kind.gpus - machine.gpus >= gpus
-                and kind.cpus - machine.cpus >= cpus
-                and kind.memory_gb - machine.memory_gb >= memory_gb
+                machine_type is not None
+                and machine_type.gpus - machine.used_gpus >= gpus
+                and machine_type.cpus - machine.used_cpus >= cpus
+                and machine_type.memory_gb - machine.used_memory_gb >= memory_gb
                 and self.takes_tasks(machine, now)
             ):
                 out.append(self.of(machine, now))
@@ -59,34 +58,34 @@
         """Return one machine as a candidate."""
         candidate = _candidate(machine, self._cluster.jobs)
         away = self._away.get(machine.zone)
-        candidate.away = self._platform.away(machine.zone) if away is None else away
+        candidate.controllers_elsewhere = self._platform.away(machine.zone) if away is None else away
         candidate.reserved_for = self._reservations.holder(machine.name, now)
         return candidate
 
 
 def _candidate(machine: Machine, jobs: Mapping[str, Job]) -> Candidate:
-    kind = machine.type
-    assert kind is not None
+    machine_type = machine.type
+    assert machine_type is not None
     fetching: set[str] = set()
     if machine.tasks:
         fetching = {
             jobs[job_id].spec.image
             for job_id, index in machine.tasks
-            if job_id in jobs and machine.phases.get((job_id, index), FETCHING) == FETCHING
+            if job_id in jobs and machine.task_phases.get((job_id, index), TaskPhase.FETCHING) == TaskPhase.FETCHING
         }
     return Candidate(
         machine.name,
-        kind.name,
+        machine_type.name,
         machine.zone,
         machine.spot,
-        kind.cpus - machine.cpus,
-        kind.gpus - machine.gpus,
-        kind.memory_gb - machine.memory_gb,
-        machine.images,
+        machine_type.cpus - machine.used_cpus,
+        machine_type.gpus - machine.used_gpus,
+        machine_type.memory_gb - machine.used_memory_gb,
+        machine.cached_images,
         fetching,
         machine.failed_jobs,
         bool(machine.tasks),
-        kind.spot_price if machine.spot else kind.price,
-        (kind.cpus, kind.gpus, kind.memory_gb),
-        kind.fetch_gb_per_s,
+        machine_type.spot_price if machine.spot else machine_type.price,
+        (machine_type.cpus, machine_type.gpus, machine_type.memory_gb),
+        machine_type.fetch_gb_per_s,
     )
--- a/driftcleat/term/pacing.py
+++ b/driftcleat/scheduler/pacing.py
@@ -11,8 +11,8 @@
     def __init__(self, platform: Platform, tuning: Tuning, place_from: float) -> None:
         self.platform, self.tuning = platform, tuning
         # Before this moment workers have not reported yet, and nothing is placed.
-        self.place_from = place_from
-        self.wanted = True
+        self.placement_starts_at = place_from
+        self.requested = True
         self._again_at = 0.0
         self._not_before = 0.0
         # What each round gives way by while reports are late; set by whoever measures it.
@@ -23,27 +23,27 @@
         """Return the seconds that one round may take."""
         return self.platform.report_s * self.tuning.budget
 
-    def note_change(self) -> None:
+    def record_change(self) -> None:
         """Something came or went: a round may find more than the last one did."""
-        self.wanted = True
+        self.requested = True
         self._again_at = 0.0
 
-    def want_another(self) -> None:
+    def request_round(self) -> None:
         """The round under way leaves something to the next one."""
-        self.wanted = True
+        self.requested = True
 
-    def want_at(self, moment: float) -> None:
+    def request_round_at(self, moment: float) -> None:
         """The next round is worth its while from a moment on, should nothing change before."""
-        self.wanted = True
+        self.requested = True
         self._again_at = moment
 
     def due(self, now: float) -> bool:
         """Tell whether a round is to be played now."""
-        return self.wanted and now >= max(self.place_from, self._again_at, self._not_before)
+        return self.requested and now >= max(self.placement_starts_at, self._again_at, self._not_before)
 
     def begin(self) -> None:
         """A round begins and looks at all that has changed."""
-        self.wanted = False
+        self.requested = False
 
     def end(self, began_at: float, now: float) -> None:
         """A round has ended: one that cost much is followed by a pause in which reports and users are served."""
--- a/driftcleat/term/placement.py
+++ b/driftcleat/scheduler/placement_pass.py
@@ -2,16 +2,15 @@
 
 import logging
 
-from driftcleat.model import Batch, Job, JobState, MachineState, Place, TaskState
+from driftcleat.cluster import Batch, Job, JobState, MachineState, TaskPlacement, TaskState
 from driftcleat.placement.candidates import Candidate, allowed, fits
-from driftcleat.placement.engine import MANY, PlacementRound
-
-from .context import INFINITE, TermContext
-from .machine_candidates import Amounts, MachineCandidates
-from .pacing import RoundPacing
-from .preemption import Preemption
-from .queue import JobQueue
-from .round_state import RoundState
+from driftcleat.placement.placement_round import UNBOUNDED, PlacementRound
+from driftcleat.scheduler.context import INFINITE, SchedulerContext
+from driftcleat.scheduler.machine_candidates import Amounts, MachineCandidates
+from driftcleat.scheduler.pacing import RoundPacing
+from driftcleat.scheduler.preemption import Preemption
+from driftcleat.scheduler.queue import JobQueue
+from driftcleat.scheduler.round_state import RoundState
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +28,7 @@
 
     def __init__(
         self,
-        context: TermContext,
+        context: SchedulerContext,
         queue: JobQueue,
         candidates: MachineCandidates,
         preemption: Preemption,
@@ -46,7 +45,7 @@
         # Type, zone and kind of the machines that boot and are not late.
         self._booting: set[tuple[str, str, bool]] = set()
 
-    def play(self, batch: Batch, now: float) -> None:
+    def run(self, batch: Batch, now: float) -> None:
         """Play one round; what it leaves is for the next one.
 
         The time budget counts from when the candidates are there, and at least one job is looked at. Guards against
@@ -61,7 +60,7 @@
             self._candidates.all(now, _least(waiting.jobs)),
             round(self._tuning.sample),
             self._rng,
-            lambda job_id, index: (job_id, index) in self._cluster.untracked,
+            lambda job_id, index: (job_id, index) in self._cluster.orphaned_tasks,
         )
         state = RoundState(work, waiting.order, now)
         queued = self._from_where_it_stopped(waiting.jobs)
@@ -75,7 +74,7 @@
                 retry_at = min(retry_at, wait)
                 continue
             if self._changes_already(batch, job):
-                self._pacing.want_another()
+                self._pacing.request_round()
                 continue
             if (one_looked_at and self._clock() >= deadline) or not batch.has_room(job):
                 self._cut(job, queued)
@@ -84,9 +83,9 @@
             self._place_one(batch, job, state)
         else:
             if retry_at < INFINITE:
-                self._pacing.want_at(retry_at)
+                self._pacing.request_round_at(retry_at)
             elif queued:
-                self._pacing.want_at(now + self._platform.report_s * IDLE_PAUSE)
+                self._pacing.request_round_at(now + self._platform.report_s * IDLE_PAUSE)
         self._pacing.end(now, self._clock())
 
     def _booting_kinds(self, now: float) -> set[tuple[str, str, bool]]:
@@ -95,7 +94,7 @@
             for machine in self._cluster.machines.values()
             if machine.state is MachineState.BOOTING
             and machine.type is not None
-            and now - machine.rented_at < machine.type.boot_s * self._tuning.late
+            and now - machine.created_at < machine.type.boot_s * self._tuning.late
         }
 
     def _from_where_it_stopped(self, queued: list[Job]) -> list[Job]:
@@ -109,42 +108,44 @@
     @staticmethod
     def _changes_already(batch: Batch, job: Job) -> bool:
         """Whether a job cannot be placed in this batch, since it changes in it, or waits for its records' move."""
-        current = batch.get(job.id)
+        current = batch.job(job.id)
         if current is None or current.state is not JobState.ACTIVE or job.id in batch.jobs:
             return True
-        return batch.awaits_migration(job)
+        return batch.must_migrate_first(job)
 
     def _cut(self, job: Job, queued: list[Job]) -> None:
         """The budget of this round is used up: the next one goes on behind the job before this."""
-        self._counters.rounds_cut += 1
+        self._counters.rounds_truncated += 1
         at = queued.index(job)
         self._resume_behind = queued[at - 1].id if at > 0 else None
-        self._pacing.note_change()
+        self._pacing.record_change()
 
     def _place_one(self, batch: Batch, job: Job, state: RoundState) -> None:
-        limit = state.limits.setdefault(job.spec.team, self._queue.limits(job.spec.team))
+        quota = state.limits.setdefault(job.spec.team, self._queue.quota_headroom(job.spec.team))
         most = self._batch_most(batch, job)
-        if job.is_gang and job.queued > most:
-            self._pacing.want_another()
+        if job.is_gang and job.tasks_queued > most:
+            self._pacing.request_round()
             return
-        if self._preemption.make_room_by_image(batch, job, state, limit):
+        if self._preemption.make_room_by_image(batch, job, state, quota):
             return
-        placed = state.work.place(job, limit, most, self._max_fetch_rank(job, state.now))
+        placed = state.work.place(job, quota, most, self._max_fetch_rank(job, state.now))
         if not placed:
-            if job.queued and limit.fits(job.spec, job.queued if job.is_gang else 1):
+            if job.tasks_queued and quota.fits(job.spec, job.tasks_queued if job.is_gang else 1):
                 self._preemption.preempt_for(batch, job, state)
             return
         if not job.is_gang:
             placed = self._within_records(batch, job, placed)
         if not placed:
-            self._pacing.want_another()
+            self._pacing.request_round()
             return
         self._move(batch, job, placed)
 
     def _move(self, batch: Batch, job: Job, placed: list[tuple[int, Candidate]]) -> None:
-        attempt = batch.launch(job.id)
+        attempt = batch.next_attempt(job.id)
         for index, candidate in placed:
-            batch.move(job.id, index, TaskState.PLACED, Place(candidate.name, candidate.zone, attempt))
+            batch.transition_task(
+                job.id, index, TaskState.PLACED, TaskPlacement(candidate.name, candidate.zone, attempt)
+            )
         self._counters.placed += len(placed)
         if log.isEnabledFor(logging.DEBUG):
             log.debug(
@@ -156,7 +157,7 @@
                 attempt,
                 ", ".join(f"{index} on {candidate.name}" for index, candidate in placed[:PLACES_LOGGED]),
             )
-        if job.is_gang or len(placed) == job.queued:
+        if job.is_gang or len(placed) == job.tasks_queued:
             self._preemption.release(job.id)
 
     def _within_records(
@@ -172,37 +173,37 @@
 
     def _batch_most(self, batch: Batch, job: Job) -> int:
         """Return how many tasks of a job this batch can still place."""
-        chunk = self._layout.chunk_tasks(job)
-        ops = batch.ops_left - 2
+        chunk = self._layout.tasks_per_record(job)
+        ops = batch.operations_left - 2
         if job.is_gang:
             chunks = -(-job.spec.tasks // chunk)
-            entries = min(job.queued, len(self._cluster.machines) + chunks)
-            return job.queued if batch.has_room(job, entries, chunks - 1) else 0
-        return max(1, min(chunk * max(1, ops), (batch.size_left - BYTES_KEPT) // BYTES_A_PLACE))
+            entries = min(job.tasks_queued, len(self._cluster.machines) + chunks)
+            return job.tasks_queued if batch.has_room(job, entries, chunks - 1) else 0
+        return max(1, min(chunk * max(1, ops), (batch.bytes_left - BYTES_KEPT) // BYTES_A_PLACE))
 
     def _max_fetch_rank(self, job: Job, now: float) -> int:
         """Return how far a place's fetches may be shared: see `PlacementRound.place`."""
         if self._preemption.waits_for_image(job, now):
             return 0
-        return 1 if self._better_waits(job) else MANY
+        return 1 if self._better_waits(job) else UNBOUNDED
 
     def _better_waits(self, job: Job) -> bool:
         """Whether a machine that boots is likely better than one that fetches another image: fetches share
         a machine's rate, so images that are mixed on one machine all come late."""
         for name, zone, spot in self._booting:
-            kind = self._cluster.types.get(name)
+            machine_type = self._cluster.machine_types.get(name)
             if (
-                kind is not None
+                machine_type is not None
                 and allowed(job.spec, name, zone, spot)
-                and fits(job.spec, kind.cpus, kind.gpus, kind.memory_gb)
+                and fits(job.spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
             ):
-                return self._waited_s(job) < kind.boot_s * self._tuning.patience
+                return self._waited_s(job) < machine_type.boot_s * self._tuning.patience
         return False
 
     def _waited_s(self, job: Job) -> float:
         """Return for how long a job could have run, as far as other jobs go."""
         ready_at = self._cluster.ready_at.get(job.id)
-        return self._wall() - job.submitted if ready_at is None else self._clock() - ready_at
+        return self._wall() - job.submitted_at if ready_at is None else self._clock() - ready_at
 
 
 def _least(jobs: list[Job]) -> Amounts:
--- a/driftcleat/term/preemption.py
+++ b/driftcleat/scheduler/preemption.py
@@ -4,20 +4,19 @@
 import random
 from dataclasses import replace
 
-from driftcleat.model import Batch, Job, Machine
+from driftcleat.cluster import Batch, Job, Machine
 from driftcleat.placement.candidates import allowed, fits, spread_limit
-from driftcleat.placement.engine import MANY, Limits, PreemptionPlan, plan_preemption
-from driftcleat.placement.victims import Victims
-from driftcleat.wire.users import Kind
-from driftcleat.wire.workers import FETCHING
-
-from .context import INFINITE, TermContext
-from .drains import Drains
-from .estimates import fetch_s, size
-from .machine_candidates import MachineCandidates
-from .pacing import RoundPacing
-from .reservations import Reservations
-from .round_state import RoundState
+from driftcleat.placement.placement_round import UNBOUNDED, PreemptionPlan, QuotaHeadroom, plan_preemption
+from driftcleat.placement.victims import PreemptibleTasks
+from driftcleat.scheduler.context import INFINITE, SchedulerContext
+from driftcleat.scheduler.drains import MachineDrainer
+from driftcleat.scheduler.estimates import fetch_s, size
+from driftcleat.scheduler.machine_candidates import MachineCandidates
+from driftcleat.scheduler.pacing import RoundPacing
+from driftcleat.scheduler.reservations import Reservations
+from driftcleat.scheduler.round_state import RoundState
+from driftcleat.wire.users import JobKind
+from driftcleat.wire.workers import TaskPhase
 
 log = logging.getLogger(__name__)
 
@@ -35,17 +34,17 @@
 
     def __init__(
         self,
-        context: TermContext,
+        context: SchedulerContext,
         candidates: MachineCandidates,
         reservations: Reservations,
-        drains: Drains,
+        drainer: MachineDrainer,
         pacing: RoundPacing,
     ) -> None:
         self._platform, self._tuning, self._cluster = context.platform, context.tuning, context.cluster
         self._rng: random.Random = context.rng
         self._counters = context.counters
         self._candidates, self.reservations = candidates, reservations
-        self._drains, self._pacing = drains, pacing
+        self._drainer, self._pacing = drainer, pacing
         # Until when a job waits for what it displaced, and those that wait where their image is cached.
         self._claims: dict[str, float] = {}
         self._image_claims: set[str] = set()
@@ -65,27 +64,27 @@
         self._image_claims.discard(job.id)
         return False
 
-    def make_room_by_image(self, batch: Batch, job: Job, state: RoundState, limit: Limits) -> bool:
+    def make_room_by_image(self, batch: Batch, job: Job, state: RoundState, quota: QuotaHeadroom) -> bool:
         """Stop lower work on machines that have the image, if that loses less than fetching it elsewhere."""
         spec, work = job.spec, state.work
-        if spec.kind is not Kind.SERVICE and spec.tasks > 1:
+        if spec.kind is not JobKind.SERVICE and spec.tasks > 1:
             return False
-        if not limit.fits(spec, 1) or self._claims.get(job.id, 0.0) > state.now:
+        if not quota.fits(spec, 1) or self._claims.get(job.id, 0.0) > state.now:
             return False
-        work.max_fetch_rank = MANY
-        best = work.find(spec, spec.zone, lambda candidate: True)
-        kind = self._cluster.types.get(best.type) if best is not None else None
-        if kind is None:
+        work.max_fetch_rank = UNBOUNDED
+        best = work.find_best(spec, spec.zone, lambda candidate: True)
+        machine_type = self._cluster.machine_types.get(best.machine_type) if best is not None else None
+        if machine_type is None:
             return False
         counts = self._counts_with_image(job, state)
-        if sum(counts.values()) >= spec.tasks - job.done:
+        if sum(counts.values()) >= spec.tasks - job.tasks_done:
             return False
-        if not any(spec.image in machine.fetched for machine in self._cluster.machines.values()):
+        if not any(spec.image in machine.fetched_images for machine in self._cluster.machines.values()):
             # Guards against a look at every task of thousands of machines for an image that none of them has.
             return False
-        fetch = fetch_s(spec, kind) * size(spec)
+        fetch = fetch_s(spec, machine_type) * size(spec)
         victims = self._victims(batch, state)
-        cached = [machine for machine in victims.machines(job) if spec.image in machine.fetched]
+        cached = [machine for machine in victims.machines(job) if spec.image in machine.fetched_images]
         if not self._displace(batch, job, state, cached, fetch * self._tuning.evict, counts):
             return False
         self._image_claims.add(job.id)
@@ -95,7 +94,7 @@
     def _counts_with_image(job: Job, state: RoundState) -> dict[str, int]:
         """Return by zone how many of a job's tasks have a place, or find one where its image is."""
         spec = job.spec
-        counts = job.zone_counts()
+        counts = job.placements_by_zone()
         for candidate in state.work.candidates:
             if candidate.fetch_rank(spec.image) == 0 and candidate.allows(spec):
                 held = counts.get(candidate.zone, 0)
@@ -107,22 +106,22 @@
         """Make room for a job that found none."""
         if self._claims.get(job.id, 0.0) > state.now:
             return
-        if job.id not in state.order.guaranteed and job.level > PREEMPTING_LEVEL:
+        if job.id not in state.order.guaranteed and job.priority_level > PREEMPTING_LEVEL:
             return
         if job.is_gang and job.spec.tasks > 1:
             self._displace_for_gang(batch, job, state)
             return
         machines = self._sampled(self._victims(batch, state).machines(job), job.spec.image)
-        self._displace(batch, job, state, machines, INFINITE, job.zone_counts())
+        self._displace(batch, job, state, machines, INFINITE, job.placements_by_zone())
 
-    def _victims(self, batch: Batch, state: RoundState) -> Victims:
+    def _victims(self, batch: Batch, state: RoundState) -> PreemptibleTasks:
         if state.victims is None:
             machines = (
                 machine
                 for machine in self._cluster.machines.values()
                 if machine.tasks and self._candidates.takes_tasks(machine, state.now)
             )
-            state.victims = Victims(machines, batch.get, state.order, self._loss)
+            state.victims = PreemptibleTasks(machines, batch.job, state.order, self._loss)
         return state.victims
 
     def _sampled(self, machines: list[Machine], image: str) -> list[Machine]:
@@ -131,7 +130,7 @@
         if len(machines) <= most:
             return machines
         mixed = self._rng.sample(machines, len(machines))
-        return sorted(mixed, key=lambda machine: image not in machine.fetched)[:most]
+        return sorted(mixed, key=lambda machine: image not in machine.fetched_images)[:most]
 
     def _plans(self, batch: Batch, job: Job, state: RoundState, machines: list[Machine]) -> list[PreemptionPlan]:
         """Return on which of these machines how much would have to be stopped for a task, cheapest first.
@@ -145,7 +144,7 @@
             candidate = state.candidate(self._candidates.of, machine)
             plan = plan_preemption(spec, candidate, victims.on(machine, job))
             if plan is not None and machine.type is not None:
-                fetch = 0.0 if spec.image in machine.fetched else fetch_s(spec, machine.type) * size(spec)
+                fetch = 0.0 if spec.image in machine.fetched_images else fetch_s(spec, machine.type) * size(spec)
                 plans.append(replace(plan, cost=plan.cost + fetch * self._tuning.evict))
         return sorted(plans, key=lambda plan: (plan.cost, plan.candidate.name))
 
@@ -162,8 +161,8 @@
 
         `counts` says how many of its tasks have a place, or will have, by zone.
         """
-        per_zone, lacking = spread_limit(job.spec), job.spec.tasks - job.done - sum(counts.values())
-        zone = next(iter(counts), None) if job.spec.one_zone else None
+        per_zone, lacking = spread_limit(job.spec), job.spec.tasks - job.tasks_done - sum(counts.values())
+        zone = next(iter(counts), None) if job.spec.single_zone else None
         stopped = False
         for plan in self._plans(batch, job, state, machines):
             if not plan.victims or plan.cost > most_cost:
@@ -175,7 +174,7 @@
                 break
             stopped = True
             counts[there] = counts.get(there, 0) + 1
-            zone = there if job.spec.one_zone else None
+            zone = there if job.spec.single_zone else None
             lacking -= 1
             if lacking <= 0:
                 break
@@ -204,7 +203,7 @@
         best: tuple[float, list[PreemptionPlan]] | None = None
         for machines in self._machines_by_zone(job, state.now).values():
             coming = [machine for machine in machines if self.reservations.is_for(machine.name, job.id)]
-            need = job.queued - len(coming)
+            need = job.tasks_queued - len(coming)
             plans = self._plans(batch, job, state, [machine for machine in machines if machine not in coming])
             if len(plans) < need:
                 continue
@@ -218,29 +217,31 @@
         spec = job.spec
         by_zone: dict[str, list[Machine]] = {}
         for machine in self._cluster.machines.values():
-            kind = machine.type
+            machine_type = machine.type
             if (
-                kind is not None
-                and fits(spec, kind.cpus, kind.gpus, kind.memory_gb)
-                and allowed(spec, kind.name, machine.zone, machine.spot)
+                machine_type is not None
+                and fits(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+                and allowed(spec, machine_type.name, machine.zone, machine.spot)
                 and self._candidates.takes_tasks(machine, now)
             ):
-                by_zone.setdefault(machine.zone if spec.one_zone else "", []).append(machine)
+                by_zone.setdefault(machine.zone if spec.single_zone else "", []).append(machine)
         return by_zone
 
     def _claim_until(self, now: float, plans: list[PreemptionPlan]) -> float:
         """Return until when what is stopped is reckoned to be gone and seen to be."""
-        save_s = max((victim.job.spec.save_s for plan in plans for victim in plan.victims), default=0.0)
+        save_s = max(
+            (victim.job.spec.checkpoint_duration_s for plan in plans for victim in plan.victims), default=0.0
+        )
         return now + self._platform.report_s * REPORTS_UNTIL_GONE + save_s
 
     def _carry_out(self, batch: Batch, job: Job, state: RoundState, plan: PreemptionPlan) -> bool:
         """Stop a plan's tasks and keep what they free for the job; False if the batch is too full."""
-        if len(plan.victims) * 2 > batch.ops_left:
-            self._pacing.want_another()
+        if len(plan.victims) * 2 > batch.operations_left:
+            self._pacing.request_round()
             return False
         for victim in plan.victims:
-            if not self._drains.stop_attempt(batch, batch.get(victim.job.id) or victim.job, victim.index):
-                self._pacing.want_another()
+            if not self._drainer.stop_attempt(batch, batch.job(victim.job.id) or victim.job, victim.index):
+                self._pacing.request_round()
                 return False
             self._counters.preempted += 1
         displaced = [victim.job.id for victim in plan.victims]
@@ -248,7 +249,7 @@
         until = self._claim_until(state.now, [plan])
         self._claims[job.id] = until
         self._reserve(plan, job, until)
-        self._victims(batch, state).take(self._cluster.machines[plan.candidate.name])
+        self._victims(batch, state).exclude(self._cluster.machines[plan.candidate.name])
         return True
 
     def _reserve(self, plan: PreemptionPlan, job: Job, until: float) -> None:
@@ -262,11 +263,13 @@
         """
         spec = job.spec
         weight = size(spec)
-        if spec.kind is Kind.SERVICE:
+        if spec.kind is JobKind.SERVICE:
             return weight * REPLICA_LOSS_S
         fetched_s = fetch_s(spec, machine.type) if machine.type is not None else spec.image_gb
         restart_s = self._platform.report_s * REPORTS_UNTIL_RESTART
-        if machine.phases.get(key, FETCHING) == FETCHING:
+        if machine.task_phases.get(key, TaskPhase.FETCHING) == TaskPhase.FETCHING:
             return weight * (restart_s + fetched_s)
         again_s = restart_s + fetched_s * self._tuning.refetch
-        return weight * (again_s + (spec.save_s if spec.checkpoint_s > 0 else spec.estimate_s))
+        return weight * (
+            again_s + (spec.checkpoint_duration_s if spec.checkpoint_interval_s > 0 else spec.estimated_run_s)
+        )
--- a/driftcleat/term/reachability.py
+++ b/driftcleat/scheduler/reachability.py
@@ -1,9 +1,8 @@
 """Which machines are heard, which are silent, and which hear nothing of us."""
 
-from driftcleat.fleet.silence import Silence
-from driftcleat.model import Machine, MachineState
-
-from .context import TermContext
+from driftcleat.capacity.failure_detector import FailureDetector
+from driftcleat.cluster import Machine, MachineState
+from driftcleat.scheduler.context import SchedulerContext
 
 # Reports without an acknowledgement until a machine counts as unresponsive, and the time that takes at the least.
 UNACKNOWLEDGED_MOST = 2
@@ -17,17 +16,17 @@
 class Reachability:
     """Judges machines by their reports, by what they acknowledge, and by the cloud's list."""
 
-    def __init__(self, context: TermContext) -> None:
+    def __init__(self, context: SchedulerContext) -> None:
         self._platform, self._tuning, self._cluster = context.platform, context.tuning, context.cluster
         # The machines that the cloud's newest list names; None before the first.
         self.listed: set[str] | None = None
         # Until when a zone counts as partitioned (under its name), or silent machines as correlated (under none).
         self._remembered: dict[str | None, float] = {}
 
-    def runs(self, machine: Machine) -> bool:
+    def is_running(self, machine: Machine) -> bool:
         """Whether a machine is up as far as its reports or the cloud's list have told."""
         return machine.state in (MachineState.UP, MachineState.DRAINING) or (
-            machine.state is MachineState.BOOTING and machine.running_since is not None
+            machine.state is MachineState.BOOTING and machine.listed_running_since is not None
         )
 
     def silent_s(self, machine: Machine, now: float) -> float:
@@ -36,41 +35,43 @@
         One that the list calls running and that this term has not heard yet does not boot: guards against a new
         leader that returned a whole zone, cut off just then, as machines that came up late.
         """
-        since = machine.heard_at if machine.report is not None else (machine.running_since or now)
+        since = (
+            machine.last_heartbeat_at if machine.last_heartbeat is not None else (machine.listed_running_since or now)
+        )
         return now - max(since, self._cluster.started_at)
 
-    def silence(self, now: float) -> Silence:
+    def detect_failures(self, now: float) -> FailureDetector:
         """Return which machines are silent, by zone, as it looks now."""
         lease_s, tuning = self._platform.lease_s, self._tuning
-        silence = Silence(lease_s * tuning.lost, lease_s * tuning.partitioned, tuning.correlated)
+        failures = FailureDetector(lease_s * tuning.lost, lease_s * tuning.partitioned, tuning.correlated)
         # Heard of since then, or the term is younger than that: not silent. By far the most are like that.
-        heard_since = now - silence.counted_s
+        heard_since = now - failures.counted_s
         silent: dict[str, int] = {}
         known: dict[str, int] = {}
         for machine in self._cluster.machines.values():
-            if not self.runs(machine):
+            if not self.is_running(machine):
                 continue
             known[machine.zone] = known.get(machine.zone, 0) + 1
-            heard = machine.report is not None and machine.heard_at >= heard_since
-            if not heard and self.silent_s(machine, now) > silence.counted_s:
+            heard = machine.last_heartbeat is not None and machine.last_heartbeat_at >= heard_since
+            if not heard and self.silent_s(machine, now) > failures.counted_s:
                 silent[machine.zone] = silent.get(machine.zone, 0) + 1
         for zone, count in known.items():
-            silence.count_all(zone, silent.get(zone, 0), count)
-        for places in self._cluster.waiting.values():
-            for place in places.values():
-                silence.count(place.zone, now - self._cluster.started_at)
+            failures.count_all(zone, silent.get(zone, 0), count)
+        for placements in self._cluster.unconfirmed_placements.values():
+            for placement in placements.values():
+                failures.count(placement.zone, now - self._cluster.started_at)
                 break
-        silence.remember(self._remembered, now)
-        return silence
+        failures.remember(self._remembered, now)
+        return failures
 
     def likely_unreachable(self, machine: Machine, now: float) -> bool:
         """Whether a command sent straight to a machine may well find nobody."""
-        return now - machine.heard_at > self._platform.report_s * 2 or machine.unacknowledged > 1
+        return now - machine.last_heartbeat_at > self._platform.report_s * 2 or machine.unacknowledged_responses > 1
 
     def is_unresponsive(self, machine: Machine, now: float) -> bool:
         """Whether a machine reports, yet has not acknowledged our answers for long."""
         return (
-            machine.unacknowledged > UNACKNOWLEDGED_MOST
+            machine.unacknowledged_responses > UNACKNOWLEDGED_MOST
             and now - machine.unacknowledged_since > self._platform.report_s * UNACKNOWLEDGED_REPORTS
         )
 
@@ -80,11 +81,11 @@
         silent_s = now - self._cluster.started_at
         if silent_s <= self._platform.lease_s * self._tuning.lost:
             return set()
-        silence = self.silence(now)
+        failures = self.detect_failures(now)
         return {
             name
-            for name, places in self._cluster.waiting.items()
-            if silent_s > max(silence.tolerated_s(place.zone) for place in places.values())
+            for name, placements in self._cluster.unconfirmed_placements.items()
+            if silent_s > max(failures.tolerated_s(placement.zone) for placement in placements.values())
             or (self.listed is not None and name not in self.listed and silent_s > self._list_covers_s)
         }
 
@@ -107,6 +108,6 @@
             for machine in self._cluster.machines.values()
             if machine.name not in listed
             and machine.state in (MachineState.UP, MachineState.DRAINING)
-            and now - machine.heard_at > self._platform.report_s * UNLISTED_REPORTS
-            and now - machine.rented_at > self._list_covers_s
+            and now - machine.last_heartbeat_at > self._platform.report_s * UNLISTED_REPORTS
+            and now - machine.created_at > self._list_covers_s
         ]
--- a/driftcleat/term/round_state.py
+++ b/driftcleat/scheduler/round_state.py
@@ -2,21 +2,21 @@
 
 from collections.abc import Callable
 
-from driftcleat.model import Machine
+from driftcleat.cluster import Machine
 from driftcleat.placement.candidates import Candidate
-from driftcleat.placement.engine import Limits, PlacementRound
-from driftcleat.placement.order import Order
-from driftcleat.placement.victims import Victims
+from driftcleat.placement.fair_share import FairShareOrder
+from driftcleat.placement.placement_round import PlacementRound, QuotaHeadroom
+from driftcleat.placement.victims import PreemptibleTasks
 
 
 class RoundState:
     """The candidates as this round leaves them, what teams may still take, and who could be stopped."""
 
-    def __init__(self, work: PlacementRound, order: Order, now: float) -> None:
+    def __init__(self, work: PlacementRound, order: FairShareOrder, now: float) -> None:
         self.work, self.order, self.now = work, order, now
-        self.limits: dict[str, Limits] = {}
+        self.limits: dict[str, QuotaHeadroom] = {}
         # Worked out when it is first needed.
-        self.victims: Victims | None = None
+        self.victims: PreemptibleTasks | None = None
         self._candidates = {candidate.name: candidate for candidate in work.candidates}
 
     def candidate(self, make: Callable[[Machine, float], Candidate], machine: Machine) -> Candidate:
--- a/driftcleat/settings/operator.py
+++ b/driftcleat/settings/operator.py
@@ -4,7 +4,7 @@
 from dataclasses import Field, dataclass, field, fields
 from typing import TYPE_CHECKING, Any
 
-from .platform import SettingsError
+from driftcleat.settings.platform import SettingsError
 
 if TYPE_CHECKING:
     import configparser
--- a/driftcleat/sharing/assignment.py
+++ b/driftcleat/sharing/assignment.py
@@ -10,8 +10,7 @@
 
 from driftcleat import wire
 from driftcleat.errors import DriftcleatError
-
-from .keys import FIRST_SHARE
+from driftcleat.sharing.keys import FIRST_SHARE
 
 # The form of the record that this program writes.
 FORMAT = 1
--- a/driftcleat/sharing/claims.py
+++ b/driftcleat/sharing/claims.py
@@ -4,12 +4,11 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.store.client import ConflictError, StoreClient, UnknownOutcomeError
-from driftcleat.store.records import ENDED, JOBS
+from driftcleat.sharing.keys import CLAIMS, FIRST_SHARE
+from driftcleat.store.client import CompareFailedError, OutcomeUnknownError, StoreClient
+from driftcleat.store.records import ENDED_JOBS_PREFIX, JOBS_PREFIX
 from driftcleat.wire import state as messages
 
-from .keys import CLAIMS, FIRST_SHARE
-
 # Homes that are kept in memory; a home never changes.
 KEPT_HOMES = 50_000
 
@@ -30,21 +29,21 @@
         known = self.known(job_id)
         if known is not None:
             return known
-        item = await self._store.get(CLAIMS + job_id, most_wait_s)
-        if item is not None:
-            return self._note(job_id, wire.decode(bytes(item.value), int))
-        for prefix in (JOBS, ENDED):
+        key_value = await self._store.get(CLAIMS + job_id, most_wait_s)
+        if key_value is not None:
+            return self._note(job_id, wire.decode(bytes(key_value.value), int))
+        for prefix in (JOBS_PREFIX, ENDED_JOBS_PREFIX):
             if await self._store.get(prefix + job_id, most_wait_s) is not None:
                 return self._note(job_id, FIRST_SHARE)
         return None
 
     async def claim(self, job_id: str, share: int) -> int:
         """Home a job on a share, unless it is homed already; return its home."""
-        conditions = [messages.Condition(prefix + job_id, 0) for prefix in (CLAIMS, JOBS, ENDED)]
+        conditions = [messages.Compare(prefix + job_id, 0) for prefix in (CLAIMS, JOBS_PREFIX, ENDED_JOBS_PREFIX)]
         changes: list[Any] = [messages.Put(CLAIMS + job_id, share)]
         try:
-            await self._store.txn(messages.Txn(conditions, changes))
-        except (ConflictError, UnknownOutcomeError):
+            await self._store.commit(messages.Transaction(conditions, changes))
+        except (CompareFailedError, OutcomeUnknownError):
             home = await self.home(job_id)
             if home is None:
                 raise
--- a/driftcleat/sharing/cloud.py
+++ b/driftcleat/sharing/cloud.py
@@ -8,15 +8,14 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from driftcleat.fleet.cloud import CloudClient, CloudError
+from driftcleat.cloud.client import CloudClient, CloudError
 from driftcleat.settings import Platform
-from driftcleat.store.client import ConflictError, StoreClient, StoreError, TokenBucket
+from driftcleat.sharing.keys import FIRST_SHARE, MACHINES
+from driftcleat.sharing.view import SharingView
+from driftcleat.store.client import CompareFailedError, StoreClient, StoreError, TokenBucket
 from driftcleat.wire import cloud as wire_cloud
 from driftcleat.wire import state as messages
 
-from .keys import FIRST_SHARE, MACHINES
-from .view import SharingView
-
 log = logging.getLogger(__name__)
 
 # A machine that nobody has is taken by the first share once it is this old, as a multiple of the list's lag: until
@@ -43,11 +42,11 @@
     async def _register(self, names: Sequence[str], share: int) -> list[str]:
         unknown = [name for name in names if self._view.share_of(name) is None]
         if unknown:
-            conditions = [messages.Condition(MACHINES + name, 0) for name in unknown]
+            conditions = [messages.Compare(MACHINES + name, 0) for name in unknown]
             changes: list[Any] = [messages.Put(MACHINES + name, share) for name in unknown]
             try:
-                await self._store.txn(messages.Txn(conditions, changes))
-            except ConflictError:
+                await self._store.commit(messages.Transaction(conditions, changes))
+            except CompareFailedError:
                 return await self._register_one_by_one(names, share)
             for name in unknown:
                 self._view.machines[name] = share
@@ -60,18 +59,18 @@
                 continue
             try:
                 changes: list[Any] = [messages.Put(MACHINES + name, share)]
-                await self._store.txn(messages.Txn([messages.Condition(MACHINES + name, 0)], changes))
+                await self._store.commit(messages.Transaction([messages.Compare(MACHINES + name, 0)], changes))
                 self._view.machines[name] = share
-            except ConflictError:
+            except CompareFailedError:
                 await self.look_up(name)
         return [name for name in names if self._view.share_of(name) == share]
 
     async def look_up(self, name: str) -> int | None:
         """Return a machine's share as the store has it just now."""
-        item = await self._store.get(MACHINES + name)
-        if item is None:
+        key_value = await self._store.get(MACHINES + name)
+        if key_value is None:
             return None
-        share = int(bytes(item.value))
+        share = int(bytes(key_value.value))
         self._view.machines[name] = share
         return share
 
@@ -80,8 +79,8 @@
         known = [name for name in names if name in self._view.machines]
         for begin in range(0, len(known), self._at_once):
             part = known[begin : begin + self._at_once]
-            changes: list[Any] = [messages.Remove(MACHINES + name) for name in part]
-            await self._store.txn(messages.Txn([], changes))
+            changes: list[Any] = [messages.Delete(MACHINES + name) for name in part]
+            await self._store.commit(messages.Transaction([], changes))
 
 
 class ShareCloud(CloudClient):
@@ -104,42 +103,44 @@
         self.requests = TokenBucket(platform.cloud_rps * 0.9, clock, burst_s=2.0)
 
     @property
-    def malformed(self) -> int:  # type: ignore[override]
+    def malformed_responses(self) -> int:  # type: ignore[override]
         """Return how many answers of the cloud were malformed."""
-        return self._inner.malformed
+        return self._inner.malformed_responses
 
-    async def types(self) -> tuple[wire_cloud.MachineType, ...]:
+    async def list_machine_types(self) -> tuple[wire_cloud.MachineType, ...]:
         """Return the types on offer."""
-        return await self._inner.types()
+        return await self._inner.list_machine_types()
 
-    async def rent(self, request: wire_cloud.RentRequest) -> tuple[str, ...]:
+    async def create_machines(self, request: wire_cloud.CreateMachinesRequest) -> tuple[str, ...]:
         """Rent machines and make them this share's; those that another share has are left to it.
 
         Until the store says whose they are the rental is not settled: it is repeated under its name.
         """
         # Tokens are unique over all shares, and so are the names that begin with them.
-        names = await self._inner.rent(request)
+        names = await self._inner.create_machines(request)
         try:
             return tuple(await self._registry.register(names, self._share))
         except StoreError as error:
             raise CloudError(f"rented machines could not be registered: {error}") from None
 
-    async def give_back(self, names: list[str]) -> None:
+    async def delete_machines(self, names: list[str]) -> None:
         """Return machines of this share; those of another are never named."""
-        await self._inner.give_back([name for name in names if self._view.share_of(name) in (self._share, None)])
+        await self._inner.delete_machines(
+            [name for name in names if self._view.share_of(name) in (self._share, None)]
+        )
         try:
             await self._registry.forget(names)
         except StoreError as error:
             log.debug("machines that are gone are still registered: %s", error)
 
-    async def machines(self) -> list[wire_cloud.Listed]:
+    async def list_machines(self) -> list[wire_cloud.ListedMachine]:
         """Return this share's machines in the list; the first share takes those that nobody has."""
-        listed = await self._inner.machines()
+        listed = await self._inner.list_machines()
         if self._share == FIRST_SHARE:
             await self._take_unowned(listed)
         return [machine for machine in listed if self._view.share_of(machine.name) == self._share]
 
-    async def _take_unowned(self, listed: list[wire_cloud.Listed]) -> None:
+    async def _take_unowned(self, listed: list[wire_cloud.ListedMachine]) -> None:
         unowned = [
             machine.name
             for machine in listed
--- a/driftcleat/sharing/coordinator.py
+++ b/driftcleat/sharing/coordinator.py
@@ -4,8 +4,7 @@
 from dataclasses import dataclass, field
 
 from driftcleat.settings import Team
-
-from .allotments import (
+from driftcleat.sharing.allotments import (
     PATIENCE,
     Allotment,
     Amount,
@@ -16,10 +15,18 @@
     raised,
     targets,
 )
-from .assignment import Assignment, AssignmentError, begin_move, drop_move, grow, initial_assignment, reassign
-from .messages import ShareStatus, Target
-from .planner import ShareLoad, propose
-from .settings import SharingSettings
+from driftcleat.sharing.assignment import (
+    Assignment,
+    AssignmentError,
+    begin_move,
+    drop_move,
+    grow,
+    initial_assignment,
+    reassign,
+)
+from driftcleat.sharing.messages import ShareStatus, Target
+from driftcleat.sharing.planner import ShareLoad, propose
+from driftcleat.sharing.settings import SharingSettings
 
 
 @dataclass(slots=True)
--- a/driftcleat/sharing/demand.py
+++ b/driftcleat/sharing/demand.py
@@ -2,40 +2,39 @@
 
 from collections.abc import Mapping
 
-from driftcleat.model import Job
+from driftcleat.cluster import Job
+from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Team
-from driftcleat.term import Term
+from driftcleat.sharing.allotments import Amount, is_divided
+from driftcleat.sharing.messages import TeamDemand
 
-from .allotments import Amount, is_divided
-from .messages import TeamDemand
 
-
-def demands_of(term: Term, teams: Mapping[str, Team], wall_s: float) -> tuple[TeamDemand, ...]:
+def demands_of(scheduler: Scheduler, teams: Mapping[str, Team], wall_s: float) -> tuple[TeamDemand, ...]:
     """Return the demand for each team with a limit that has any."""
     found = []
     for team in teams.values():
         if is_divided(team):
-            demand = _demand_of(term, team.name, wall_s)
+            demand = _demand_of(scheduler, team.name, wall_s)
             if demand is not None:
                 found.append(demand)
     return tuple(found)
 
 
-def _demand_of(term: Term, team: str, wall_s: float) -> TeamDemand | None:
-    usage = term.cluster.usage.get(team)
+def _demand_of(scheduler: Scheduler, team: str, wall_s: float) -> TeamDemand | None:
+    usage = scheduler.cluster.team_usage.get(team)
     used = Amount(usage.cpus, usage.gpus) if usage is not None else Amount()
-    waiting = [job for job in term.queue.queued().jobs if job.spec.team == team]
+    waiting = [job for job in scheduler.queue.queued().jobs if job.spec.team == team]
     wanted = used
     for job in waiting:
-        wanted = wanted + _amount(job, job.queued)
+        wanted = wanted + _amount(job, job.tasks_queued)
     if not waiting and not used.cpus and not used.gpus:
         return None
     first, waited_s = Amount(), 0.0
     if waiting:
-        oldest = min(waiting, key=lambda job: (job.submitted, job.id))
+        oldest = min(waiting, key=lambda job: (job.submitted_at, job.id))
         # An array or a service begins with one task; a gang with all.
-        first = _amount(oldest, oldest.queued if oldest.is_gang else 1)
-        waited_s = max(0.0, wall_s - oldest.submitted)
+        first = _amount(oldest, oldest.tasks_queued if oldest.is_gang else 1)
+        waited_s = max(0.0, wall_s - oldest.submitted_at)
     return TeamDemand(team, used, wanted, first, waited_s)
 
 
--- a/driftcleat/sharing/duties.py
+++ b/driftcleat/sharing/duties.py
@@ -4,18 +4,17 @@
 import logging
 from typing import TYPE_CHECKING
 
-from driftcleat.fleet.cloud import CloudError
+from driftcleat.cloud.client import CloudError
 from driftcleat.peers.client import PeerError
+from driftcleat.sharing.assignment import AssignmentError
+from driftcleat.sharing.coordinator import Coordinator
+from driftcleat.sharing.messages import MoveAnswer, MoveRequest, SharingMessage, Status, StatusAnswer, Target
+from driftcleat.sharing.sharing_client import SharingClient
 from driftcleat.store.client import StoreError
-from driftcleat.store.records import LEADER
-
-from .assignment import AssignmentError
-from .coordinator import Coordinator
-from .messages import MoveAnswer, MoveRequest, SharingMessage, Status, StatusAnswer, Target
-from .sharing_client import SharingClient
+from driftcleat.store.records import LEADER_KEY
 
 if TYPE_CHECKING:
-    from .host import SharingHost
+    from driftcleat.sharing.host import SharingHost
 
 log = logging.getLogger(__name__)
 
@@ -59,7 +58,7 @@
         found = [engine.status() for share, engine in sorted(host.engines.items()) if host.is_set_up(share)]
         message = Status(host.platform.label, tuple(status for status in found if status is not None))
         coordinator = host.coordinator
-        if host.holds:
+        if host.may_decide:
             answer: SharingMessage = self.take_status(message)
         elif coordinator is not None and coordinator != host.platform.label:
             try:
@@ -76,13 +75,13 @@
     def take_status(self, message: Status) -> StatusAnswer:
         """Take in how a controller's shares stand."""
         host = self._host
-        if not host.holds:
+        if not host.may_decide:
             return StatusAnswer(False)
         self._begin_if_new()
         return StatusAnswer(True, tuple(self.coordinator.note(message.sender, message.shares, host.clock())))
 
     def _begin_if_new(self) -> None:
-        token = self._host.election.token
+        token = self._host.election.fencing_token
         if token != self._token:
             self._token = token
             self.coordinator.begin(self._host.clock())
@@ -92,7 +91,7 @@
         host = self._host
         while True:
             await asyncio.sleep(host.platform.report_s * DECISION_PAUSE)
-            if not host.holds or not host.view.loaded or host.view.refusal is not None:
+            if not host.may_decide or not host.view.loaded or host.view.refusal is not None:
                 continue
             self._begin_if_new()
             try:
@@ -114,9 +113,9 @@
         for team in host.platform.teams.values():
             known = host.view.allotments.get(team.name)
             allotment = self.coordinator.next_allotment(team, known, assignment.shares, host.clock())
-            if allotment is not None and host.holds:
+            if allotment is not None and host.may_decide:
                 version = host.view.allotment_versions.get(team.name, 0)
-                await host.put_allotment(team.name, allotment, version, [(LEADER, host.election.token)])
+                await host.put_allotment(team.name, allotment, version, [(LEADER_KEY, host.election.fencing_token)])
                 host.note_allotments()
 
     async def _begin_sharing(self) -> None:
@@ -127,18 +126,18 @@
         host = self._host
         if not self.coordinator.may_begin(host.clock()):
             return
-        term = host.first_engine.current.to_decide
-        listed = await host.cloud.machines()
-        if term is None or host.first_engine.current.to_decide is not term:
+        scheduler = host.first_engine.active_term.deciding_scheduler
+        listed = await host.cloud.list_machines()
+        if scheduler is None or host.first_engine.active_term.deciding_scheduler is not scheduler:
             return
-        names = [machine.name for machine in listed] + list(term.cluster.machines)
+        names = [machine.name for machine in listed] + list(scheduler.cluster.machines)
         log.info("sharing begins with %d shares", host.settings.shares)
         await host.put_assignment(self.coordinator.first_assignment(max(names, default="")))
 
     async def move(self, message: MoveRequest) -> MoveAnswer:
         """Begin a move that an operator asks for."""
         host = self._host
-        if not host.holds:
+        if not host.may_decide:
             return MoveAnswer(False, "this controller is not the coordinator")
         async with self._deciding:
             try:
--- a/driftcleat/sharing/election.py
+++ b/driftcleat/sharing/election.py
@@ -14,14 +14,13 @@
 from typing import Any
 
 from driftcleat.leadership import Election, Role
-from driftcleat.store.records import LEADER
+from driftcleat.sharing.assignment import complete_move
+from driftcleat.sharing.keys import ASSIGNMENT, FIRST_SHARE
+from driftcleat.sharing.process_lease import ProcessLease
+from driftcleat.sharing.view import SharingView
+from driftcleat.store.records import LEADER_KEY
 from driftcleat.wire import state as messages
 
-from .assignment import complete_move
-from .keys import ASSIGNMENT, FIRST_SHARE
-from .process_lease import ProcessLease
-from .view import SharingView
-
 log = logging.getLogger(__name__)
 
 # How long a giver waits for its key to be replaced, and how often it looks, as parts of the leader's lease.
@@ -66,17 +65,17 @@
         finally:
             self._replaces = None
 
-    def _claim(self, lease: int) -> messages.Txn:
+    def _campaign_transaction(self, lease: int) -> messages.Transaction:
         """Return the transaction that makes this controller the share's leader, and completes a move to it."""
-        txn = super()._claim(lease)
+        transaction = super()._campaign_transaction(lease)
         if self._replaces is not None:
-            txn.conditions[0] = messages.Condition(LEADER, self._replaces)
+            transaction.compares[0] = messages.Compare(LEADER_KEY, self._replaces)
         assignment = self._view.assignment
         move = assignment.move_of(self._share) if assignment is not None else None
         if assignment is not None and move is not None and move.receiver == self.platform.label:
-            txn.conditions.append(messages.Condition(ASSIGNMENT, self._view.assignment_version))
-            txn.changes.append(messages.Put(ASSIGNMENT, complete_move(assignment, self._share)))
-        return txn
+            transaction.compares.append(messages.Compare(ASSIGNMENT, self._view.assignment_version))
+            transaction.operations.append(messages.Put(ASSIGNMENT, complete_move(assignment, self._share)))
+        return transaction
 
     # -- receiving ----------------------------------------------------------------------------------------
 
@@ -115,35 +114,35 @@
         Workers' leases are kept until the receiver leads, or until the bound of an unsure leader.
         """
         if self.handing_over:
-            return self.token
-        if not self.holds:
+            return self.fencing_token
+        if not self.may_decide:
             return None
         now = self.clock()
         self._handing_over_until = now + self.ttl_s * HANDOVER_LIMIT
-        self.lease.give_up(now)
+        self.lease.surrender(now)
         self._confirmed_at = float("-inf")
-        self.change(Role.UNSURE)
+        self.transition(Role.UNCONFIRMED_LEADER)
         self._wake.set()
-        return self.token
+        return self.fencing_token
 
-    async def _keep(self) -> None:
+    async def _hold_leadership(self) -> None:
         if self._handing_over_until is not None:
             await self._await_receiver(self._handing_over_until)
             return
         if not self.may_lead:
-            self.ask_resign("the share is assigned to another controller")
-        await super()._keep()
+            self.request_step_down("the share is assigned to another controller")
+        await super()._hold_leadership()
 
     async def _await_receiver(self, until: float) -> None:
         """Wait until the key is replaced; give the key up if nobody takes it, and campaign for it again."""
-        item = await self.store.get(LEADER)
-        if item is None or item.version != self.token:
-            self._step_down("handed over" if item is not None else "the lease has ended")
-        elif self.clock() > until or not self.answers_workers:
-            lease = item.lease
+        key_value = await self.store.get(LEADER_KEY)
+        if key_value is None or key_value.mod_revision != self.fencing_token:
+            self._step_down("handed over" if key_value is not None else "the lease has ended")
+        elif self.clock() > until or not self.may_answer_heartbeats:
+            lease = key_value.lease_id
             self._step_down("nobody took the share over")
             if lease is not None:
-                await self._drop_lease(lease)
+                await self._revoke_lease(lease)
         else:
             await asyncio.sleep(self.ttl_s * HANDOVER_LOOK)
 
@@ -153,9 +152,9 @@
 
     # -- the lease ----------------------------------------------------------------------------------------
 
-    async def _renew(self) -> None:
+    async def _keep_alive(self) -> None:
         """Renew the lease of the process; what counts is when that request was sent, by whichever share."""
-        lease = self.lease.lease
+        lease = self.lease.lease_id
         sent_at = await self._process_lease.renew(lease if lease is not None else -1)
         if not self.handing_over:
-            self.lease.renewed(sent_at)
+            self.lease.record_renewal(sent_at)
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -10,28 +10,27 @@
 from driftcleat import wire
 from driftcleat.api.server import Listener
 from driftcleat.api.users import FINAL
-from driftcleat.clients import store_limits
-from driftcleat.controller import Controller
+from driftcleat.cluster import JobState
+from driftcleat.controller.clients import store_limits
+from driftcleat.controller.controller import Controller
 from driftcleat.leadership import Election
-from driftcleat.model import JobState
 from driftcleat.net import HttpClient, SocketBudget
+from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
+from driftcleat.sharing.allotments import Amount, allotted, guarantee_share, is_divided
+from driftcleat.sharing.cloud import ShareCloud
+from driftcleat.sharing.demand import demands_of
+from driftcleat.sharing.election import ShareElection
+from driftcleat.sharing.keys import in_share
+from driftcleat.sharing.messages import ShareStatus
+from driftcleat.sharing.needs import ShareUserApi
+from driftcleat.sharing.share_states import state_elsewhere
+from driftcleat.sharing.share_store import ShareStore
 from driftcleat.store.client import StoreError
-from driftcleat.store.records import LEADER
-from driftcleat.term import Term
-
-from .allotments import Amount, allotted, guarantee_share, is_divided
-from .cloud import ShareCloud
-from .demand import demands_of
-from .election import ShareElection
-from .keys import in_share
-from .messages import ShareStatus
-from .needs import ShareUserApi
-from .share_states import state_elsewhere
-from .share_store import ShareStore
+from driftcleat.store.records import LEADER_KEY
 
 if TYPE_CHECKING:
-    from .host import SharingHost
+    from driftcleat.sharing.host import SharingHost
 
 log = logging.getLogger(__name__)
 
@@ -72,7 +71,7 @@
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
         """Use the host's listeners."""
         self.front = self.host.front
-        self.reports.crowded = lambda: self.host.front.limiter.crowded
+        self.heartbeats.is_crowded = lambda: self.host.front.limiter.crowded
         return []
 
     def make_election(self) -> Election:
@@ -86,8 +85,8 @@
             self.store,
             self.rng,
             self.clock,
-            self._rebuild,
-            self._resigned,
+            self._recover,
+            self._end_term,
             self._ask_peers,
             self.surveyor.ask_leader,
         )
@@ -108,16 +107,16 @@
 
     # -- terms --------------------------------------------------------------------------------------------
 
-    async def _rebuild(self, token: int) -> None:
+    async def _recover(self, token: int) -> None:
         """Begin a term with the parts of the limits as they stand now that nobody else can lower them."""
         await self.host.view.refresh()
         self._pins.clear()
         self.take_parts()
-        await super()._rebuild(token)
-        term = self.current.term
-        if term is not None:
+        await super()._recover(token)
+        scheduler = self.active_term.scheduler
+        if scheduler is not None:
             # An earlier leader may have told users of cancellations that it saw in other shares.
-            await self._note_ends_elsewhere(term)
+            await self._note_ends_elsewhere(scheduler)
 
     def take_parts(self) -> None:
         """Go by the parts of the limits as they are known now."""
@@ -148,9 +147,9 @@
         changed = allotted(team, part, guaranteed)
         if self.platform.teams[team_name] != changed:
             self.platform.teams[team_name] = changed
-            if self.term is not None:
-                self.term.queue.invalidate()
-                self.term.pacing.note_change()
+            if self.scheduler is not None:
+                self.scheduler.queue.invalidate()
+                self.scheduler.pacing.record_change()
 
     async def lower(self, team_name: str, target: Amount) -> None:
         """Lower this share's part of a team's limit as far as its tasks allow.
@@ -158,18 +157,18 @@
         Nothing beyond the target is placed from now on; the batch under way was built before and may still place
         more, so the lowered part is only committed once its outcome is known.
         """
-        view, term = self.host.view, self.current.to_decide
+        view, scheduler = self.host.view, self.active_term.deciding_scheduler
         allotment = view.allotments.get(team_name)
-        if term is None or allotment is None:
+        if scheduler is None or allotment is None:
             return
         version = view.allotment_versions[team_name]
         self._pins[team_name] = Pin(
             version, target.at_least(self.used(team_name)).at_most(allotment.part(self.share))
         )
         self._set_part(team_name, self.part(team_name))
-        while self.writer.busy:
+        while self.commit_pipeline.in_flight:
             await asyncio.sleep(self.platform.report_s / 100)
-        if self.current.to_decide is not term or view.allotment_versions[team_name] != version:
+        if self.active_term.deciding_scheduler is not scheduler or view.allotment_versions[team_name] != version:
             return
         part = target.at_least(self.used(team_name)).at_most(allotment.part(self.share))
         if part.covers(allotment.part(self.share)):
@@ -178,23 +177,25 @@
             return
         self._pins[team_name] = Pin(version, part)
         self._set_part(team_name, self.part(team_name))
-        conditions = [(in_share(self.share, LEADER), term.cluster.token)]
+        conditions = [(in_share(self.share, LEADER_KEY), scheduler.cluster.fencing_token)]
         await self.host.put_allotment(team_name, allotment.with_part(self.share, part), version, conditions)
         self.take_parts()
 
     def used(self, team_name: str) -> Amount:
         """Return what the committed tasks of a team take."""
-        usage = self.term.cluster.usage.get(team_name) if self.term is not None else None
+        usage = self.scheduler.cluster.team_usage.get(team_name) if self.scheduler is not None else None
         return Amount(usage.cpus, usage.gpus) if usage is not None else Amount()
 
     def status(self) -> ShareStatus | None:
         """Return how the share stands, if it is led here for certain."""
-        term = self.current.to_decide
-        if term is None:
+        scheduler = self.active_term.deciding_scheduler
+        if scheduler is None:
             return None
-        demands = demands_of(term, self._full_teams, self.wall())
-        queued = sum(job.queued for job in term.queue.queued().jobs)
-        return ShareStatus(self.share, term.cluster.token, len(term.cluster.machines), queued, demands)
+        demands = demands_of(scheduler, self._full_teams, self.wall())
+        queued = sum(job.tasks_queued for job in scheduler.queue.queued().jobs)
+        return ShareStatus(
+            self.share, scheduler.cluster.fencing_token, len(scheduler.cluster.machines), queued, demands
+        )
 
     # -- jobs of other shares that ours need --------------------------------------------------------------
 
@@ -202,20 +203,20 @@
         """Find out how jobs that are homed elsewhere, and that jobs of this share need, have ended."""
         while True:
             await asyncio.sleep(self.platform.report_s * NEEDS_PAUSE)
-            term = self.current.to_decide
-            if term is None:
+            scheduler = self.active_term.deciding_scheduler
+            if scheduler is None:
                 continue
             try:
-                await self._note_ends_elsewhere(term)
+                await self._note_ends_elsewhere(scheduler)
             except (StoreError, wire.WireError) as error:
                 log.debug("jobs of other shares: %s", error)
 
-    async def _note_ends_elsewhere(self, term: Term) -> None:
-        for need in sorted(_needs_elsewhere(term)):
+    async def _note_ends_elsewhere(self, scheduler: Scheduler) -> None:
+        for need in sorted(_needs_elsewhere(scheduler)):
             state = await self._end_of(need)
-            if state is not None and self.current.term is term:
-                term.note_end_elsewhere(need, state)
-                self.current.wake_writer()
+            if state is not None and self.active_term.scheduler is scheduler:
+                scheduler.record_external_end(need, state)
+                self.active_term.wake_committer()
 
     async def _end_of(self, job_id: str) -> JobState | None:
         """Return whether a job of another share is done or cancelled; None if neither."""
@@ -224,6 +225,10 @@
         return JobState(state) if state in FINAL else None
 
 
-def _needs_elsewhere(term: Term) -> set[str]:
-    needs = set().union(*term.cluster.needs.unmet.values()) if term.cluster.needs.unmet else set()
-    return needs - term.cluster.jobs.keys()
+def _needs_elsewhere(scheduler: Scheduler) -> set[str]:
+    needs = (
+        set().union(*scheduler.cluster.dependencies.unmet_dependencies.values())
+        if scheduler.cluster.dependencies.unmet_dependencies
+        else set()
+    )
+    return needs - scheduler.cluster.jobs.keys()
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -14,32 +14,31 @@
 from driftcleat import wire
 from driftcleat.api import Answer, Listener, serve
 from driftcleat.api.server import Reply
-from driftcleat.background import Background, run_for_ever
-from driftcleat.clients import connect
-from driftcleat.controller import FAILURE_PAUSE, MOST_PEER_BODY, REPORTS
+from driftcleat.controller.clients import connect
+from driftcleat.controller.controller import FAILURE_PAUSE, MOST_PEER_BODY, REPORTS
 from driftcleat.leadership import Election
 from driftcleat.net import HttpClient, SocketBudget
 from driftcleat.peers import PeerClient
 from driftcleat.peers.client import PATH
+from driftcleat.runtime.background import Background, run_for_ever
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.client import ConflictError, StoreError
-from driftcleat.store.records import LEADER
+from driftcleat.sharing.allotments import Allotment
+from driftcleat.sharing.assignment import Assignment
+from driftcleat.sharing.claims import Claims
+from driftcleat.sharing.cloud import MachineRegistry
+from driftcleat.sharing.duties import CoordinatorDuties
+from driftcleat.sharing.engine import ShareEngine
+from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE
+from driftcleat.sharing.operators import OperatorApi
+from driftcleat.sharing.process_lease import ProcessLease
+from driftcleat.sharing.routing import UserRouter
+from driftcleat.sharing.settings import SharingSettings
+from driftcleat.sharing.transfer import Transfers
+from driftcleat.sharing.view import SharingView
+from driftcleat.store.client import CompareFailedError, StoreError
+from driftcleat.store.records import LEADER_KEY
 from driftcleat.wire import state as messages
 
-from .allotments import Allotment
-from .assignment import Assignment
-from .claims import Claims
-from .cloud import MachineRegistry
-from .duties import CoordinatorDuties
-from .engine import ShareEngine
-from .keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE
-from .operators import OperatorApi
-from .process_lease import ProcessLease
-from .routing import UserRouter
-from .settings import SharingSettings
-from .transfer import Transfers
-from .view import SharingView
-
 log = logging.getLogger(__name__)
 
 # How often the replica of what shares have in common is asked for anew, of the worker lease.
@@ -166,7 +165,7 @@
     def note_allotments(self) -> None:
         """The parts of the limits may have changed: the shares that are led here go by them."""
         for engine in self.engines.values():
-            if engine.current.term is not None:
+            if engine.active_term.scheduler is not None:
                 engine.take_parts()
 
     # -- the coordinator ----------------------------------------------------------------------------------
@@ -182,9 +181,9 @@
         return self.first_engine.election
 
     @property
-    def holds(self) -> bool:
+    def may_decide(self) -> bool:
         """Whether this controller is the coordinator for certain."""
-        return FIRST_SHARE in self.engines and self.first_engine.holds
+        return FIRST_SHARE in self.engines and self.first_engine.may_decide
 
     @property
     def coordinator(self) -> str | None:
@@ -193,7 +192,7 @@
 
     def leads(self, share: int) -> bool:
         """Whether this controller leads a share for certain."""
-        return share in self.engines and self.engines[share].holds
+        return share in self.engines and self.engines[share].may_decide
 
     # -- commits of what shares have in common ------------------------------------------------------------
 
@@ -202,12 +201,12 @@
         view = self.view
         changes: list[Any] = [messages.Put(ASSIGNMENT, assignment)]
         conditions = [
-            messages.Condition(LEADER, self.election.token),
-            messages.Condition(ASSIGNMENT, view.assignment_version),
+            messages.Compare(LEADER_KEY, self.election.fencing_token),
+            messages.Compare(ASSIGNMENT, view.assignment_version),
         ]
         try:
-            version = await self.store.txn(messages.Txn(conditions, changes))
-        except ConflictError:
+            version = await self.store.commit(messages.Transaction(conditions, changes))
+        except CompareFailedError:
             await view.refresh()
             raise
         view.take_assignment(wire.encode(assignment), version)
@@ -218,10 +217,10 @@
     ) -> None:
         """Commit the parts of a team's limit if their version stands; `StoreError` if that failed, or may have."""
         key = ALLOTMENTS + team
-        checks = [messages.Condition(key, version), *(messages.Condition(*condition) for condition in conditions)]
+        checks = [messages.Compare(key, version), *(messages.Compare(*condition) for condition in conditions)]
         try:
-            revision = await self.store.txn(messages.Txn(checks, [messages.Put(key, allotment)]))
-        except ConflictError:
+            revision = await self.store.commit(messages.Transaction(checks, [messages.Put(key, allotment)]))
+        except CompareFailedError:
             await self.view.refresh()
             raise
         self.view.allotments[team] = allotment
@@ -246,7 +245,7 @@
         share = self.view.share_of(machine)
         if share is None:
             return self._report_of_unknown(machine, body)
-        return self.engines[share].reports.handle(body) if self.is_set_up(share) else self._starting()
+        return self.engines[share].heartbeats.handle(body) if self.is_set_up(share) else self._starting()
 
     async def _report_of_unknown(self, machine: str, body: bytes) -> Answer:
         """Our replica may be late: ask the store. A machine that nobody has registered yet comes back."""
@@ -257,7 +256,7 @@
             share = None
         if share is None or not self.is_set_up(share):
             return self._starting()
-        reply = self.engines[share].reports.handle(body)
+        reply = self.engines[share].heartbeats.handle(body)
         return reply if isinstance(reply, Answer) else await reply
 
     def _starting(self) -> Answer:
--- a/driftcleat/sharing/needs.py
+++ b/driftcleat/sharing/needs.py
@@ -7,14 +7,13 @@
 from driftcleat import wire
 from driftcleat.api import Answer, UserApi
 from driftcleat.api.users import FINAL
-from driftcleat.store.client import RefusedError, StoreError
-from driftcleat.term import Term
-from driftcleat.wire.users import Submission
-
-from .share_states import state_elsewhere
+from driftcleat.scheduler import Scheduler
+from driftcleat.sharing.share_states import state_elsewhere
+from driftcleat.store.client import StoreError, StoreUnavailableError
+from driftcleat.wire.users import JobSpec
 
 if TYPE_CHECKING:
-    from .host import SharingHost
+    from driftcleat.sharing.host import SharingHost
 
 
 class ShareUserApi(UserApi):
@@ -34,7 +33,7 @@
             plain.tuning,
             plain.store,
             plain.peers,
-            plain.current,
+            plain.active_term,
             plain.clock,
             plain.most_in_progress,
             plain.most_passed_on,
@@ -42,11 +41,11 @@
         made.share, made.host = share, host
         return made
 
-    async def _needed(self, term: Term, spec: Submission) -> dict[str, str] | Answer:
+    async def _needed(self, scheduler: Scheduler, spec: JobSpec) -> dict[str, str] | Answer:
         """Return the final states of the jobs that a submission needs; those homed elsewhere are asked there."""
         elsewhere: dict[str, str] = {}
         own: list[str] = []
-        for need in spec.needs or ():
+        for need in spec.dependencies or ():
             try:
                 home = await self.host.claims.home(need, self.most_wait_s)
                 if home is None or home == self.share:
@@ -59,21 +58,21 @@
                 return Answer.error(422, f"tows: {need} was never accepted", "tows")
             if state in FINAL:
                 elsewhere[need] = state
-        here = await super()._needed(term, _needing(spec, own))
+        here = await super()._needed(scheduler, _needing(spec, own))
         return here if isinstance(here, Answer) else here | elsewhere
 
-    async def _cancelled_by_need(self, spec: Submission) -> bool:
+    async def _cancelled_by_need(self, spec: JobSpec) -> bool:
         """As everywhere; what needs jobs of another share is only answered by the leader.
 
         Guards against an answer from the records that is ahead of the leader's, which finds out later how a job of
         another share stands.
         """
-        for need in spec.needs or ():
+        for need in spec.dependencies or ():
             home = await self.host.claims.home(need, self.most_wait_s)
             if home is not None and home != self.share:
-                raise RefusedError("it needs a job of another share")
+                raise StoreUnavailableError("it needs a job of another share")
         return await super()._cancelled_by_need(spec)
 
 
-def _needing(spec: Submission, needs: list[str]) -> Submission:
-    return msgspec.structs.replace(spec, needs=needs or None)
+def _needing(spec: JobSpec, needs: list[str]) -> JobSpec:
+    return msgspec.structs.replace(spec, dependencies=needs or None)
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -8,12 +8,11 @@
 from driftcleat import wire
 from driftcleat.api import Answer
 from driftcleat.peers.client import PeerError
-
-from .messages import LetGo, MoveAnswer, MoveRequest, SharingMessage, Status
-from .sharing_client import PATH, SharingClient
+from driftcleat.sharing.messages import LetGo, MoveAnswer, MoveRequest, SharingMessage, Status
+from driftcleat.sharing.sharing_client import PATH, SharingClient
 
 if TYPE_CHECKING:
-    from .host import SharingHost
+    from driftcleat.sharing.host import SharingHost
 
 log = logging.getLogger(__name__)
 
@@ -93,7 +92,7 @@
         host = self._host
         request = MoveRequest(order.share, order.receiver)
         coordinator = host.coordinator
-        if host.holds:
+        if host.may_decide:
             answer: SharingMessage = await host.duties.move(request)
         elif coordinator is None or coordinator == host.platform.label:
             return Answer.error(503, "there is no coordinator now", retry_after_s=1)
@@ -123,15 +122,15 @@
     def _row(self, share: int) -> ShareRow:
         host = self._host
         engine, assignment = host.engines[share], host.view.assignment
-        term = engine.current.term
+        scheduler = engine.active_term.scheduler
         move = assignment.move_of(share) if assignment is not None else None
         return ShareRow(
             share,
             assignment.owner(share) if assignment is not None else None,
             engine.leader,
-            engine.election.leader_token,
+            engine.election.leader_fencing_token,
             host.transfers.state(share).value,
-            len(term.cluster.machines) if term is not None else None,
+            len(scheduler.cluster.machines) if scheduler is not None else None,
             move.receiver if move is not None else None,
             host.duties.coordinator.refusals.get(share),
         )
--- a/driftcleat/sharing/planner.py
+++ b/driftcleat/sharing/planner.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from .keys import FIRST_SHARE
+from driftcleat.sharing.keys import FIRST_SHARE
 
 
 @dataclass(frozen=True, slots=True)
--- a/driftcleat/sharing/process_lease.py
+++ b/driftcleat/sharing/process_lease.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from driftcleat.store.client import NoLeaseError, StoreClient
+from driftcleat.store.client import LeaseNotFoundError, StoreClient
 
 log = logging.getLogger(__name__)
 
@@ -45,22 +45,22 @@
                     return self._last.lease
                 try:
                     return (await self._renew(self._last.lease)).lease
-                except NoLeaseError:
+                except LeaseNotFoundError:
                     log.info("the lease of this process has ended")
             sent_at = self._clock()
             self.requests += 1
-            self._last = Renewal(await self._store.grant(self._ttl_s), sent_at)
+            self._last = Renewal(await self._store.grant_lease(self._ttl_s), sent_at)
             return self._last.lease
 
     async def renew(self, lease: int) -> float:
         """Renew a lease, unless that was done lately; return when the request was sent that counts.
 
-        `NoLeaseError` if the lease has ended: what hung on it is gone, whatever the process holds now.
+        `LeaseNotFoundError` if the lease has ended: what hung on it is gone, whatever the process holds now.
         """
         async with self._lock:
             last = self._last
             if last is None or last.lease != lease:
-                raise NoLeaseError(f"lease {lease} has ended")
+                raise LeaseNotFoundError(f"lease {lease} has ended")
             if self._clock() - last.sent_at < self._pause_s * FRESH:
                 return last.sent_at
             return (await self._renew(lease)).sent_at
@@ -69,8 +69,8 @@
         sent_at = self._clock()
         self.requests += 1
         try:
-            await self._store.renew(lease, self._ttl_s * 0.5)
-        except NoLeaseError:
+            await self._store.keep_lease_alive(lease, self._ttl_s * 0.5)
+        except LeaseNotFoundError:
             self._last = None
             raise
         self._last = Renewal(lease, sent_at)
--- a/driftcleat/sharing/routing.py
+++ b/driftcleat/sharing/routing.py
@@ -6,13 +6,12 @@
 
 from driftcleat import wire
 from driftcleat.api import Answer
+from driftcleat.sharing.keys import FIRST_SHARE
 from driftcleat.store.client import StoreError
-from driftcleat.wire.users import BadFieldError, Submission, is_job_id, parse_id, parse_object, parse_submission
-
-from .keys import FIRST_SHARE
+from driftcleat.wire.users import InvalidFieldError, JobSpec, is_job_id, parse_job_id, parse_object, parse_submission
 
 if TYPE_CHECKING:
-    from .host import SharingHost
+    from driftcleat.sharing.host import SharingHost
 
 JOBS_PATH = "/v1/jobs"
 
@@ -59,26 +58,26 @@
         host = self._host
         try:
             raw = parse_object(body)
-            job_id = parse_id(raw)
-        except BadFieldError as error:
+            job_id = parse_job_id(raw)
+        except InvalidFieldError as error:
             return Answer.error(400, str(error), error.field)
         known = host.claims.known(job_id)
         if known is not None:
             return known
         try:
             spec = parse_submission(raw)
-        except BadFieldError as error:
+        except InvalidFieldError as error:
             # A job accepted before is known whatever its repeat looks like.
             home = await host.claims.home(job_id, host.first_engine.users.most_wait_s)
             return home if home is not None else Answer.error(400, str(error), error.field)
         # Most submissions are new: the claim is tried without a look for an older one, which would cost three reads.
         return await host.claims.claim(job_id, await self._choose(spec))
 
-    async def _choose(self, spec: Submission) -> int:
+    async def _choose(self, spec: JobSpec) -> int:
         """Return the share for a new job: that of most jobs which it needs, else any share that has a leader."""
         host = self._host
         homes: Counter[int] = Counter()
-        for need in spec.needs or ():
+        for need in spec.dependencies or ():
             home = await host.claims.home(need, host.first_engine.users.most_wait_s)
             if home is not None:
                 homes[home] += 1
--- a/driftcleat/sharing/share_states.py
+++ b/driftcleat/sharing/share_states.py
@@ -1,11 +1,10 @@
 """How a job of another share stands, read from that share's records."""
 
 from driftcleat import wire
-from driftcleat.model import JobState
+from driftcleat.cluster import JobState
+from driftcleat.sharing.keys import in_share
 from driftcleat.store.client import StoreClient
-from driftcleat.store.records import ENDED, JOBS, EndedRecord, load_head
-
-from .keys import in_share
+from driftcleat.store.records import ENDED_JOBS_PREFIX, JOBS_PREFIX, EndedJobRecord, decode_head
 
 
 async def state_elsewhere(store: StoreClient, home: int, job_id: str, most_wait_s: float | None = None) -> str | None:
@@ -13,9 +12,9 @@
 
     The head is read first, so that a job that ends in between is still found.
     """
-    head = await store.get(in_share(home, JOBS + job_id), most_wait_s)
+    head = await store.get(in_share(home, JOBS_PREFIX + job_id), most_wait_s)
     if head is not None:
-        cancelled = load_head(head).state is JobState.CANCELLED
+        cancelled = decode_head(head).state is JobState.CANCELLED
         return (JobState.CANCELLED if cancelled else JobState.ACTIVE).value
-    ended = await store.get(in_share(home, ENDED + job_id), most_wait_s)
-    return wire.decode(bytes(ended.value), EndedRecord).state if ended is not None else None
+    ended = await store.get(in_share(home, ENDED_JOBS_PREFIX + job_id), most_wait_s)
+    return wire.decode(bytes(ended.value), EndedJobRecord).state if ended is not None else None
