--- a/driftcleat/sharing/share_store.py
+++ b/driftcleat/sharing/share_store.py
@@ -7,13 +7,12 @@
 import msgspec
 
 from driftcleat import wire
+from driftcleat.sharing.keys import in_share, without_share
+from driftcleat.sharing.process_lease import ProcessLease
 from driftcleat.store.client import StoreClient, StoreLimits, TokenBucket
-from driftcleat.store.records import LEADER
+from driftcleat.store.records import LEADER_KEY
 from driftcleat.wire import state as messages
 
-from .keys import in_share, without_share
-from .process_lease import ProcessLease
-
 log = logging.getLogger(__name__)
 
 
@@ -45,53 +44,55 @@
     def __init__(self, inner: StoreClient, share: int, lease: ProcessLease, limits: StoreLimits) -> None:
         self._inner, self._share, self._lease = inner, share, lease
         self.limits, self.clock = limits, inner.clock
-        self.writes = TokenBucket(limits.write_rps * 0.9, inner.clock)
+        self.write_bucket = TokenBucket(limits.write_rps * 0.9, inner.clock)
 
     # -- what the process's client has noted ---------------------------------------------------------------
 
     @property
-    def served_at(self) -> float | None:  # type: ignore[override]
+    def last_success_at(self) -> float | None:  # type: ignore[override]
         """Return when the store last served this process."""
-        return self._inner.served_at
+        return self._inner.last_success_at
 
     @property
-    def refused_at(self) -> float | None:  # type: ignore[override]
+    def last_failure_at(self) -> float | None:  # type: ignore[override]
         """Return when the store last refused this process."""
-        return self._inner.refused_at
+        return self._inner.last_failure_at
 
     @property
-    def malformed(self) -> int:  # type: ignore[override]
+    def malformed_responses(self) -> int:  # type: ignore[override]
         """Return how many answers of the store were malformed."""
-        return self._inner.malformed
+        return self._inner.malformed_responses
 
     # -- reading ------------------------------------------------------------------------------------------
 
-    async def get(self, key: str, most_wait_s: float | None = None) -> messages.Item | None:
+    async def get(self, key: str, most_wait_s: float | None = None) -> messages.KeyValue | None:
         """Return a key of this share."""
-        item = await self._inner.get(in_share(self._share, key), most_wait_s)
-        return self._own(item) if item is not None else None
+        key_value = await self._inner.get(in_share(self._share, key), most_wait_s)
+        return self._own(key_value) if key_value is not None else None
 
-    async def page(self, prefix: str, after: str | None, limit: int, timeout_s: float | None = None) -> messages.Page:
+    async def list_page(
+        self, prefix: str, after: str | None, limit: int, timeout_s: float | None = None
+    ) -> messages.KeyValuePage:
         """Return a page of the share's keys under a prefix."""
         begin = in_share(self._share, after) if after is not None else None
-        page = await self._inner.page(in_share(self._share, prefix), begin, limit, timeout_s)
-        return msgspec.structs.replace(page, items=tuple(map(self._own, page.items)))
+        page = await self._inner.list_page(in_share(self._share, prefix), begin, limit, timeout_s)
+        return msgspec.structs.replace(page, key_values=tuple(map(self._own, page.key_values)))
 
-    async def watch(self, prefix: str, revision: int, wait_s: float) -> messages.WatchAnswer | None:
+    async def watch(self, prefix: str, revision: int, wait_s: float) -> messages.WatchResponse | None:
         """Wait for a change under a prefix of the share; the keys in the answer are those of the store."""
         return await self._inner.watch(in_share(self._share, prefix), revision, wait_s)
 
-    def _own(self, item: messages.Item) -> messages.Item:
-        return msgspec.structs.replace(item, key=without_share(self._share, item.key))
+    def _own(self, key_value: messages.KeyValue) -> messages.KeyValue:
+        return msgspec.structs.replace(key_value, key=without_share(self._share, key_value.key))
 
     # -- writing ------------------------------------------------------------------------------------------
 
-    async def txn_raw(self, body: bytes, changes: int) -> int:
+    async def commit_encoded(self, body: bytes, changes: int) -> int:
         """Carry out an encoded transaction on the share's keys."""
-        while (delay := self.writes.delay(changes)) > 0:
+        while (delay := self.write_bucket.delay_s(changes)) > 0:
             await asyncio.sleep(delay)
-        self.writes.take(changes)
-        return await self._inner.txn_raw(self._rekeyed(body), changes)
+        self.write_bucket.consume(changes)
+        return await self._inner.commit_encoded(self._rekeyed(body), changes)
 
     def _rekeyed(self, body: bytes) -> bytes:
         txn = wire.decode(body, _RawTxn)
@@ -106,20 +107,20 @@
 
     # -- the lease ----------------------------------------------------------------------------------------
 
-    async def grant(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """Return the process's lease with its full time."""
         return await self._lease.hold()
 
-    async def renew(self, lease: int, timeout_s: float) -> None:
+    async def keep_lease_alive(self, lease: int, timeout_s: float) -> None:
         """Renew the process's lease."""
         await self._lease.renew(lease)
 
-    async def end(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """Take this share's leader key off the process's lease; a lease of an earlier life is ended as a whole."""
         if lease != self._lease.lease:
-            await self._inner.end(lease)
+            await self._inner.revoke_lease(lease)
             return
-        item = await self.get(LEADER)
-        if item is not None and item.lease == lease:
-            changes: list[Any] = [messages.Remove(LEADER)]
-            await self.txn(messages.Txn([messages.Condition(LEADER, item.version)], changes))
+        key_value = await self.get(LEADER_KEY)
+        if key_value is not None and key_value.lease_id == lease:
+            changes: list[Any] = [messages.Delete(LEADER_KEY)]
+            await self.commit(messages.Transaction([messages.Compare(LEADER_KEY, key_value.mod_revision)], changes))
--- a/driftcleat/sharing/sharing_client.py
+++ b/driftcleat/sharing/sharing_client.py
@@ -5,11 +5,10 @@
 from driftcleat import wire
 from driftcleat.net import HttpError
 from driftcleat.peers.client import PeerError
-
-from .messages import SharingMessage
+from driftcleat.sharing.messages import SharingMessage
 
 if TYPE_CHECKING:
-    from .host import SharingHost
+    from driftcleat.sharing.host import SharingHost
 
 PATH = "/sharing"
 
--- a/driftcleat/sharing/transfer.py
+++ b/driftcleat/sharing/transfer.py
@@ -7,14 +7,13 @@
 
 from driftcleat.leadership import Role
 from driftcleat.peers.client import PeerError
+from driftcleat.sharing.assignment import Move
+from driftcleat.sharing.messages import LetGo, LetGoAnswer, SharingMessage
+from driftcleat.sharing.sharing_client import SharingClient
 from driftcleat.store.client import StoreError
 
-from .assignment import Move
-from .messages import LetGo, LetGoAnswer, SharingMessage
-from .sharing_client import SharingClient
-
 if TYPE_CHECKING:
-    from .host import SharingHost
+    from driftcleat.sharing.host import SharingHost
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +60,7 @@
             return TransferState.ELSEWHERE
         if engine.share_election.handing_over:
             return TransferState.HANDING_OVER
-        if engine.election.role is Role.REBUILDING:
+        if engine.election.role is Role.RECOVERING:
             return TransferState.TAKING_OVER
         if engine.election.is_leader:
             return TransferState.OWNED
--- a/driftcleat/sharing/view.py
+++ b/driftcleat/sharing/view.py
@@ -12,12 +12,11 @@
 import msgspec
 
 from driftcleat import wire
+from driftcleat.sharing.allotments import Allotment
+from driftcleat.sharing.assignment import Assignment, AssignmentError, read_assignment
+from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE, MACHINES, SHARING
 from driftcleat.store.client import StoreClient, StoreError
 
-from .allotments import Allotment
-from .assignment import Assignment, AssignmentError, read_assignment
-from .keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE, MACHINES, SHARING
-
 log = logging.getLogger(__name__)
 
 PAGE = 500
@@ -76,14 +75,14 @@
         seen: set[str] = set()
         after: str | None = None
         while True:
-            page = await self._store.page(SHARING, after, PAGE)
+            page = await self._store.list_page(SHARING, after, PAGE)
             before = page.revision if before is None else before
-            for item in page.items:
-                seen.add(item.key)
-                self._take(item.key, bytes(item.value), item.version)
-            if not page.more or not page.items:
+            for key_value in page.key_values:
+                seen.add(key_value.key)
+                self._take(key_value.key, bytes(key_value.value), key_value.mod_revision)
+            if not page.more or not page.key_values:
                 break
-            after = page.items[-1].key
+            after = page.key_values[-1].key
         for name in [name for name in self.machines if MACHINES + name not in seen]:
             del self.machines[name]
         self._revision = before
@@ -133,5 +132,5 @@
     async def refresh(self) -> None:
         """Read assignment and allotments once more: for who must not act on what was true a moment ago."""
         for prefix in (ASSIGNMENT, ALLOTMENTS):
-            for item in (await self._store.page(prefix, None, PAGE)).items:
-                self._take(item.key, bytes(item.value), item.version)
+            for key_value in (await self._store.list_page(prefix, None, PAGE)).key_values:
+                self._take(key_value.key, bytes(key_value.value), key_value.mod_revision)
--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -21,31 +21,31 @@
     """A request that the store did not answer as asked."""
 
 
-class RefusedError(StoreError):
+class StoreUnavailableError(StoreError):
     """The request was certainly not carried out (503, 429 or no connection)."""
 
 
-class UnknownOutcomeError(StoreError):
+class OutcomeUnknownError(StoreError):
     """Nobody can say yet whether the request was carried out."""
 
 
-class MalformedError(StoreError):
+class MalformedResponseError(StoreError):
     """The store calls the request wrong (400), or its answer is not one."""
 
 
-class RejectedError(MalformedError):
+class RequestRejectedError(MalformedResponseError):
     """The store calls the request wrong and has not carried it out."""
 
 
-class ConflictError(StoreError):
+class CompareFailedError(StoreError):
     """A transaction whose conditions did not hold."""
 
     def __init__(self, failed: tuple[str, ...]) -> None:
         super().__init__(f"conditions failed: {', '.join(failed)}")
-        self.failed = failed
+        self.failed_keys = failed
 
 
-class NoLeaseError(StoreError):
+class LeaseNotFoundError(StoreError):
     """The lease has ended."""
 
 
@@ -53,28 +53,28 @@
     """Permits `rate` units a second with bursts worth `burst_s`."""
 
     def __init__(self, rate: float, clock: Callable[[], float], burst_s: float = 1.0) -> None:
-        self.rate, self.clock, self.most = rate, clock, rate * burst_s
-        self.level, self.at = self.most, clock()
+        self.rate, self.clock, self.capacity = rate, clock, rate * burst_s
+        self.tokens, self.refilled_at = self.capacity, clock()
 
     def _fill(self) -> None:
         now = self.clock()
-        self.level = min(self.most, self.level + (now - self.at) * self.rate)
-        self.at = now
+        self.tokens = min(self.capacity, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
 
-    def delay(self, units: float) -> float:
+    def delay_s(self, units: float) -> float:
         """Return how long to wait until `units` are there (a request above the burst waits for a full one)."""
         self._fill()
-        return max(0.0, (min(units, self.most) - self.level) / self.rate)
+        return max(0.0, (min(units, self.capacity) - self.tokens) / self.rate)
 
     def available(self) -> float:
         """Return the units that are there."""
         self._fill()
-        return self.level
+        return self.tokens
 
-    def take(self, units: float) -> None:
+    def consume(self, units: float) -> None:
         """Use up `units`; the level may go below zero."""
         self._fill()
-        self.level -= units
+        self.tokens -= units
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,11 +102,11 @@
     ) -> None:
         self.client, self.lease_client = client, lease_client
         self.address, self.limits, self.clock = address, limits, clock
-        self.requests = TokenBucket(limits.rps * 0.9, clock)
-        self.writes = TokenBucket(limits.write_rps * 0.9, clock)
-        self.served_at: float | None = None
-        self.refused_at: float | None = None
-        self.malformed = 0
+        self.request_bucket = TokenBucket(limits.rps * 0.9, clock)
+        self.write_bucket = TokenBucket(limits.write_rps * 0.9, clock)
+        self.last_success_at: float | None = None
+        self.last_failure_at: float | None = None
+        self.malformed_responses = 0
 
     async def _call(
         self,
@@ -120,32 +120,32 @@
         watching: bool = False,
     ) -> tuple[int, bytes]:
         if not urgent:
-            while (delay := self.requests.delay(1)) > 0:
+            while (delay := self.request_bucket.delay_s(1)) > 0:
                 if most_wait_s is not None and delay > most_wait_s:
-                    raise RefusedError("too many requests wait for the store")
+                    raise StoreUnavailableError("too many requests wait for the store")
                 await asyncio.sleep(delay)
-        self.requests.take(1)
+        self.request_bucket.consume(1)
         try:
             answer = await self.exchange(method, path, body, params, timeout_s or self.limits.timeout_s, urgent)
         except ConnectError as error:
-            self.refused_at = self.clock()
-            raise RefusedError(f"no connection: {error}") from None
+            self.last_failure_at = self.clock()
+            raise StoreUnavailableError(f"no connection: {error}") from None
         except (HttpError, TimeoutError) as error:
-            self.refused_at = self.clock()
-            raise UnknownOutcomeError(f"no answer: {error!r}") from None
+            self.last_failure_at = self.clock()
+            raise OutcomeUnknownError(f"no answer: {error!r}") from None
         status, data = answer.status, answer.body
         if status == 429:
-            raise RefusedError("too many requests")
+            raise StoreUnavailableError("too many requests")
         if status >= 500:
-            self.refused_at = self.clock()
-            raise RefusedError(f"status {status}")
+            self.last_failure_at = self.clock()
+            raise StoreUnavailableError(f"status {status}")
         if not watching:
             # A watch that was open before an outage may still end in it: that is no service.
-            self.served_at = self.clock()
+            self.last_success_at = self.clock()
         if status == 400:
             if b"no such lease" in data:
-                raise NoLeaseError("no such lease")
-            raise RejectedError(str(self._bad(f"{method} {path}: {data[:200]!r}")))
+                raise LeaseNotFoundError("no such lease")
+            raise RequestRejectedError(str(self._bad(f"{method} {path}: {data[:200]!r}")))
         return status, data
 
     async def exchange(
@@ -162,10 +162,10 @@
         target = quote(path) + (f"?{urlencode(params)}" if params else "")
         return await client.request(method, self.address, target, body, timeout_s)
 
-    def _bad(self, why: str) -> MalformedError:
-        self.malformed += 1
+    def _bad(self, why: str) -> MalformedResponseError:
+        self.malformed_responses += 1
         log.warning("state service: %s", why)
-        return MalformedError(why)
+        return MalformedResponseError(why)
 
     def _expect(self, status: int, data: bytes, kind: type[T]) -> T:
         if status != 200:
@@ -175,14 +175,16 @@
         except wire.WireError as error:
             raise self._bad(str(error)) from None
 
-    async def get(self, key: str, most_wait_s: float | None = None) -> messages.Item | None:
-        """Return a key, or None when it does not exist; `RefusedError` if its turn would come later than asked."""
+    async def get(self, key: str, most_wait_s: float | None = None) -> messages.KeyValue | None:
+        """Return a key, or None when it does not exist; `StoreUnavailableError` if its turn would come later than asked."""
         status, data = await self._call("GET", f"/store/{key}", most_wait_s=most_wait_s)
         if status == 404:
             return None
-        return self._expect(status, data, messages.Item)
+        return self._expect(status, data, messages.KeyValue)
 
-    async def page(self, prefix: str, after: str | None, limit: int, timeout_s: float | None = None) -> messages.Page:
+    async def list_page(
+        self, prefix: str, after: str | None, limit: int, timeout_s: float | None = None
+    ) -> messages.KeyValuePage:
         """Return a page of the keys under a prefix."""
         params = {"under": prefix, "page": str(limit)}
         if after is not None:
@@ -190,52 +192,52 @@
         status, data = await self._call(
             "GET", "/store", params=params, timeout_s=timeout_s or self.limits.timeout_s * 3
         )
-        return self._expect(status, data, messages.Page)
+        return self._expect(status, data, messages.KeyValuePage)
 
-    async def read_all(self, prefix: str, limit: int = 500) -> list[messages.Item]:
+    async def list_all(self, prefix: str, limit: int = 500) -> list[messages.KeyValue]:
         """Return all keys under a prefix."""
-        items: list[messages.Item] = []
+        key_values: list[messages.KeyValue] = []
         after: str | None = None
         while True:
-            page = await self.page(prefix, after, limit)
-            items.extend(page.items)
-            if not page.more or not page.items:
-                return items
-            after = page.items[-1].key
+            page = await self.list_page(prefix, after, limit)
+            key_values.extend(page.key_values)
+            if not page.more or not page.key_values:
+                return key_values
+            after = page.key_values[-1].key
 
-    async def txn(self, txn: messages.Txn) -> int:
+    async def commit(self, transaction: messages.Transaction) -> int:
         """Carry out a transaction; return its revision."""
-        return await self.txn_raw(wire.encode(txn), len(txn.changes))
+        return await self.commit_encoded(wire.encode(transaction), len(transaction.operations))
 
-    async def txn_raw(self, body: bytes, changes: int) -> int:
+    async def commit_encoded(self, body: bytes, changes: int) -> int:
         """Carry out an encoded transaction; return its revision."""
-        while (delay := self.writes.delay(changes)) > 0:
+        while (delay := self.write_bucket.delay_s(changes)) > 0:
             await asyncio.sleep(delay)
-        self.writes.take(changes)
+        self.write_bucket.consume(changes)
         status, data = await self._call("POST", "/txn", body)
         if status == 409:
-            raise ConflictError(self._expect(200, data, messages.TxnFailed).failed)
-        return self._expect(status, data, messages.TxnDone).revision
+            raise CompareFailedError(self._expect(200, data, messages.CompareFailure).failed_keys)
+        return self._expect(status, data, messages.TransactionCommitted).revision
 
-    async def grant(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """Return a new lease."""
-        body = wire.encode(messages.LeaseRequest(round(ttl_s * 1000)))
+        body = wire.encode(messages.LeaseGrantRequest(round(ttl_s * 1000)))
         status, data = await self._call("POST", "/leases", body, urgent=True)
-        return self._expect(status, data, messages.LeaseAnswer).lease
+        return self._expect(status, data, messages.LeaseGrantResponse).lease_id
 
-    async def renew(self, lease: int, timeout_s: float) -> None:
-        """Give a lease its full time again; `NoLeaseError` once it has ended."""
+    async def keep_lease_alive(self, lease: int, timeout_s: float) -> None:
+        """Give a lease its full time again; `LeaseNotFoundError` once it has ended."""
         status, _ = await self._call("POST", f"/leases/{lease}/renew", b"{}", timeout_s, urgent=True)
         if status == 404:
-            raise NoLeaseError(f"lease {lease} has ended")
+            raise LeaseNotFoundError(f"lease {lease} has ended")
         if status != 200:
             raise self._bad(f"renewal got status {status}")
 
-    async def end(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease at once."""
         await self._call("DELETE", f"/leases/{lease}", urgent=True)
 
-    async def watch(self, prefix: str, revision: int, wait_s: float) -> messages.WatchAnswer | None:
+    async def watch(self, prefix: str, revision: int, wait_s: float) -> messages.WatchResponse | None:
         """Wait for a change under a prefix; None when the revision is too old."""
         params = {"under": prefix, "from": str(revision), "waitMs": str(round(wait_s * 1000))}
         status, data = await self._call(
@@ -243,4 +245,4 @@
         )
         if status == 410:
             return None
-        return self._expect(status, data, messages.WatchAnswer)
+        return self._expect(status, data, messages.WatchResponse)
--- a/driftcleat/store/records.py
+++ b/driftcleat/store/records.py
@@ -5,23 +5,23 @@
 import msgspec
 
 from driftcleat import wire
-from driftcleat.background import in_slices
+from driftcleat.cluster.batch import ENTRY_BYTES, HEAD_BYTES, Batch
+from driftcleat.cluster.jobs import Job, JobState, TaskPlacement, TaskState
 from driftcleat.errors import DriftcleatError
-from driftcleat.model.batch import ENTRY_BYTES, HEAD_BYTES, Batch
-from driftcleat.model.jobs import Job, JobState, Place, TaskState
+from driftcleat.runtime.background import in_slices
 from driftcleat.wire import state as messages
-from driftcleat.wire.users import Submission, pack_ids, unpack_ids
-
-ROOT = "driftcleat/"
-LEADER = ROOT + "leader"
-BATCH = ROOT + "batch"
-TYPES = ROOT + "types"
-JOBS = ROOT + "jobs/"
-CHUNKS = ROOT + "chunks/"
-ENDED = ROOT + "ended/"
-RENTALS = ROOT + "rentals/"
-MACHINES = ROOT + "machines/"
-VERSION = ROOT + "version"
+from driftcleat.wire.users import JobSpec, decode_job_ids, encode_job_ids
+
+ROOT_PREFIX = "driftcleat/"
+LEADER_KEY = ROOT_PREFIX + "leader"
+BATCH_MARKER_KEY = ROOT_PREFIX + "batch"
+MACHINE_TYPES_KEY = ROOT_PREFIX + "types"
+JOBS_PREFIX = ROOT_PREFIX + "jobs/"
+CHUNKS_PREFIX = ROOT_PREFIX + "chunks/"
+ENDED_JOBS_PREFIX = ROOT_PREFIX + "ended/"
+SCALE_OUTS_PREFIX = ROOT_PREFIX + "rentals/"
+MACHINE_IMAGES_PREFIX = ROOT_PREFIX + "machines/"
+DATA_VERSION_KEY = ROOT_PREFIX + "version"
 
 # The newest version of the records that this program writes. 1: until every controller is known to write more. 2: a
 # job's record says how many tasks each of its records holds, and what it needs; all keeps to the limits to come.
@@ -30,62 +30,62 @@
 # Records that a full read decodes before it lets others go on.
 RECORDS_AT_ONCE = 20
 
-PlaceRow = tuple[str, str, int, str, float | None]
+PlacementRow = tuple[str, str, int, str, float | None]
 
 
 class JobRecord(msgspec.Struct, array_like=True):
     """A job's head: what was asked for, its state, and its first tasks."""
 
-    spec: Submission
-    submitted: float
+    spec: JobSpec
+    submitted_at: float
     state: str
     cancelled_at: float
-    launch: int
-    done: str
-    places: list[PlaceRow]
+    last_attempt: int
+    done_ranges: str
+    placements: list[PlacementRow]
     # From data version 2 on; a controller of the first drops them when it rewrites a record.
-    split: int = 0
-    needs: str = ""
+    tasks_per_record: int = 0
+    dependencies: str = ""
 
 
 class ChunkRecord(msgspec.Struct, array_like=True):
     """Further tasks of a big job."""
 
-    done: str
-    places: list[PlaceRow]
+    done_ranges: str
+    placements: list[PlacementRow]
 
 
-class EndedRecord(msgspec.Struct, array_like=True):
+class EndedJobRecord(msgspec.Struct, array_like=True):
     """What is kept for ever of a job that is over: its state and how many tasks were done."""
 
     state: str
-    done: int
+    tasks_done: int
 
 
-class RentalRecord(msgspec.Struct, array_like=True):
+class ScaleOutRecord(msgspec.Struct, array_like=True):
     """A rental request that may still have to be repeated."""
 
-    type: str
+    machine_type: str
     zone: str
     spot: bool
     count: int
-    at: float
+    requested_at: float
 
 
-class MachineRecord(msgspec.Struct, array_like=True):
+class MachineImagesRecord(msgspec.Struct, array_like=True):
     """The images a machine has fetched, least recently used first; only a hint for placement."""
 
     images: list[tuple[str, float]]
 
 
-class BatchMark(msgspec.Struct, array_like=True):
+class BatchMarker(msgspec.Struct, array_like=True):
     """Names the last batch, so that an unknown outcome can be read back."""
 
-    token: int
-    number: int
+    fencing_token: int
+    sequence: int
 
 
-def ranges(indices: list[int]) -> str:
+def format_ranges(indices: list[int]) -> str:
     """Return sorted indices as text: 0-3,7."""
     parts: list[str] = []
     start = last = -2
@@ -101,7 +101,7 @@
     return ",".join(parts)
 
 
-def indices(text: str) -> list[int]:
+def parse_ranges(text: str) -> list[int]:
     """Return the indices that `ranges` wrote."""
     out: list[int] = []
     for part in text.split(",") if text else ():
@@ -110,7 +110,7 @@
     return out
 
 
-class Layout:
+class RecordLayout:
     """How many tasks go into one record, from the store's limits.
 
     Until the switch to data version 2 jobs are split as the first version does, by today's limits; from then on each
@@ -131,17 +131,17 @@
         self.base = max(1, (self.first_value_bytes - HEAD_BYTES) // ENTRY_BYTES)
         # The most that a row for one task takes: names of machine and zone, attempt, index, grace.
         self.row_bytes = 46 + max((len(wire.encode(zone)) for zone in zones), default=24)
-        self.switched = False
+        self.version_2_active = False
 
-    def chunk_tasks(self, job: Job) -> int:
+    def tasks_per_record(self, job: Job) -> int:
         """Return the tasks a record of this job holds; a gang must fit into one batch, so its may hold more."""
-        if job.split:
-            return job.split
+        if job.tasks_per_record:
+            return job.tasks_per_record
         if job.is_gang:
             return max(self.base, -(-job.spec.tasks // max(1, self.first_txn_ops // 2)))
         return self.base
 
-    def own_split(self, job: Job) -> int:
+    def preferred_tasks_per_record(self, job: Job) -> int:
         """Return the tasks a record of this job is to hold in data version 2."""
         split = max(1, (self.value_bytes - self.head_bytes(job.spec)) // self.row_bytes)
         if job.is_gang:
@@ -150,116 +150,123 @@
         return split
 
     @staticmethod
-    def head_bytes(spec: Submission) -> int:
+    def head_bytes(spec: JobSpec) -> int:
         """Return what a job's head takes beside its tasks, with numbers at their longest."""
-        return len(wire.encode(spec_alone(spec))) + len(pack_ids(spec.needs or ())) + 160
+        return len(wire.encode(without_dependencies(spec))) + len(encode_job_ids(spec.dependencies or ())) + 160
 
-    def fits(self, spec: Submission) -> bool:
+    def spec_fits(self, spec: JobSpec) -> bool:
         """Whether a job's head, with its first task, fits a value under every limit."""
         return self.head_bytes(spec) + self.row_bytes <= self.value_bytes
 
-    def take_in(self, job: Job) -> None:
+    def assign_tasks_per_record(self, job: Job) -> None:
         """Give a job the split of the data version in force, if that changes none of its records."""
-        if self.switched and not job.split and not job.chunk_versions:
-            split = self.own_split(job)
-            if not job.version or job.spec.tasks <= min(split, self.chunk_tasks(job)):
-                job.split = split
+        if self.version_2_active and not job.tasks_per_record and not job.chunk_mod_revisions:
+            split = self.preferred_tasks_per_record(job)
+            if not job.mod_revision or job.spec.tasks <= min(split, self.tasks_per_record(job)):
+                job.tasks_per_record = split
 
-    def must_move(self, job: Job) -> bool:
+    def needs_migration(self, job: Job) -> bool:
         """Whether a job's records must be written anew, in other pieces, before any of them may change."""
-        return self.switched and not job.split
+        return self.version_2_active and not job.tasks_per_record
 
     @property
-    def most_value_bytes(self) -> int:
+    def max_value_bytes(self) -> int:
         """The largest value that may be written now."""
-        return self.value_bytes if self.switched else self.first_value_bytes
+        return self.value_bytes if self.version_2_active else self.first_value_bytes
 
     @property
-    def most_ops(self) -> int:
+    def max_operations(self) -> int:
         """The most changes that a transaction may hold now."""
-        return self.txn_ops if self.switched else self.first_txn_ops
+        return self.txn_ops if self.version_2_active else self.first_txn_ops
 
     def chunk_of(self, job: Job, index: int) -> int:
         """Return the number of the record that holds a task (0: the head)."""
-        return index // self.chunk_tasks(job)
+        return index // self.tasks_per_record(job)
 
-    def _tasks(self, job: Job, chunk: int, size: int) -> tuple[str, list[PlaceRow]]:
+    def _tasks(self, job: Job, chunk: int, size: int) -> tuple[str, list[PlacementRow]]:
         low, high = chunk * size, min((chunk + 1) * size, job.spec.tasks)
-        done = [index for index in range(low, high) if job.status[index] == TaskState.DONE]
-        groups: dict[Place, list[int]] = {}
+        done = [index for index in range(low, high) if job.task_states[index] == TaskState.DONE]
+        groups: dict[TaskPlacement, list[int]] = {}
         for index in range(low, high):
-            if job.status[index] == TaskState.PLACED:
-                groups.setdefault(job.places[index], []).append(index)
+            if job.task_states[index] == TaskState.PLACED:
+                groups.setdefault(job.placements[index], []).append(index)
         rows = [
-            (place.machine, place.zone, place.attempt, ranges(group), place.stop) for place, group in groups.items()
+            (placement.machine, placement.zone, placement.attempt, format_ranges(group), placement.stop_grace_s)
+            for placement, group in groups.items()
         ]
-        return ranges(done), rows
+        return format_ranges(done), rows
 
-    def head(self, job: Job) -> JobRecord:
+    def head_record(self, job: Job) -> JobRecord:
         """Return a job's head record."""
-        done, rows = self._tasks(job, 0, self.chunk_tasks(job))
+        done, rows = self._tasks(job, 0, self.tasks_per_record(job))
         return JobRecord(
-            spec_alone(job.spec),
-            job.submitted,
+            without_dependencies(job.spec),
+            job.submitted_at,
             job.state.value,
             job.cancelled_at,
-            job.launch,
+            job.last_attempt,
             done,
             rows,
-            job.split,
-            pack_ids(job.spec.needs or ()),
+            job.tasks_per_record,
+            encode_job_ids(job.spec.dependencies or ()),
         )
 
-    def chunk(self, job: Job, number: int) -> ChunkRecord:
+    def chunk_record(self, job: Job, number: int) -> ChunkRecord:
         """Return one of a job's further records."""
-        return self.chunk_in(job, self.chunk_tasks(job), number)
+        return self.chunk_record_in_split(job, self.tasks_per_record(job), number)
 
-    def chunk_in(self, job: Job, split: int, number: int) -> ChunkRecord:
+    def chunk_record_in_split(self, job: Job, split: int, number: int) -> ChunkRecord:
         """Return one of the further records that a job has in a given split."""
         return ChunkRecord(*self._tasks(job, number, split))
 
 
-def spec_alone(spec: Submission) -> Submission:
+def without_dependencies(spec: JobSpec) -> JobSpec:
     """Return what was asked for without what it needs, which is stored in short."""
-    return msgspec.structs.replace(spec, needs=None) if spec.needs else spec
+    return msgspec.structs.replace(spec, dependencies=None) if spec.dependencies else spec
 
 
 def chunk_key(job_id: str, number: int, split: int = 0) -> str:
     """Return the key of a chunk; those of different splits cannot be mistaken for one another."""
-    return f"{CHUNKS}{job_id}/{split}.{number}" if split else f"{CHUNKS}{job_id}/{number}"
+    return f"{CHUNKS_PREFIX}{job_id}/{split}.{number}" if split else f"{CHUNKS_PREFIX}{job_id}/{number}"
 
 
-def split_chunk_key(key: str) -> tuple[str, int, int]:
+def parse_chunk_key(key: str) -> tuple[str, int, int]:
     """Return job, split and number of a chunk's key."""
-    job_id, _, rest = key[len(CHUNKS) :].rpartition("/")
+    job_id, _, rest = key[len(CHUNKS_PREFIX) :].rpartition("/")
     split, dot, number = rest.rpartition(".")
     return job_id, int(split) if dot else 0, int(number)
 
 
-def _fill(job: Job, done: str, rows: list[PlaceRow]) -> None:
-    for index in indices(done):
-        job.status[index] = TaskState.DONE
-        job.done += 1
+def _fill(job: Job, done: str, rows: list[PlacementRow]) -> None:
+    for index in parse_ranges(done):
+        job.task_states[index] = TaskState.DONE
+        job.tasks_done += 1
     for machine, zone, attempt, group, stop in rows:
-        place = Place(machine, zone, attempt, stop)
-        for index in indices(group):
-            job.status[index] = TaskState.PLACED
-            job.places[index] = place
+        placement = TaskPlacement(machine, zone, attempt, stop)
+        for index in parse_ranges(group):
+            job.task_states[index] = TaskState.PLACED
+            job.placements[index] = placement
 
 
-def load_head(item: messages.Item) -> Job:
+def decode_head(key_value: messages.KeyValue) -> Job:
     """Return the job of a head record."""
-    record = wire.decode(bytes(item.value), JobRecord)
-    needs = unpack_ids(record.needs) or None
-    job = Job(msgspec.structs.replace(record.spec, needs=needs) if needs else record.spec, record.submitted)
-    job.split = record.split
+    record = wire.decode(bytes(key_value.value), JobRecord)
+    needs = decode_job_ids(record.dependencies) or None
+    job = Job(msgspec.structs.replace(record.spec, dependencies=needs) if needs else record.spec, record.submitted_at)
+    job.tasks_per_record = record.tasks_per_record
     job.state = JobState(record.state)
-    job.cancelled_at, job.launch, job.version = record.cancelled_at, record.launch, item.version
-    _fill(job, record.done, record.places)
+    job.cancelled_at, job.last_attempt, job.mod_revision = (
+        record.cancelled_at,
+        record.last_attempt,
+        key_value.mod_revision,
+    )
+    _fill(job, record.done_ranges, record.placements)
     return job
 
 
-async def load_jobs(heads: list[messages.Item], chunks: list[messages.Item]) -> tuple[dict[str, Job], list[str]]:
+async def decode_jobs(
+    heads: list[messages.KeyValue], chunks: list[messages.KeyValue]
+) -> tuple[dict[str, Job], list[str]]:
     """Return the jobs of a full read, and the keys of chunks that have no job any more, or whose job's head names
     another split: those of a move that ended in the middle, or that was finished.
 
@@ -267,70 +274,70 @@
     machines' work.
     """
     jobs: dict[str, Job] = {}
-    async for item in in_slices(heads, RECORDS_AT_ONCE):
-        job = load_head(item)
+    async for key_value in in_slices(heads, RECORDS_AT_ONCE):
+        job = decode_head(key_value)
         jobs[job.id] = job
     orphans: list[str] = []
-    async for item in in_slices(chunks, RECORDS_AT_ONCE):
-        if not _load_chunk(jobs, item):
-            orphans.append(item.key)
+    async for key_value in in_slices(chunks, RECORDS_AT_ONCE):
+        if not _load_chunk(jobs, key_value):
+            orphans.append(key_value.key)
     return jobs, orphans
 
 
-def _load_chunk(jobs: dict[str, Job], item: messages.Item) -> bool:
+def _load_chunk(jobs: dict[str, Job], key_value: messages.KeyValue) -> bool:
     """Fill in the tasks of one chunk; False if no job has it."""
-    job_id, split, number = split_chunk_key(item.key)
+    job_id, split, number = parse_chunk_key(key_value.key)
     job = jobs.get(job_id)
-    if job is None or job.split != split:
+    if job is None or job.tasks_per_record != split:
         return False
-    record = wire.decode(bytes(item.value), ChunkRecord)
-    _fill(job, record.done, record.places)
-    job.chunk_versions[number] = item.version
+    record = wire.decode(bytes(key_value.value), ChunkRecord)
+    _fill(job, record.done_ranges, record.placements)
+    job.chunk_mod_revisions[number] = key_value.mod_revision
     return True
 
 
 class EncodedBatch:
     """A batch as one transaction, ready to be sent any number of times."""
 
-    def __init__(self, body: bytes, changes: int, mark: BatchMark, garbage: list[str]) -> None:
-        self.body, self.changes, self.mark, self.garbage = body, changes, mark, garbage
+    def __init__(self, body: bytes, changes: int, marker: BatchMarker, garbage: list[str]) -> None:
+        self.body, self.operation_count, self.marker, self.obsolete_keys = body, changes, marker, garbage
 
 
-class TooLargeError(DriftcleatError):
+class BatchTooLargeError(DriftcleatError):
     """A batch that the store would not take."""
 
 
-def encode_batch(batch: Batch, layout: Layout, token: int, number: int, mark_version: int) -> EncodedBatch:
+def encode_batch(batch: Batch, layout: RecordLayout, token: int, number: int, mark_version: int) -> EncodedBatch:
     """Return the transaction: conditional on leader key, batch key and every record it touches."""
-    mark = BatchMark(token, number)
-    conditions = [messages.Condition(LEADER, token), messages.Condition(BATCH, mark_version)]
-    changes: list[Any] = [messages.Put(BATCH, mark)]
+    marker = BatchMarker(token, number)
+    conditions = [messages.Compare(LEADER_KEY, token), messages.Compare(BATCH_MARKER_KEY, mark_version)]
+    changes: list[Any] = [messages.Put(BATCH_MARKER_KEY, marker)]
     garbage: list[str] = []
-    for job_id in sorted(batch.heads):
+    for job_id in sorted(batch.changed_jobs):
         job = batch.jobs[job_id]
         new = job_id in batch.created
-        conditions.append(messages.Condition(JOBS + job_id, 0 if new else job.version))
+        conditions.append(messages.Compare(JOBS_PREFIX + job_id, 0 if new else job.mod_revision))
         if new:
-            conditions.append(messages.Condition(ENDED + job_id, 0))
-        if job.state in (JobState.DONE, JobState.GONE):
+            conditions.append(messages.Compare(ENDED_JOBS_PREFIX + job_id, 0))
+        if job.state in (JobState.DONE, JobState.TERMINATED):
             final = JobState.DONE if job.state is JobState.DONE else JobState.CANCELLED
-            changes.append(messages.Put(ENDED + job_id, EndedRecord(final.value, job.done)))
+            changes.append(messages.Put(ENDED_JOBS_PREFIX + job_id, EndedJobRecord(final.value, job.tasks_done)))
             if not new:
-                changes.append(messages.Remove(JOBS + job_id))
-            garbage.extend(chunk_key(job_id, chunk, job.split) for chunk in job.chunk_versions)
+                changes.append(messages.Delete(JOBS_PREFIX + job_id))
+            garbage.extend(chunk_key(job_id, chunk, job.tasks_per_record) for chunk in job.chunk_mod_revisions)
             continue
-        if job_id in batch.head_written:
-            changes.append(messages.Put(JOBS + job_id, layout.head(job)))
-        for chunk in sorted(batch.chunks.get(job_id, ())):
-            key = chunk_key(job_id, chunk, job.split)
-            conditions.append(messages.Condition(key, job.chunk_versions.get(chunk, 0)))
-            changes.append(messages.Put(key, layout.chunk(job, chunk)))
-    changes.extend(messages.Put(key, value) for key, value in batch.extra_puts.items())
-    changes.extend(messages.Remove(key) for key in batch.removes)
+        if job_id in batch.changed_heads:
+            changes.append(messages.Put(JOBS_PREFIX + job_id, layout.head_record(job)))
+        for chunk in sorted(batch.changed_chunks.get(job_id, ())):
+            key = chunk_key(job_id, chunk, job.tasks_per_record)
+            conditions.append(messages.Compare(key, job.chunk_mod_revisions.get(chunk, 0)))
+            changes.append(messages.Put(key, layout.chunk_record(job, chunk)))
+    changes.extend(messages.Put(key, value) for key, value in batch.puts.items())
+    changes.extend(messages.Delete(key) for key in batch.deletes)
     for change in changes:
-        if isinstance(change, messages.Put) and len(wire.encode(change.value)) > layout.most_value_bytes:
-            raise TooLargeError(f"{change.key} is above {layout.most_value_bytes} bytes")
-    body = wire.encode(messages.Txn(conditions, changes))
-    if len(body) > 64 * 1024 or len(changes) > layout.most_ops:
-        raise TooLargeError(f"{len(changes)} changes in {len(body)} bytes")
-    return EncodedBatch(body, len(changes), mark, garbage)
+        if isinstance(change, messages.Put) and len(wire.encode(change.value)) > layout.max_value_bytes:
+            raise BatchTooLargeError(f"{change.key} is above {layout.max_value_bytes} bytes")
+    body = wire.encode(messages.Transaction(conditions, changes))
+    if len(body) > 64 * 1024 or len(changes) > layout.max_operations:
+        raise BatchTooLargeError(f"{len(changes)} changes in {len(body)} bytes")
+    return EncodedBatch(body, len(changes), marker, garbage)
--- a/driftcleat/wire/cloud.py
+++ b/driftcleat/wire/cloud.py
@@ -18,48 +18,48 @@
     zones: tuple[str, ...] = msgspec.field(name="harbors")
 
 
-class TypesAnswer(msgspec.Struct, frozen=True):
+class MachineTypesResponse(msgspec.Struct, frozen=True):
     """All types on offer."""
 
     types: tuple[MachineType, ...] = msgspec.field(name="builds")
 
 
-class RentRequest(msgspec.Struct, frozen=True):
+class CreateMachinesRequest(msgspec.Struct, frozen=True):
     """A rental, carried out once under its name."""
 
-    request: str = msgspec.field(name="charter")
-    type: str = msgspec.field(name="build")
+    request_id: str = msgspec.field(name="charter")
+    machine_type: str = msgspec.field(name="build")
     zone: str = msgspec.field(name="harbor")
     spot: bool = msgspec.field(name="driftwood")
     count: int = msgspec.field(name="howMany")
 
 
-class RentAnswer(msgspec.Struct, frozen=True):
+class CreateMachinesResponse(msgspec.Struct, frozen=True):
     """The names of the machines rented."""
 
     machines: tuple[str, ...] = msgspec.field(name="bollards")
 
 
-class ReturnRequest(msgspec.Struct, frozen=True):
+class DeleteMachinesRequest(msgspec.Struct, frozen=True):
     """Machines to be deleted."""
 
     machines: list[str] = msgspec.field(name="bollards")
 
 
-class Listed(msgspec.Struct, frozen=True):
+class ListedMachine(msgspec.Struct, frozen=True):
     """One machine in the cloud's list, as it was some time ago."""
 
     name: str = msgspec.field(name="nameId")
-    addr: str
-    type: str = msgspec.field(name="build")
+    address: str = msgspec.field(name="addr")
+    machine_type: str = msgspec.field(name="build")
     zone: str = msgspec.field(name="harbor")
     spot: bool = msgspec.field(name="driftwood")
     state: str = msgspec.field(name="bearing")
     age_s: float = msgspec.field(name="ageS")
 
 
-class ListAnswer(msgspec.Struct, frozen=True):
+class MachineListResponse(msgspec.Struct, frozen=True):
     """A page of the machine list."""
 
-    machines: tuple[Listed, ...] = msgspec.field(name="bollards")
+    machines: tuple[ListedMachine, ...] = msgspec.field(name="bollards")
     more: bool = msgspec.field(name="truncated", default=False)
--- a/driftcleat/wire/peers.py
+++ b/driftcleat/wire/peers.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
+class ViewRequest(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
     """Asks a controller how it sees the world."""
 
     sender: str
@@ -18,11 +18,11 @@
     """What a leader tells of its term: how long ago it was certain that nobody led after it, and the cancelled jobs
     of which tasks may still be on machines (None if they are too many to name)."""
 
-    certain_age_s: float
-    cancelled: list[str] | None
+    confirmed_age_s: float
+    cancelled_jobs: list[str] | None
 
 
-class View(msgspec.Struct, frozen=True, array_like=True, tag="view"):
+class ViewResponse(msgspec.Struct, frozen=True, array_like=True, tag="view"):
     """How a controller sees the world; ages in seconds, negative when it never happened.
 
     `confirms` says that the speaker has read a leader key since it was started: only then does it know that it has
@@ -32,10 +32,10 @@
     sender: str
     role: str
     leader: str | None
-    token: int
-    served_age_s: float
-    refused_age_s: float
-    confirms: bool = False
+    fencing_token: int
+    store_success_age_s: float
+    store_failure_age_s: float
+    has_read_leader_key: bool = False
     leader_status: LeaderStatus | None = None
     data_version: int = 1
 
@@ -53,12 +53,12 @@
     sender: str
     leads: bool
     leader: str | None
-    token: int
+    fencing_token: int
     leader_status: LeaderStatus | None = None
     data_version: int = 1
 
 
-class Forward(msgspec.Struct, frozen=True, array_like=True, tag="forward"):
+class ForwardRequest(msgspec.Struct, frozen=True, array_like=True, tag="forward"):
     """A user's request, passed on to the leader."""
 
     method: str
@@ -66,7 +66,7 @@
     body: str
 
 
-class Forwarded(msgspec.Struct, frozen=True, array_like=True, tag="forwarded"):
+class ForwardResponse(msgspec.Struct, frozen=True, array_like=True, tag="forwarded"):
     """The leader's answer to a user's request."""
 
     status: int
@@ -74,4 +74,4 @@
     retry_after_s: int | None
 
 
-PeerMessage = Ask | View | Ping | Pong | Forward | Forwarded
+PeerMessage = ViewRequest | ViewResponse | Ping | Pong | ForwardRequest | ForwardResponse
--- a/driftcleat/wire/users.py
+++ b/driftcleat/wire/users.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from . import WireError, decode
+from driftcleat.wire import WireError, decode
 
 MAX_BODY = 64 * 1024
 MAX_TASKS = 100_000
@@ -17,7 +17,7 @@
 ID_PATTERN = re.compile(r"req-[0-9]{1,18}\Z", re.ASCII)
 
 
-class Kind(StrEnum):
+class JobKind(StrEnum):
     """How a job's tasks belong together."""
 
     ARRAY = "array"
@@ -25,7 +25,7 @@
     SERVICE = "daemon"
 
 
-class Rank(StrEnum):
+class Priority(StrEnum):
     """A job's priority, in the platform's words."""
 
     CRITICAL = "critical"
@@ -39,37 +39,37 @@
         return _LEVELS[self]
 
 
-_LEVELS = {Rank.CRITICAL: 0, Rank.HIGH: 1, Rank.STANDARD: 2, Rank.BEST_EFFORT: 3}
+_LEVELS = {Priority.CRITICAL: 0, Priority.HIGH: 1, Priority.STANDARD: 2, Priority.BEST_EFFORT: 3}
 
 
-class Submission(msgspec.Struct, frozen=True):
+class JobSpec(msgspec.Struct, frozen=True):
     """A job as its user describes it."""
 
     id: str = msgspec.field(name="nameId")
     job_class: str = msgspec.field(name="cargo")
     team: str = msgspec.field(name="crew")
-    kind: Kind = msgspec.field(name="rig")
-    rank: Rank = msgspec.field(name="rank")
+    kind: JobKind = msgspec.field(name="rig")
+    priority: Priority = msgspec.field(name="rank")
     tasks: int = msgspec.field(name="hands")
     cpus: float = msgspec.field(name="cores")
     gpus: float = msgspec.field(name="accelerators")
     memory_gb: float = msgspec.field(name="memGb")
     image: str = msgspec.field(name="hull")
     image_gb: float = msgspec.field(name="imageGb")
-    one_zone: bool = msgspec.field(name="together")
+    single_zone: bool = msgspec.field(name="together")
     spread: bool = msgspec.field(name="spread")
     spot: bool = msgspec.field(name="driftwood")
-    estimate_s: float = msgspec.field(name="voyageS")
-    checkpoint_s: float = msgspec.field(name="mooringS")
-    save_s: float = msgspec.field(name="stowS")
-    types: tuple[str, ...] | None = msgspec.field(name="builds", default=None)
+    estimated_run_s: float = msgspec.field(name="voyageS")
+    checkpoint_interval_s: float = msgspec.field(name="mooringS")
+    checkpoint_duration_s: float = msgspec.field(name="stowS")
+    machine_types: tuple[str, ...] | None = msgspec.field(name="builds", default=None)
     zone: str | None = msgspec.field(name="harbor", default=None)
     deadline_s: float | None = msgspec.field(name="tideS", default=None)
     # Jobs that must be done before any task of this one starts; each once.
-    needs: tuple[str, ...] | None = msgspec.field(name="tows", default=None)
+    dependencies: tuple[str, ...] | None = msgspec.field(name="tows", default=None)
 
 
-class JobView(msgspec.Struct, frozen=True, omit_defaults=True):
+class JobStatus(msgspec.Struct, frozen=True, omit_defaults=True):
     """A job's state as users see it."""
 
     id: str = msgspec.field(name="nameId")
@@ -78,14 +78,14 @@
     running: int | None = None
 
 
-class ErrorView(msgspec.Struct, frozen=True, omit_defaults=True):
+class ErrorResponse(msgspec.Struct, frozen=True, omit_defaults=True):
     """Why a request was not carried out, and which field is to blame."""
 
     error: str
     field: str | None = None
 
 
-class BadFieldError(WireError):
+class InvalidFieldError(WireError):
     """A submission with a field that is missing or invalid."""
 
     def __init__(self, field: str, why: str) -> None:
@@ -99,39 +99,41 @@
 
 
 def parse_object(body: bytes) -> dict[str, Any]:
-    """Return the body's JSON object; `BadFieldError` (field `body`) for anything else."""
+    """Return the body's JSON object; `InvalidFieldError` (field `body`) for anything else."""
     try:
         return decode(body, dict[str, Any])
     except WireError:
-        raise BadFieldError("body", "must be a JSON object") from None
+        raise InvalidFieldError("body", "must be a JSON object") from None
 
 
-def parse_id(raw: dict[str, Any]) -> str:
+def parse_job_id(raw: dict[str, Any]) -> str:
     """Return the object's job id, checked before all other fields."""
     job_id = raw.get("nameId")
     if not isinstance(job_id, str) or not is_job_id(job_id):
-        raise BadFieldError("nameId", "must have the form req-000412")
+        raise InvalidFieldError("nameId", "must have the form req-000412")
     return job_id
 
 
-def parse_submission(raw: dict[str, Any]) -> Submission:
-    """Return the checked submission; `BadFieldError` names the first field that is wrong."""
-    known = {field.encode_name: field for field in msgspec.structs.fields(Submission)}
+def parse_submission(raw: dict[str, Any]) -> JobSpec:
+    """Return the checked submission; `InvalidFieldError` names the first field that is wrong."""
+    known = {field.encode_name: field for field in msgspec.structs.fields(JobSpec)}
     for name, field in known.items():
         if name not in raw:
             if field.required:
-                raise BadFieldError(name, "is missing")
+                raise InvalidFieldError(name, "is missing")
             continue
         try:
             msgspec.convert(raw[name], field.type)
         except (msgspec.MsgspecError, RecursionError) as error:
-            raise BadFieldError(name, str(error)) from None
-    job = msgspec.convert({name: raw[name] for name in known if name in raw}, Submission)
+            raise InvalidFieldError(name, str(error)) from None
+    job = msgspec.convert({name: raw[name] for name in known if name in raw}, JobSpec)
     _check_ranges(job)
-    return msgspec.structs.replace(job, needs=tuple(dict.fromkeys(job.needs)) if job.needs else None)
+    return msgspec.structs.replace(
+        job, dependencies=tuple(dict.fromkeys(job.dependencies)) if job.dependencies else None
+    )
 
 
-def pack_ids(job_ids: tuple[str, ...]) -> str:
+def encode_job_ids(job_ids: tuple[str, ...]) -> str:
     """Return job ids as a short text; their order is lost."""
     by_length: dict[int, list[int]] = {}
     for job_id in job_ids:
@@ -145,7 +147,7 @@
     return ";".join(parts)
 
 
-def unpack_ids(text: str) -> tuple[str, ...]:
+def decode_job_ids(text: str) -> tuple[str, ...]:
     """Return the job ids that `pack_ids` wrote."""
     out: list[str] = []
     for part in text.split(";") if text else ():
@@ -157,31 +159,31 @@
     return tuple(out)
 
 
-def _check_ranges(job: Submission) -> None:
-    parse_id({"nameId": job.id})
+def _check_ranges(job: JobSpec) -> None:
+    parse_job_id({"nameId": job.id})
     for name, text in (("cargo", job.job_class), ("crew", job.team), ("hull", job.image), ("harbor", job.zone)):
         if text is not None and not 0 < len(text.encode("utf-8", "replace")) <= MAX_TEXT:
-            raise BadFieldError(name, f"must have 1 to {MAX_TEXT} bytes")
+            raise InvalidFieldError(name, f"must have 1 to {MAX_TEXT} bytes")
     if not 1 <= job.tasks <= MAX_TASKS:
-        raise BadFieldError("hands", f"must be 1 to {MAX_TASKS}")
+        raise InvalidFieldError("hands", f"must be 1 to {MAX_TASKS}")
     amounts = (
         ("cores", job.cpus),
         ("accelerators", job.gpus),
         ("memGb", job.memory_gb),
         ("imageGb", job.image_gb),
-        ("voyageS", job.estimate_s),
-        ("mooringS", job.checkpoint_s),
-        ("stowS", job.save_s),
+        ("voyageS", job.estimated_run_s),
+        ("mooringS", job.checkpoint_interval_s),
+        ("stowS", job.checkpoint_duration_s),
         ("tideS", job.deadline_s),
     )
     for name, amount in amounts:
         if amount is not None and not (math.isfinite(amount) and 0 <= amount <= MAX_AMOUNT):
-            raise BadFieldError(name, "must be a number that is not negative")
-    for need in job.needs or ():
+            raise InvalidFieldError(name, "must be a number that is not negative")
+    for need in job.dependencies or ():
         if not is_job_id(need):
-            raise BadFieldError("tows", "must be null or a list of job ids")
-    if job.types is not None:
-        if not 1 <= len(job.types) <= MAX_TYPES:
-            raise BadFieldError("builds", f"must be null or name 1 to {MAX_TYPES} types")
-        if any(not 0 < len(text.encode("utf-8", "replace")) <= MAX_TEXT for text in job.types):
-            raise BadFieldError("builds", f"each must have 1 to {MAX_TEXT} bytes")
+            raise InvalidFieldError("tows", "must be null or a list of job ids")
+    if job.machine_types is not None:
+        if not 1 <= len(job.machine_types) <= MAX_TYPES:
+            raise InvalidFieldError("builds", f"must be null or name 1 to {MAX_TYPES} types")
+        if any(not 0 < len(text.encode("utf-8", "replace")) <= MAX_TEXT for text in job.machine_types):
+            raise InvalidFieldError("builds", f"each must have 1 to {MAX_TEXT} bytes")
--- a/driftcleat/workers/__init__.py
+++ b/driftcleat/workers/__init__.py
@@ -1,5 +1,5 @@
 """Workers: taking reports in and sending commands straight to machines."""
 
-from .commands import WorkerClient
+from driftcleat.workers.commands import WorkerClient
 
 __all__ = ["WorkerClient"]
--- a/driftcleat/workers/commands.py
+++ b/driftcleat/workers/commands.py
@@ -8,7 +8,7 @@
 
 from driftcleat import wire
 from driftcleat.net import HttpAnswer, HttpClient, HttpError
-from driftcleat.wire.workers import DirectOrders, Report, Signal
+from driftcleat.wire.workers import Command, CommandRequest, Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -29,15 +29,15 @@
         self.asking: set[str] = set()
 
     async def send(
-        self, addr: str, token: int, session_number: int, signals: list[Signal], likely_unreachable: bool = False
-    ) -> Report | None:
+        self, addr: str, token: int, session_number: int, commands: list[Command], likely_unreachable: bool = False
+    ) -> Heartbeat | None:
         """Send commands; return the report of a worker that refused them, None if it took them or is silent.
 
         What goes to a `likely_unreachable` machine is left out while an earlier call to it is still open.
         """
         if likely_unreachable and addr in self.asking:
             return None
-        body = wire.encode(DirectOrders(token, session_number, signals))
+        body = wire.encode(CommandRequest(token, session_number, commands))
         if likely_unreachable:
             self.asking.add(addr)
         try:
@@ -47,11 +47,11 @@
             if likely_unreachable:
                 self.asking.discard(addr)
 
-    async def _post(self, addr: str, body: bytes, timeout_s: float) -> Report | None:
+    async def _post(self, addr: str, body: bytes, timeout_s: float) -> Heartbeat | None:
         try:
             answer = await self.exchange(addr, body, timeout_s)
             if answer.status == 409:
-                return wire.decode(answer.body, Report)
+                return wire.decode(answer.body, Heartbeat)
         except (HttpError, TimeoutError, wire.WireError) as error:
             log.debug("worker %s: %r", addr, error)
         return None
--- a/tests/costs.py
+++ b/tests/costs.py
@@ -12,10 +12,10 @@
 from typing import TypeVar
 
 from driftcleat import wire
-from driftcleat.model import Cluster, commands_for
-from driftcleat.store.records import CHUNKS, JOBS, encode_batch, load_jobs
-from driftcleat.term import Term, Ticket
-from driftcleat.wire.workers import RUNNING, Report, TaskReport, task_name
+from driftcleat.cluster import ClusterState, commands_for_heartbeat
+from driftcleat.scheduler import PendingRequest, Scheduler
+from driftcleat.store.records import CHUNKS_PREFIX, JOBS_PREFIX, decode_jobs, encode_batch
+from driftcleat.wire.workers import Heartbeat, TaskPhase, TaskStatus, format_task_name
 
 from .samples import TYPES, job, platform
 from .terms import new_term
@@ -40,12 +40,12 @@
         self._store = PlainStore(SITE)
         self._number = self._mark = 0
         self._token = self._store.put_leader("a")
-        self._term = self._begin(Cluster(self._token, {}, dict(TYPES), 0.0, SITE.lease_s))
+        self._term = self._begin(ClusterState(self._token, {}, dict(TYPES), 0.0, SITE.lease_s))
 
-    def _begin(self, cluster: Cluster) -> Term:
-        term = new_term(SITE, cluster, self._now)
-        term.pacing.place_from = 0.0
-        return term
+    def _begin(self, cluster: ClusterState) -> Scheduler:
+        scheduler = new_term(SITE, cluster, self._now)
+        scheduler.pacing.placement_starts_at = 0.0
+        return scheduler
 
     def _timed(self, name: str, work: Callable[[], T], count: int = 1) -> T:
         """Print what some work takes, whole and for each of so many."""
@@ -58,21 +58,21 @@
 
     def play(self) -> None:
         """Print what each step takes."""
-        bodies = [wire.encode(report) for report in self._reports(1)]
+        bodies = [wire.encode(heartbeat) for heartbeat in self._reports(1)]
         reports = self._timed(
-            "decode reports", lambda: [wire.decode(body, Report) for body in bodies], self._machines
+            "decode reports", lambda: [wire.decode(body, Heartbeat) for body in bodies], self._machines
         )
         self._timed("first reports", lambda: self._observe(reports), self._machines)
         jobs = self._machines * TASKS_A_MACHINE // TASKS_A_JOB
         for number in range(1, jobs + 1):
-            self._term.admission.submit(Ticket(lambda view: None, job(number, **ARRAY)))
+            self._term.admission.submit(PendingRequest(lambda status: None, job(number, **ARRAY)))
         self._timed("candidates of one round", lambda: self._term.candidates.all(0.0), self._machines)
         self._timed("jobs accepted and placed, batches encoded", self._commit_all, jobs)
         self._reports_in_service(2)
         now = self._now[0]
-        self._timed("what is silent", lambda: self._term.reachability.silence(now), self._machines)
-        plan = self._timed("what to rent", lambda: self._term.plan_rentals(now), self._machines)
-        self._timed("what to return", lambda: self._term.surplus(plan, now), self._machines)
+        self._timed("what is silent", lambda: self._term.reachability.detect_failures(now), self._machines)
+        plan = self._timed("what to rent", lambda: self._term.plan_scale_out(now), self._machines)
+        self._timed("what to return", lambda: self._term.select_scale_in(plan, now), self._machines)
         self._take_over()
 
     def _reports_in_service(self, seq: int) -> None:
@@ -83,51 +83,55 @@
 
     def _take_over(self) -> None:
         """A new leader reads what the first one wrote, and hears every machine once."""
-        heads, chunks = self._store.items(JOBS), self._store.items(CHUNKS)
+        heads, chunks = self._store.items(JOBS_PREFIX), self._store.items(CHUNKS_PREFIX)
         records = len(heads) + len(chunks)
         print(f"  take-over with {records} records of {len(heads)} jobs")
-        jobs, _ = self._timed("  decode records", lambda: asyncio.run(load_jobs(heads, chunks)), records)
+        jobs, _ = self._timed("  decode records", lambda: asyncio.run(decode_jobs(heads, chunks)), records)
         reports = self._reports(9)
-        cluster = self._timed("  the picture", lambda: Cluster(self._token, jobs, dict(TYPES), 0.0, SITE.lease_s))
+        cluster = self._timed(
+            "  the picture", lambda: ClusterState(self._token, jobs, dict(TYPES), 0.0, SITE.lease_s)
+        )
         self._term = self._begin(cluster)
         self._timed("  every machine's first report", lambda: self._observe(reports), self._machines)
         self._timed("  what they prove, in rounds", self._commit_all, self._machines)
 
-    def _reports(self, seq: int) -> list[Report]:
+    def _reports(self, seq: int) -> list[Heartbeat]:
         """Return a report of each machine, with the tasks that are placed there."""
         out = []
         for number in range(self._machines):
             name = f"vm-{number:06d}"
             machine = self._term.cluster.machines.get(name)
             placed = machine.tasks.items() if machine is not None else ()
-            tasks = tuple(TaskReport(task_name(*key), place.attempt, RUNNING) for key, place in placed)
+            tasks = tuple(
+                TaskStatus(format_task_name(*key), placement.attempt, TaskPhase.RUNNING) for key, placement in placed
+            )
             zone = ("north", "south")[number % 2]
-            out.append(Report(name, f"10.0.0.1:{number}", "big", zone, False, 1, seq, self._token, tasks))
+            out.append(Heartbeat(name, f"10.0.0.1:{number}", "big", zone, False, 1, seq, self._token, tasks))
         return out
 
-    def _observe(self, reports: list[Report]) -> None:
+    def _observe(self, reports: list[Heartbeat]) -> None:
         cluster = self._term.cluster
-        for report in reports:
-            machine = cluster.observe(report, self._now[0])
+        for heartbeat in reports:
+            machine = cluster.apply_heartbeat(heartbeat, self._now[0])
             assert machine is not None
-            cluster.news(machine)
-            commands_for(cluster, machine, report)
+            cluster.has_uncommitted_exits(machine)
+            commands_for_heartbeat(cluster, machine, heartbeat)
 
     def _commit_all(self) -> None:
         """Commit until nothing is left to do."""
         while True:
             self._now[0] += 1.0
             for machine in self._term.cluster.machines.values():
-                machine.heard_at = self._now[0]
-            batch = self._term.build()
-            if batch.empty:
+                machine.last_heartbeat_at = self._now[0]
+            batch = self._term.build_batch()
+            if batch.is_empty:
                 return
             self._number += 1
             encoded = encode_batch(batch, self._term.layout, self._token, self._number, self._mark)
             revision = self._store.txn(encoded.body)
             assert revision is not None
             self._mark = revision
-            self._term.commit(batch, self._mark, encoded.garbage)
+            self._term.apply_commit(batch, self._mark, encoded.obsolete_keys)
 
 
 def memory(machines: int) -> None:
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -3,12 +3,12 @@
 import asyncio
 from typing import Any
 
-from driftcleat.model import Job
+from driftcleat.cluster import Job
 from driftcleat.settings.platform import Platform, parse_platform
-from driftcleat.store.records import load_jobs
+from driftcleat.store.records import decode_jobs
 from driftcleat.wire import state
 from driftcleat.wire.cloud import MachineType
-from driftcleat.wire.users import Submission, parse_submission
+from driftcleat.wire.users import JobSpec, parse_submission
 
 
 def raw_job(number: int = 1, **changes: Any) -> dict[str, Any]:
@@ -39,7 +39,7 @@
     return raw
 
 
-def job(number: int = 1, **changes: Any) -> Submission:
+def job(number: int = 1, **changes: Any) -> JobSpec:
     """Return a checked submission."""
     return parse_submission(raw_job(number, **changes))
 
@@ -82,6 +82,6 @@
     return parse_platform("test.toml", raw)
 
 
-def loaded_jobs(heads: list[state.Item], chunks: list[state.Item]) -> tuple[dict[str, Job], list[str]]:
+def loaded_jobs(heads: list[state.KeyValue], chunks: list[state.KeyValue]) -> tuple[dict[str, Job], list[str]]:
     """Return jobs as a new leader reads them, and the keys of chunks that no job has."""
-    return asyncio.run(load_jobs(heads, chunks))
+    return asyncio.run(decode_jobs(heads, chunks))
--- a/tests/sharing_simulation.py
+++ b/tests/sharing_simulation.py
@@ -7,14 +7,14 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.clients import store_limits
+from driftcleat.controller.clients import store_limits
 from driftcleat.net import ConnectionLimiter, SocketBudget
 from driftcleat.settings import Platform, Tuning
 from driftcleat.sharing.allotments import Allotment, limit_of
 from driftcleat.sharing.host import SharingHost
 from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, MACHINES, share_root
 from driftcleat.sharing.settings import SharingSettings
-from driftcleat.store.records import LEADER, ROOT
+from driftcleat.store.records import LEADER_KEY, ROOT_PREFIX
 
 from .simulation import LABELS, Simulation, _Cloud, _Peers, _Store, _Workers
 from .standins import WatchingStore
@@ -85,7 +85,7 @@
         return label in self.processes and self.controllers[label].is_set_up(0)
 
     def lead(self) -> str | None:
-        return next((label for label in sorted(self.processes) if self.controllers[label].holds), None)
+        return next((label for label in sorted(self.processes) if self.controllers[label].may_decide), None)
 
     def owner(self, share: int) -> str | None:
         """Return who leads a share for certain."""
@@ -164,4 +164,4 @@
 
 def leader_key(share: int) -> str:
     """Return where a share's leader key lies."""
-    return LEADER if share == 0 else share_root(share) + LEADER[len(ROOT) :]
+    return LEADER_KEY if share == 0 else share_root(share) + LEADER_KEY[len(ROOT_PREFIX) :]
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.clients import store_limits
-from driftcleat.controller import Controller
-from driftcleat.fleet.cloud import CloudClient
+from driftcleat.cloud.client import CloudClient
+from driftcleat.controller.clients import store_limits
+from driftcleat.controller.controller import Controller
 from driftcleat.leadership import Role
 from driftcleat.net import ConnectionLimiter, HttpAnswer, HttpError, SocketBudget
 from driftcleat.peers import PeerClient
@@ -24,9 +24,9 @@
 from driftcleat.settings import Tuning
 from driftcleat.settings.platform import Platform, parse_platform
 from driftcleat.store.client import StoreClient
-from driftcleat.store.records import RentalRecord
-from driftcleat.wire.users import Kind, Submission, parse_submission
-from driftcleat.wire.workers import Orders, Report, Signal
+from driftcleat.store.records import ScaleOutRecord
+from driftcleat.wire.users import JobKind, JobSpec, parse_submission
+from driftcleat.wire.workers import Command, Heartbeat, HeartbeatResponse
 from driftcleat.workers import WorkerClient
 
 from .samples import TYPES, raw_settings
@@ -161,7 +161,7 @@
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         # Commands that arrived while it hung, and are carried out when it goes on.
-        self.backlog: list[tuple[int, int, list[Signal]]] = []
+        self.backlog: list[tuple[int, int, list[Command]]] = []
 
 
 class Simulation(World):
@@ -312,7 +312,7 @@
             (
                 label
                 for label in sorted(self.processes)
-                if hasattr(self.controllers[label], "election") and self.controllers[label].holds
+                if hasattr(self.controllers[label], "election") and self.controllers[label].may_decide
             ),
             None,
         )
@@ -415,23 +415,23 @@
             await self.forever()
         assert worker is not None
         raw = json.loads(body)
-        signals = wire.convert(raw["signals"], list[Signal])
+        commands = wire.convert(raw["signals"], list[Command])
         if worker.hung:
-            worker.backlog.append((raw["helm"], raw["watch"], signals))  # type: ignore[attr-defined]
+            worker.backlog.append((raw["helm"], raw["watch"], commands))  # type: ignore[attr-defined]
             await self.forever()
         if self.rng.random() < self.held_commands:
             await asyncio.sleep(self.rng.choice([2.0, 5.0, 15.0]))
         refused = raw["helm"] < worker.token or raw["watch"] != worker.session
-        worker.direct(raw["helm"], raw["watch"], signals)
+        worker.direct(raw["helm"], raw["watch"], commands)
         return (409 if refused else 200), wire.encode(worker.report())
 
-    def send_report(self, worker: PlainWorker, report: Report, sent_at: float) -> None:
+    def send_report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         """A worker reports to the controller it knows, and finds another if that one does not take it."""
-        self.spawn(self._report(worker, report, sent_at))
+        self.spawn(self._report(worker, heartbeat, sent_at))
 
-    async def _report(self, worker: Any, report: Report, sent_at: float) -> None:
+    async def _report(self, worker: Any, heartbeat: Heartbeat, sent_at: float) -> None:
         label = worker.only or self.attached.setdefault(worker.name, self.rng.choice(LABELS))
-        body = wire.encode(report)
+        body = wire.encode(heartbeat)
         if self.rng.random() < self.copies:
             self.spawn(self._copy(body))
         answer: Any = None
@@ -451,9 +451,11 @@
         while worker.hung:
             await asyncio.sleep(0.2)
         if answer is not None and answer.status == 200:
-            orders = wire.decode(answer.body, Orders)
-            worker.answer(report.session, report.seq, orders.token, orders.signals, sent_at)
-            if orders.token >= worker.token:
+            response = wire.decode(answer.body, HeartbeatResponse)
+            worker.answer(
+                heartbeat.worker_epoch, heartbeat.sequence, response.fencing_token, response.commands, sent_at
+            )
+            if response.fencing_token >= worker.token:
                 return
         leader = json.loads(answer.body).get("harbormaster") if answer is not None and answer.status == 421 else None
         others = [other for other in LABELS if other != label]
@@ -488,17 +490,17 @@
                 room = min(raw["howMany"], 3, self.capacity - len(self.alive()))
                 if room <= 0:
                     return 503, b'{"error":"no capacity"}'
-                record = RentalRecord(raw["build"], raw["harbor"], raw["driftwood"], raw["howMany"], 0.0)
+                record = ScaleOutRecord(raw["build"], raw["harbor"], raw["driftwood"], raw["howMany"], 0.0)
                 self.rentals_done[raw["charter"]] = tuple(self.boot(record) for _ in range(room))
             return 200, wire.encode({"bollards": self.rentals_done[raw["charter"]]})
         rows = self.listed_machines(lambda name: f"{name}:1")
         return 200, wire.encode({"bollards": rows, "truncated": False})
 
-    def boot(self, record: RentalRecord) -> str:
+    def boot(self, record: ScaleOutRecord) -> str:
         """A machine comes up."""
         self.rented += 1
         name = f"vm-{self.rented:06d}"
-        self.workers[name] = SimulatedWorker(self, name, self.types[record.type], record.zone, record.spot)
+        self.workers[name] = SimulatedWorker(self, name, self.types[record.machine_type], record.zone, record.spot)
         return name
 
     # -- users --------------------------------------------------------------------------------------------
@@ -523,7 +525,7 @@
 
     def hand_in(self, raw: dict[str, Any], label: str | None = None) -> asyncio.Task[Any]:
         """A user submits a job, and again until it is answered for good."""
-        spec: Submission = parse_submission(raw)
+        spec: JobSpec = parse_submission(raw)
         self.specs[spec.id] = spec
         self.wanted.add(spec.id)
 
@@ -612,9 +614,9 @@
             if (
                 state in ("done", "cancelled")
                 or job_id in self.cancelled
-                or any(self.told.get(need) != "done" for need in spec.needs or ())
+                or any(self.told.get(need) != "done" for need in spec.dependencies or ())
                 or any(task.job.id == job_id for _, task in live)
-                or (spec.kind is Kind.GANG and spec.tasks > 1)
+                or (spec.kind is JobKind.GANG and spec.tasks > 1)
                 or used + spec.gpus > team.gpus_max + 1e-6
                 or not any(self._has_room(worker, spec) for worker in self.alive())
             ):
@@ -622,7 +624,7 @@
             elif self.time() - passed_over.setdefault(job_id, self.time()) > 90.0:
                 raise RuleBrokenError(f"left waiting: {job_id} although there is room")
 
-    def _has_room(self, worker: PlainWorker, spec: Submission) -> bool:
+    def _has_room(self, worker: PlainWorker, spec: JobSpec) -> bool:
         """Whether a machine fits a task and has room for it."""
         tasks = [task.job for task in worker.tasks.values() if task.state != "exited"]
         return allowed(spec, worker.kind.name, worker.zone, worker.spot) and fits(
@@ -651,7 +653,7 @@
             for job_id, state in sorted(self.told.items()):
                 if state not in ("done", "cancelled"):
                     await self.poll(job_id)
-                    if spec_of[job_id].kind is Kind.SERVICE and job_id not in self.cancelled:
+                    if spec_of[job_id].kind is JobKind.SERVICE and job_id not in self.cancelled:
                         # Services run, and hold their team's quota, until somebody calls them off.
                         self.call_off(job_id)
             if set(self.told.values()) <= {"done", "cancelled"} and not self.on_machines():
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -13,8 +13,8 @@
 from driftcleat import wire
 from driftcleat.settings import Tuning
 from driftcleat.settings.platform import parse_platform
-from driftcleat.store.records import RentalRecord
-from driftcleat.wire.workers import Orders, Report, Signal
+from driftcleat.store.records import ScaleOutRecord
+from driftcleat.wire.workers import Command, Heartbeat, HeartbeatResponse
 
 from .samples import TYPES, raw_settings
 from .world import PlainStore, PlainWorker, World
@@ -129,18 +129,20 @@
                 await asyncio.sleep(0.02)
             return 200, {"logline": store.revision, "log": []}
         if path == "/store":
-            items = [item for item in store.items(query["under"]) if item.key > query.get("from", "")]
-            page = items[: int(query["page"])]
+            key_values = [
+                key_value for key_value in store.items(query["under"]) if key_value.key > query.get("from", "")
+            ]
+            page = key_values[: int(query["page"])]
             rows = [
                 {
-                    "key": item.key,
-                    "v": json.loads(bytes(item.value)),
-                    "entry": item.version,
-                    "berth": self.attached.get(item.key),
+                    "key": key_value.key,
+                    "v": json.loads(bytes(key_value.value)),
+                    "entry": key_value.mod_revision,
+                    "berth": self.attached.get(key_value.key),
                 }
-                for item in page
+                for key_value in page
             ]
-            return 200, {"rows": rows, "truncated": len(items) > len(page), "logline": store.revision}
+            return 200, {"rows": rows, "truncated": len(key_values) > len(page), "logline": store.revision}
         key = path[len("/store/") :]
         if key not in store.data:
             return 404, {"logline": store.revision}
@@ -236,12 +238,12 @@
         self.addresses: dict[str, str] = {}
         self.pause_s = 0.02
 
-    def send_report(self, worker: PlainWorker, report: Report, sent_at: float) -> None:
-        task = asyncio.ensure_future(self._report(worker, report, sent_at))
+    def send_report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
+        task = asyncio.ensure_future(self._report(worker, heartbeat, sent_at))
         self.pending.add(task)
         task.add_done_callback(self.pending.discard)
 
-    async def _report(self, worker: PlainWorker, report: Report, sent_at: float) -> None:
+    async def _report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         assert self.session is not None
         if not self.fronts:
             # All controllers are down: as a connection that is refused.
@@ -250,20 +252,23 @@
         label = self.attached.get(worker.name)
         if label not in self.fronts:
             label = self.attached[worker.name] = random.choice(sorted(self.fronts))
-        report = wire.convert(
-            wire.decode(wire.encode(report), dict) | {"addr": self.addresses["workers"] + "/" + worker.name}, Report
+        heartbeat = wire.convert(
+            wire.decode(wire.encode(heartbeat), dict) | {"addr": self.addresses["workers"] + "/" + worker.name},
+            Heartbeat,
         )
         try:
             async with self.session.post(
                 f"http://{self.fronts[label]}/agent/beat",
-                data=wire.encode(report),
+                data=wire.encode(heartbeat),
                 timeout=aiohttp.ClientTimeout(total=4),
             ) as response:
                 data = await response.read()
                 if response.status == 200:
-                    orders = wire.decode(data, Orders)
-                    worker.answer(report.session, report.seq, orders.token, orders.signals, sent_at)
-                    if orders.signals:
+                    orders = wire.decode(data, HeartbeatResponse)
+                    worker.answer(
+                        heartbeat.worker_epoch, heartbeat.sequence, orders.fencing_token, orders.commands, sent_at
+                    )
+                    if orders.commands:
                         worker.next_report = min(worker.next_report, self.now + 0.1)
                     return
                 leader = json.loads(data).get("harbormaster") if response.status == 421 else None
@@ -278,9 +283,9 @@
         worker = self.workers.get(request.path.split("/")[1])
         if worker is None or worker.gone:
             return web.json_response({}, status=404)
-        signals = wire.convert(raw["signals"], list[Signal])
+        commands = wire.convert(raw["signals"], list[Command])
         refused = raw["helm"] < worker.token or raw["watch"] != worker.session
-        worker.direct(raw["helm"], raw["watch"], signals)
+        worker.direct(raw["helm"], raw["watch"], commands)
         worker.next_report = min(worker.next_report, self.now + 0.1)
         return web.Response(body=wire.encode(worker.report()), status=409 if refused else 200)
 
@@ -300,7 +305,7 @@
         if request.method == "POST":
             raw = json.loads(body)
             if raw["charter"] not in self.rentals_done:
-                record = RentalRecord(raw["build"], raw["harbor"], raw["driftwood"], raw["howMany"], 0.0)
+                record = ScaleOutRecord(raw["build"], raw["harbor"], raw["driftwood"], raw["howMany"], 0.0)
                 self.rentals_done[raw["charter"]] = tuple(self.boot(record) for _ in range(raw["howMany"]))
             return web.json_response({"bollards": self.rentals_done[raw["charter"]]})
         rows = self.listed_machines(lambda name: f"{self.addresses['workers']}/{name}")
@@ -387,7 +392,7 @@
 
     def start(self, label: str) -> None:
         """Start a controller."""
-        from driftcleat.controller import Controller
+        from driftcleat.controller.controller import Controller
 
         controller = Controller(self.platforms[label], Tuning())
         self.controllers[label] = controller
@@ -409,7 +414,7 @@
 
     def leader(self) -> str | None:
         """Return who leads for certain."""
-        return next((label for label in self.running if self.controllers[label].holds), None)
+        return next((label for label in self.running if self.controllers[label].may_decide), None)
 
     async def call(self, label: str, method: str, path: str, body: Any = None) -> tuple[int, Any, Any]:
         """Send a user's request to one controller; return status, JSON and headers."""
--- a/tests/terms.py
+++ b/tests/terms.py
@@ -3,12 +3,12 @@
 import random
 from collections.abc import Callable
 
-from driftcleat.model import Cluster
+from driftcleat.cluster import ClusterState
+from driftcleat.scheduler import PendingRequest, Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.records import Layout, encode_batch
-from driftcleat.term import Term, Ticket
-from driftcleat.wire.users import Submission
-from driftcleat.wire.workers import Report
+from driftcleat.store.records import RecordLayout, encode_batch
+from driftcleat.wire.users import JobSpec
+from driftcleat.wire.workers import Heartbeat
 
 from .samples import TYPES, platform
 
@@ -16,13 +16,15 @@
 TOKEN = 5
 
 
-def new_term(site: Platform, cluster: Cluster, now: list[float], clock: Callable[[], float] | None = None) -> Term:
+def new_term(
+    site: Platform, cluster: ClusterState, now: list[float], clock: Callable[[], float] | None = None
+) -> Scheduler:
     """Return a term on a store that is brand new; `clock` stands for the time in `now`."""
-    return Term(
+    return Scheduler(
         site,
         Tuning(),
         cluster,
-        Layout(site.value_bytes, site.txn_ops),
+        RecordLayout(site.value_bytes, site.txn_ops),
         random.Random(1),
         clock or (lambda: now[0]),
         lambda: now[0],
@@ -30,39 +32,39 @@
     )
 
 
-def fleet(machines: int) -> tuple[Term, list[float]]:
+def fleet(machines: int) -> tuple[Scheduler, list[float]]:
     """Return a term with that many empty machines, and its clock."""
     now = [0.0]
     site = platform()
-    cluster = Cluster(TOKEN, {}, dict(TYPES), 0.0, site.lease_s)
-    term = new_term(site, cluster, now)
+    cluster = ClusterState(TOKEN, {}, dict(TYPES), 0.0, site.lease_s)
+    scheduler = new_term(site, cluster, now)
     for number in range(machines):
         zone = ("north", "south")[number % 2]
-        cluster.observe(Report(f"vm-{number}", "h", "big", zone, False, 1, 1, TOKEN, ()), 0.0)
-    return term, now
+        cluster.apply_heartbeat(Heartbeat(f"vm-{number}", "h", "big", zone, False, 1, 1, TOKEN, ()), 0.0)
+    return scheduler, now
 
 
-def commit_next(term: Term) -> bool:
+def commit_next(scheduler: Scheduler) -> bool:
     """Commit the next batch; False if there is nothing to commit."""
-    batch = term.build()
-    if batch.empty:
+    batch = scheduler.build_batch()
+    if batch.is_empty:
         return False
-    number = term.counters.batches + 1
-    term.commit(batch, number, encode_batch(batch, term.layout, TOKEN, number, 0).garbage)
+    number = scheduler.counters.batches + 1
+    scheduler.apply_commit(batch, number, encode_batch(batch, scheduler.layout, TOKEN, number, 0).obsolete_keys)
     return True
 
 
-def commit_all(term: Term) -> None:
+def commit_all(scheduler: Scheduler) -> None:
     """Commit until nothing is left to do."""
-    while commit_next(term):
+    while commit_next(scheduler):
         pass
 
 
-def accept(term: Term, *specs: Submission) -> None:
+def accept(scheduler: Scheduler, *specs: JobSpec) -> None:
     """Commit submissions; what they ask for may be placed from now on, and is not yet."""
-    term.pacing.place_from = float("inf")
+    scheduler.pacing.placement_starts_at = float("inf")
     for spec in specs:
-        term.admission.submit(Ticket(lambda view: None, spec))
-    commit_all(term)
-    term.pacing.place_from = 0.0
-    term.pacing.note_change()
+        scheduler.admission.submit(PendingRequest(lambda status: None, spec))
+    commit_all(scheduler)
+    scheduler.pacing.placement_starts_at = 0.0
+    scheduler.pacing.record_change()
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -5,14 +5,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftcleat.fleet.sizing import CandidatePool, Demand, plan_fleet
-from driftcleat.model import Cluster, Job, MachineState, commands_for
+from driftcleat.capacity.sizing import CandidatePool, Demand, plan_fleet
+from driftcleat.cluster import ClusterState, Job, MachineState, commands_for_heartbeat
 from driftcleat.placement.candidates import Candidate, allowed, capacity, fits, spread_limit
-from driftcleat.placement.engine import Limits, PlacementRound
-from driftcleat.store.records import RentalRecord
-from driftcleat.term import Ticket
+from driftcleat.placement.placement_round import PlacementRound, QuotaHeadroom
+from driftcleat.scheduler import PendingRequest
+from driftcleat.store.records import ScaleOutRecord
 from driftcleat.wire.cloud import MachineType
-from driftcleat.wire.workers import Report, TaskReport
+from driftcleat.wire.workers import Heartbeat, TaskStatus
 
 from .samples import BIG, TYPES, job, platform
 from .terms import new_term
@@ -40,13 +40,15 @@
 
 def test_a_machine_that_never_heard_us_is_given_nothing() -> None:
     now = [100.0]
-    term = make_term(now)
-    first = Report("vm-2", "h:2", "big", "north", False, 1, 1, 0, ())
-    machine = term.cluster.observe(first, now[0])
-    assert machine is not None and not term.candidates.takes_tasks(machine, now[0])
-    commands_for(term.cluster, machine, first)
-    heard = Report("vm-2", "h:2", "big", "north", False, 1, 2, 5, ())
-    assert term.cluster.observe(heard, now[0]) is machine and term.candidates.takes_tasks(machine, now[0])
+    scheduler = make_term(now)
+    first = Heartbeat("vm-2", "h:2", "big", "north", False, 1, 1, 0, ())
+    machine = scheduler.cluster.apply_heartbeat(first, now[0])
+    assert machine is not None and not scheduler.candidates.takes_tasks(machine, now[0])
+    commands_for_heartbeat(scheduler.cluster, machine, first)
+    heard = Heartbeat("vm-2", "h:2", "big", "north", False, 1, 2, 5, ())
+    assert scheduler.cluster.apply_heartbeat(heard, now[0]) is machine and scheduler.candidates.takes_tasks(
+        machine, now[0]
+    )
 
 
 def test_a_cancelled_task_on_an_unresponsive_machine_is_gone_in_time() -> None:
@@ -61,33 +63,33 @@
 
 def test_one_lost_answer_makes_no_machine_unresponsive() -> None:
     now = [100.0]
-    term = make_term(now)
-    placed(term, hands=1)
-    machine = term.cluster.machines["vm-1"]
+    scheduler = make_term(now)
+    placed(scheduler, hands=1)
+    machine = scheduler.cluster.machines["vm-1"]
     for seq in (2, 3):
         newest = report(seq)
-        term.cluster.observe(newest, now[0])
-        commands_for(term.cluster, machine, newest)
-    assert machine.unacknowledged == 1
-    attempt = term.cluster.jobs["req-000001"].places[0].attempt
-    term.cluster.observe(report(4, TaskReport("req-000001/0", attempt, "running")), now[0])
-    assert machine.unacknowledged == 0 and term.candidates.takes_tasks(machine, now[0])
+        scheduler.cluster.apply_heartbeat(newest, now[0])
+        commands_for_heartbeat(scheduler.cluster, machine, newest)
+    assert machine.unacknowledged_responses == 1
+    attempt = scheduler.cluster.jobs["req-000001"].placements[0].attempt
+    scheduler.cluster.apply_heartbeat(report(4, TaskStatus("req-000001/0", attempt, "running")), now[0])
+    assert machine.unacknowledged_responses == 0 and scheduler.candidates.takes_tasks(machine, now[0])
 
 
 def test_many_unresponsive_at_once_are_not_returned() -> None:
     """Guards against a leader too slow to answer that takes the whole fleet for unresponsive."""
     now = [1000.0]
-    term = make_term(now)
-    term.cluster.started_at = 0.0
+    scheduler = make_term(now)
+    scheduler.cluster.started_at = 0.0
     for number in range(2, 12):
-        term.cluster.observe(Report(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
+        scheduler.cluster.apply_heartbeat(Heartbeat(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
     empty = plan_fleet([], [], TYPES, lambda offer: False, 1)
-    empty.used.update(term.cluster.machines)
-    for count, machine in enumerate(term.cluster.machines.values(), 1):
-        machine.unacknowledged, machine.unacknowledged_since = 9, 0.0
+    empty.machines_in_use.update(scheduler.cluster.machines)
+    for count, machine in enumerate(scheduler.cluster.machines.values(), 1):
+        machine.unacknowledged_responses, machine.unacknowledged_since = 9, 0.0
         if count == 2:
-            assert len(term.surplus(empty, now[0])) == 2
-    assert term.surplus(empty, now[0]) == []
+            assert len(scheduler.select_scale_in(empty, now[0])) == 2
+    assert scheduler.select_scale_in(empty, now[0]) == []
 
 
 # -- late copies of reports ----------------------------------------------------------------------------------
@@ -96,35 +98,35 @@
 def test_a_late_copy_proves_nothing_to_a_new_leader() -> None:
     """Guards against a report of a machine long gone: it was taken for a machine with room."""
     now = [100.0]
-    cluster = Cluster(9, {}, dict(TYPES), now[0], SITE.lease_s)
-    term = new_term(SITE, cluster, now)
-    copy = Report("vm-1", "h:1", "big", "north", False, 1, 7, 5, (), 3.0)
-    machine = cluster.observe(copy, now[0])
+    cluster = ClusterState(9, {}, dict(TYPES), now[0], SITE.lease_s)
+    scheduler = new_term(SITE, cluster, now)
+    copy = Heartbeat("vm-1", "h:1", "big", "north", False, 1, 7, 5, (), 3.0)
+    machine = cluster.apply_heartbeat(copy, now[0])
     assert machine is not None
-    assert not term.candidates.takes_tasks(machine, now[0]) and term.candidates.all(now[0]) == []
+    assert not scheduler.candidates.takes_tasks(machine, now[0]) and scheduler.candidates.all(now[0]) == []
     assert machine.state is MachineState.UP, "an old notice drains nothing"
-    term.admission.submit(Ticket(lambda view: None, job(1), "req-000001"))
-    commit(term)
-    commit(term)
-    assert not term.cluster.jobs["req-000001"].places
+    scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
+    commit(scheduler)
+    commit(scheduler)
+    assert not scheduler.cluster.jobs["req-000001"].placements
 
 
 def test_a_late_copy_starts_stops_and_forgets_nothing() -> None:
     now = [0.0]
-    term = make_term(now)
-    attempt = placed(term, hands=1).places[0].attempt
-    running = TaskReport("req-000001/0", attempt, "running")
+    scheduler = make_term(now)
+    attempt = placed(scheduler, hands=1).placements[0].attempt
+    running = TaskStatus("req-000001/0", attempt, "running")
     early = report(2)
-    machine = term.cluster.observe(early, 1.0)
+    machine = scheduler.cluster.apply_heartbeat(early, 1.0)
     assert machine is not None
-    assert [signal.op for signal in commands_for(term.cluster, machine, early)] == ["start"]
-    term.cluster.observe(report(3, running), 2.0)
-    for late in (early, report(2, TaskReport("req-000001/0", attempt, "exited", "done")), report(1, session=1)):
-        assert term.cluster.observe(late, 50.0) is None
-        assert commands_for(term.cluster, machine, late) == []
-    commit(term)
-    assert machine.heard_at == 2.0, "it revives nothing"
-    assert term.cluster.jobs["req-000001"].done == 0 and term.cluster.jobs["req-000001"].places
+    assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, early)] == ["start"]
+    scheduler.cluster.apply_heartbeat(report(3, running), 2.0)
+    for late in (early, report(2, TaskStatus("req-000001/0", attempt, "exited", "done")), report(1, session=1)):
+        assert scheduler.cluster.apply_heartbeat(late, 50.0) is None
+        assert commands_for_heartbeat(scheduler.cluster, machine, late) == []
+    commit(scheduler)
+    assert machine.last_heartbeat_at == 2.0, "it revives nothing"
+    assert scheduler.cluster.jobs["req-000001"].tasks_done == 0 and scheduler.cluster.jobs["req-000001"].placements
 
 
 def test_copies_of_every_report_break_no_rule() -> None:
@@ -160,7 +162,7 @@
     world.run(2 * world.platform.lease_s)
     assert old.stepped_down, "a worker that saw the new token told it"
     assert old.term.counters.batches == batches
-    heard = [machine for machine in world.leader.term.cluster.machines.values() if machine.trusted]
+    heard = [machine for machine in world.leader.term.cluster.machines.values() if machine.fence_acknowledged]
     assert len(heard) >= len(world.alive()) - 1, "the workers are with the new leader"
     assert before <= {(worker.name, task.job.id, task.attempt) for worker, task in world.on_machines()}
     world.settle()
@@ -186,7 +188,7 @@
     tokens = []
     for label in "aabcaab":
         world.leader.silent = True
-        tokens.append(world.elect(label).term.cluster.token)
+        tokens.append(world.elect(label).term.cluster.fencing_token)
         world.run(0.5)
     assert tokens == sorted(set(tokens))
     world.run(40.0)
@@ -221,9 +223,9 @@
     world = World(5, site, {"big": BIG})
     world.elect()
     for _ in range(6):
-        world.boot(RentalRecord("big", "north", False, 1, 0.0))
+        world.boot(ScaleOutRecord("big", "north", False, 1, 0.0))
     # The cloud has no more: what comes free is all there is.
-    world.leader.term.rentals.rent = lambda plan: None  # type: ignore[method-assign]
+    world.leader.term.scale_out.request = lambda plan: None  # type: ignore[method-assign]
     for number in range(1, 7):
         world.submit(
             job(
@@ -238,56 +240,62 @@
         )
         world.run(4.0)
     started = world.leader.term.cluster.jobs.get("req-000099")
-    assert started is None or started.places, "the large one has its machines"
+    assert started is None or started.placements, "the large one has its machines"
 
 
 def test_what_a_gang_waits_for_is_kept_for_it() -> None:
     now = [100.0]
-    term = make_term(now)
+    scheduler = make_term(now)
     for number in (2, 3):
-        term.cluster.observe(Report(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
+        scheduler.cluster.apply_heartbeat(Heartbeat(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
     low = job(1, hands=3, cores=16.0, rank="best_effort", voyageS=500.0)
-    term.admission.submit(Ticket(lambda view: None, low, low.id))
-    commit(term)
-    commit(term)
-    assert len(term.cluster.jobs[low.id].places) == 3
+    scheduler.admission.submit(PendingRequest(lambda status: None, low, low.id))
+    commit(scheduler)
+    commit(scheduler)
+    assert len(scheduler.cluster.jobs[low.id].placements) == 3
     gang = job(2, hands=2, rig="group", rank="high", cores=16.0, together=True, crew="blue")
-    term.admission.submit(Ticket(lambda view: None, gang, gang.id))
-    commit(term)
-    commit(term)
-    stopped = {place.machine for place in term.cluster.jobs[low.id].places.values() if place.stop is not None}
-    assert len(stopped) == 2 and set(term.preemption.reservations.machines_of(gang.id)) == stopped
-    assert len(term.preemption.reservations) == len(stopped)
+    scheduler.admission.submit(PendingRequest(lambda status: None, gang, gang.id))
+    commit(scheduler)
+    commit(scheduler)
+    stopped = {
+        placement.machine
+        for placement in scheduler.cluster.jobs[low.id].placements.values()
+        if placement.stop_grace_s is not None
+    }
+    assert len(stopped) == 2 and set(scheduler.preemption.reservations.machines_of(gang.id)) == stopped
+    assert len(scheduler.preemption.reservations) == len(stopped)
 
 
 def test_a_free_machine_is_kept_beside_one_that_comes_free() -> None:
     """Guards against smaller jobs taking the free machines of a gang one by one while the others come free."""
     now = [100.0]
-    term = make_term(now)
-    term.cluster.observe(Report("vm-2", "h", "big", "north", False, 1, 1, 5, ()), now[0])
+    scheduler = make_term(now)
+    scheduler.cluster.apply_heartbeat(Heartbeat("vm-2", "h", "big", "north", False, 1, 1, 5, ()), now[0])
     low = job(1, hands=1, cores=16.0, rank="best_effort", voyageS=500.0)
-    term.admission.submit(Ticket(lambda view: None, low, low.id))
-    commit(term)
-    commit(term)
+    scheduler.admission.submit(PendingRequest(lambda status: None, low, low.id))
+    commit(scheduler)
+    commit(scheduler)
     gang = job(2, hands=2, rig="group", rank="high", cores=16.0, together=True, crew="blue")
-    term.admission.submit(Ticket(lambda view: None, gang, gang.id))
-    commit(term)
-    commit(term)
-    assert set(term.preemption.reservations.machines_of(gang.id)) == {"vm-1", "vm-2"}
+    scheduler.admission.submit(PendingRequest(lambda status: None, gang, gang.id))
+    commit(scheduler)
+    commit(scheduler)
+    assert set(scheduler.preemption.reservations.machines_of(gang.id)) == {"vm-1", "vm-2"}
     small = job(3, hands=1, cores=1.0, rank="critical", crew="blue")
-    term.admission.submit(Ticket(lambda view: None, small, small.id))
+    scheduler.admission.submit(PendingRequest(lambda status: None, small, small.id))
     now[0] += 1.0
     for _ in range(3):
-        commit(term)
-    assert not term.cluster.jobs[small.id].places, "what is held is for the gang"
+        commit(scheduler)
+    assert not scheduler.cluster.jobs[small.id].placements, "what is held is for the gang"
     now[0] += 60.0
     for name in ("vm-1", "vm-2"):
-        known = term.cluster.machines[name].report
+        known = scheduler.cluster.machines[name].last_heartbeat
         assert known is not None
-        term.cluster.observe(Report(name, "h", "big", "north", False, 1, known.seq + 1, 5, ()), now[0])
+        scheduler.cluster.apply_heartbeat(
+            Heartbeat(name, "h", "big", "north", False, 1, known.sequence + 1, 5, ()), now[0]
+        )
     for _ in range(3):
-        commit(term)
-    assert term.cluster.jobs[small.id].places, "not for ever"
+        commit(scheduler)
+    assert scheduler.cluster.jobs[small.id].placements, "not for ever"
 
 
 # -- sizing and the store's changes, at size -----------------------------------------------------------------
@@ -298,7 +306,7 @@
     dear = MachineType("dear", 16.0, 4.0, 64.0, 100.0, 1.0, 40.0, 30.0, 30.0, ("south",))
     cheap = MachineType("cheap", 16.0, 4.0, 64.0, 100.0, 1.0, 4.0, 3.0, 30.0, ("north",))
     plan = plan_fleet([Demand(job(1, hands=4), 40, {})], [], {"dear": dear, "cheap": cheap}, lambda offer: False, 64)
-    assert plan.rentals == {("cheap", "north", False): 10}
+    assert plan.scale_out == {("cheap", "north", False): 10}
     expected = Demand(job(1, hands=4), 40, {})
     CandidatePool(Candidate(f"vm-{number}", "big", "north", False, 16.0, 4.0, 64.0) for number in range(10)).fill(
         expected, set()
@@ -313,11 +321,13 @@
         zone_left = demand.tasks - taken
         if demand.per_zone is not None:
             zone_left = min(zone_left, demand.per_zone - demand.zones.get(room.zone, 0))
-        if not allowed(spec, room.type, room.zone, room.spot) or not fits(spec, room.cpus, room.gpus, room.memory_gb):
+        if not allowed(spec, room.machine_type, room.zone, room.spot) or not fits(
+            spec, room.cpus, room.gpus, room.memory_gb
+        ):
             continue
         count = capacity(spec, room.cpus, room.gpus, room.memory_gb, zone_left) if zone_left > 0 else 0
         if count > 0:
-            room.take(spec, count)
+            room.allocate(spec, count)
             demand.zones[room.zone] = demand.zones.get(room.zone, 0) + count
             taken += count
     return taken
@@ -328,26 +338,26 @@
 def test_candidates_in_groups_hold_what_each_by_itself_holds(data: st.DataObject) -> None:
     rooms = []
     for number in range(data.draw(st.integers(0, 24))):
-        kind = data.draw(st.sampled_from([TYPES["big"], TYPES["small"]]))
+        machine_type = data.draw(st.sampled_from([TYPES["big"], TYPES["small"]]))
         share = data.draw(st.sampled_from([0.0, 0.5, 1.0]))
         rooms.append(
             Candidate(
                 f"vm-{number:03d}",
-                kind.name,
+                machine_type.name,
                 data.draw(st.sampled_from(["north", "south"])),
                 data.draw(st.booleans()),
-                kind.cpus * share,
-                kind.gpus * share,
-                kind.memory_gb * share,
+                machine_type.cpus * share,
+                machine_type.gpus * share,
+                machine_type.memory_gb * share,
                 busy=share < 1.0,
-                price=kind.price,
-                whole=(kind.cpus, kind.gpus, kind.memory_gb),
+                price=machine_type.price,
+                total_resources=(machine_type.cpus, machine_type.gpus, machine_type.memory_gb),
             )
         )
     plain = [
         Candidate(
             room.name,
-            room.type,
+            room.machine_type,
             room.zone,
             room.spot,
             room.cpus,
@@ -355,7 +365,7 @@
             room.memory_gb,
             busy=room.busy,
             price=room.price,
-            whole=room.whole,
+            total_resources=room.total_resources,
         )
         for room in rooms
     ]
@@ -382,27 +392,27 @@
 
 def test_users_go_before_exits_and_exits_before_notes() -> None:
     now = [0.0]
-    term = make_term(now)
+    scheduler = make_term(now)
     for number in range(4):
-        term.housekeeping.notes[f"driftcleat/machines/vm-{number}"] = number
-    term.admission.submit(Ticket(lambda view: None, job(1), "req-000001"))
-    few = term.platform.write_rps * term.tuning.reserve
-    batch = term.build(few)
-    assert batch.created == {"req-000001"} and not batch.extra_puts, "what is left is kept for users"
-    term.commit(batch, 9, [])
-    assert not term.build(few).heads, "a placement waits for more"
-    batch = term.build(term.platform.write_rps)
-    assert batch.heads == {"req-000001"} and len(batch.extra_puts) == 4
+        scheduler.garbage_collector.pending_puts[f"driftcleat/machines/vm-{number}"] = number
+    scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
+    few = scheduler.platform.write_rps * scheduler.tuning.reserve
+    batch = scheduler.build_batch(few)
+    assert batch.created == {"req-000001"} and not batch.puts, "what is left is kept for users"
+    scheduler.apply_commit(batch, 9, [])
+    assert not scheduler.build_batch(few).changed_jobs, "a placement waits for more"
+    batch = scheduler.build_batch(scheduler.platform.write_rps)
+    assert batch.changed_jobs == {"req-000001"} and len(batch.puts) == 4
 
 
 def test_small_machines_with_one_task_each_are_no_bargain_while_others_wait() -> None:
     """Seen on the bench: two hundred machines were rented for one task each, their other places of no use to any."""
     little = MachineType("little", 24.0, 4.0, 96.0, 100.0, 1.0, 11.0, 2.9, 30.0, ("north",))
     large = MachineType("large", 96.0, 8.0, 576.0, 100.0, 1.0, 17.8, 4.3, 30.0, ("north",))
-    types = {kind.name: kind for kind in (little, large)}
+    types = {machine_type.name: machine_type for machine_type in (little, large)}
     spec = job(1, hands=80, cores=10.0, memGb=54.0, driftwood=True)
     plan = plan_fleet([Demand(spec, 80, {})], [], types, lambda offer: offer == ("large", "north", True), 64)
-    assert plan.rentals == {("large", "north", False): 10}
+    assert plan.scale_out == {("large", "north", False): 10}
 
 
 def test_at_one_price_work_goes_where_controllers_are() -> None:
@@ -412,9 +422,14 @@
     plan = plan_fleet(
         [Demand(job(1, hands=4), 4, {})], [], {"big": BIG}, lambda offer: False, 9, lambda zone: int(zone == "north")
     )
-    assert {offer[1] for offer in plan.rentals} == {"south"}
-    rooms = [Candidate(f"vm-{number}", "big", "north", False, 8.0, 2.0, 32.0, away=number) for number in (1, 0, 2)]
-    ((_, room),) = PlacementRound(rooms, 9, random.Random(1)).place(Job(job(2, hands=1), 0.0), Limits(99.0, 99.0), 1)
+    assert {offer[1] for offer in plan.scale_out} == {"south"}
+    rooms = [
+        Candidate(f"vm-{number}", "big", "north", False, 8.0, 2.0, 32.0, controllers_elsewhere=number)
+        for number in (1, 0, 2)
+    ]
+    ((_, room),) = PlacementRound(rooms, 9, random.Random(1)).place(
+        Job(job(2, hands=1), 0.0), QuotaHeadroom(99.0, 99.0), 1
+    )
     assert room.name == "vm-0"
 
 
@@ -429,30 +444,30 @@
         ("daemon", "standard", "cheap"),
     ):
         plan = plan_fleet([Demand(job(1, rig=rig, rank=rank, hands=4), 4, {})], [], types, lambda offer: False, 9)
-        assert {offer[0] for offer in plan.rentals} == {wanted}
+        assert {offer[0] for offer in plan.scale_out} == {wanted}
 
 
 def test_services_stop_lower_work_where_their_image_is_for_several_replicas_at_once() -> None:
     now = [100.0]
-    term = make_term(now)
+    scheduler = make_term(now)
     for name, zone in (("vm-2", "north"), ("vm-3", "south")):
-        term.cluster.observe(Report(name, "h", "big", zone, False, 1, 1, 5, ()), now[0])
+        scheduler.cluster.apply_heartbeat(Heartbeat(name, "h", "big", zone, False, 1, 1, 5, ()), now[0])
     low = job(1, hands=2, cores=16.0, rank="best_effort", mooringS=1.0, stowS=0.0, imageGb=0.1, hull="img-low")
-    term.admission.submit(Ticket(lambda view: None, low, low.id))
-    commit(term)
-    commit(term)
-    cluster = term.cluster
-    for place in cluster.jobs[low.id].places.values():
-        machine = cluster.machines[place.machine]
-        machine.note_image("img-svc", 60.0)
-        machine.fetched.add("img-svc")
+    scheduler.admission.submit(PendingRequest(lambda status: None, low, low.id))
+    commit(scheduler)
+    commit(scheduler)
+    cluster = scheduler.cluster
+    for placement in cluster.jobs[low.id].placements.values():
+        machine = cluster.machines[placement.machine]
+        machine.record_image("img-svc", 60.0)
+        machine.fetched_images.add("img-svc")
         for key in machine.tasks:
-            machine.phases[key] = "running"
+            machine.task_phases[key] = "running"
     service = job(2, rig="daemon", rank="critical", hands=2, hull="img-svc", imageGb=60.0, crew="blue")
-    term.admission.submit(Ticket(lambda view: None, service, service.id))
-    commit(term)
-    commit(term)
-    assert all(place.stop is not None for place in cluster.jobs[low.id].places.values())
-    reservations = term.preemption.reservations
+    scheduler.admission.submit(PendingRequest(lambda status: None, service, service.id))
+    commit(scheduler)
+    commit(scheduler)
+    assert all(placement.stop_grace_s is not None for placement in cluster.jobs[low.id].placements.values())
+    reservations = scheduler.preemption.reservations
     assert 0 < len(reservations) == len(reservations.machines_of(service.id))
-    assert term.preemption.waits_for_image(term.cluster.jobs[service.id], now[0])
+    assert scheduler.preemption.waits_for_image(scheduler.cluster.jobs[service.id], now[0])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,15 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftcleat.fleet.silence import Silence
-from driftcleat.fleet.sizing import Plan
+from driftcleat.capacity.failure_detector import FailureDetector
+from driftcleat.capacity.sizing import CapacityPlan
+from driftcleat.cluster import MachineState
 from driftcleat.leadership import PeerSurvey
-from driftcleat.model import MachineState
 from driftcleat.net import ConnectionLimiter, HttpClient, SocketBudget
 from driftcleat.net.budget import OWN
 from driftcleat.net.limiter import ClientKind
-from driftcleat.term import Ticket
-from driftcleat.wire.workers import Report, TaskReport
+from driftcleat.scheduler import PendingRequest
+from driftcleat.wire.workers import Heartbeat, TaskStatus
 from driftcleat.workers import WorkerClient
 
 from .samples import TYPES, job, platform, raw_job
@@ -129,7 +129,7 @@
     assert leader is not None
     limited = site.controllers[leader].front.limiter
     limited.most, limited.kept = 24, 20
-    token = site.controllers[leader].election.token
+    token = site.controllers[leader].election.fencing_token
     connector = aiohttp.TCPConnector(limit=0, force_close=False)
     async with aiohttp.ClientSession(connector=connector) as session:
 
@@ -149,7 +149,7 @@
         assert len(limited.open) <= limited.most
     await accepted(site, leader, raw_job(1, voyageS=0.5))
     await reaches(site, leader, "req-000001", "done")
-    assert site.controllers[leader].election.token == token, "it still leads"
+    assert site.controllers[leader].election.fencing_token == token, "it still leads"
 
 
 def test_a_call_to_a_worker_does_not_wait_for_machines_that_are_silent() -> None:
@@ -193,13 +193,13 @@
 # -- many machines silent at once ----------------------------------------------------------------------------
 
 
-def counted(zones: dict[str, tuple[int, int]]) -> Silence:
+def counted(zones: dict[str, tuple[int, int]]) -> FailureDetector:
     """Return a picture with so many silent of so many machines a zone."""
-    silence = Silence(10.0, 40.0, 0.05)
+    failures = FailureDetector(10.0, 40.0, 0.05)
     for zone, (silent, known) in zones.items():
         for number in range(known):
-            silence.count(zone, 8.0 if number < silent else 0.0)
-    return silence
+            failures.count(zone, 8.0 if number < silent else 0.0)
+    return failures
 
 
 def test_silence_is_borne_longer_the_more_share_it() -> None:
@@ -232,12 +232,14 @@
 
 def fleet_term(now: list[float], count: int, zones: tuple[str, ...] = ("north", "south")):  # type: ignore[no-untyped-def]
     """Return a term, long begun, with `count` machines in each zone that have just reported."""
-    term = make_term(now)
-    term.cluster.started_at = now[0] - 1000.0
+    scheduler = make_term(now)
+    scheduler.cluster.started_at = now[0] - 1000.0
     for zone in zones:
         for number in range(count):
-            term.cluster.observe(Report(f"vm-{zone}-{number}", "h:1", "big", zone, False, 1, 1, 5, ()), now[0])
-    return term
+            scheduler.cluster.apply_heartbeat(
+                Heartbeat(f"vm-{zone}-{number}", "h:1", "big", zone, False, 1, 1, 5, ()), now[0]
+            )
+    return scheduler
 
 
 def hear(term, now: list[float], zone: str, seq: int, only=lambda number: True) -> None:  # type: ignore[no-untyped-def]
@@ -245,18 +247,18 @@
     for number in range(20):
         name = f"vm-{zone}-{number}"
         if only(number):
-            known = term.cluster.machines[name].report
+            known = term.cluster.machines[name].last_heartbeat
             tasks = tuple(
-                TaskReport(f"{key[0]}/{key[1]}", place.attempt, "running")
+                TaskStatus(f"{key[0]}/{key[1]}", place.attempt, "running")
                 for key, place in term.cluster.machines[name].tasks.items()
             )
             assert known is not None
-            term.cluster.observe(Report(name, "h:1", "big", zone, False, 1, seq, 5, tasks), now[0])
+            term.cluster.apply_heartbeat(Heartbeat(name, "h:1", "big", zone, False, 1, seq, 5, tasks), now[0])
 
 
-def kept(term) -> Plan:  # type: ignore[no-untyped-def]
+def kept(term) -> CapacityPlan:  # type: ignore[no-untyped-def]
     """Return a plan that needs every machine."""
-    return Plan({}, set(term.cluster.machines))
+    return CapacityPlan({}, set(term.cluster.machines))
 
 
 def partly_silent(now: list[float], silent: int):  # type: ignore[no-untyped-def]
@@ -265,7 +267,7 @@
     now[0] += SITE.lease_s * term.tuning.lost + 0.1
     hear(term, now, "north", 2, lambda number: number >= silent)
     hear(term, now, "south", 2)
-    term.cluster.machines["vm-1"].heard_at = now[0]
+    term.cluster.machines["vm-1"].last_heartbeat_at = now[0]
     return term
 
 
@@ -273,31 +275,33 @@
     """Guards against returning fifty machines three seconds before they went on, seen on the bench."""
     now = [1000.0]
     term = partly_silent(now, 1)
-    assert [machine.name for machine in term.surplus(kept(term), now[0])] == ["vm-north-0"]
+    assert [machine.name for machine in term.select_scale_in(kept(term), now[0])] == ["vm-north-0"]
 
     now = [1000.0]
     term = partly_silent(now, 5)
     # They hold work for which there is no room elsewhere.
     for machine in term.cluster.machines.values():
-        machine.cpus, machine.gpus = 16.0, 4.0
-    term.admission.submit(Ticket(lambda view: None, job(1, hands=1), "req-000001"))
+        machine.used_cpus, machine.used_gpus = 16.0, 4.0
+    term.admission.submit(PendingRequest(lambda status: None, job(1, hands=1), "req-000001"))
     commit(term)
     for number in range(5):
         place = type("P", (), {"attempt": 1, "stop": None, "machine": f"vm-north-{number}", "zone": "north"})()
         term.cluster.machines[f"vm-north-{number}"].tasks[("req-000001", number)] = place
-    assert term.surplus(kept(term), now[0]) == []
+    assert term.select_scale_in(kept(term), now[0]) == []
     for machine in term.cluster.machines.values():
-        machine.cpus = machine.gpus = 0.0
-    assert term.surplus(kept(term), now[0]) == [], "they are likely back before its image is fetched elsewhere"
-    for machine in term.cluster.machines.values():
-        machine.fetched.add("img-1")
-    assert {machine.name for machine in term.surplus(kept(term), now[0])} == {f"vm-north-{n}" for n in range(5)}, (
-        "waiting helps nobody once their work has room elsewhere"
+        machine.used_cpus = machine.used_gpus = 0.0
+    assert term.select_scale_in(kept(term), now[0]) == [], (
+        "they are likely back before its image is fetched elsewhere"
     )
     for machine in term.cluster.machines.values():
-        machine.cpus, machine.gpus = 16.0, 4.0
+        machine.fetched_images.add("img-1")
+    assert {machine.name for machine in term.select_scale_in(kept(term), now[0])} == {
+        f"vm-north-{n}" for n in range(5)
+    }, "waiting helps nobody once their work has room elsewhere"
+    for machine in term.cluster.machines.values():
+        machine.used_cpus, machine.used_gpus = 16.0, 4.0
     now[0] += SITE.lease_s * term.tuning.partitioned
-    assert "vm-north-0" in {machine.name for machine in term.surplus(kept(term), now[0])}, "not for ever"
+    assert "vm-north-0" in {machine.name for machine in term.select_scale_in(kept(term), now[0])}, "not for ever"
 
 
 def test_machines_that_were_taken_back_are_not_waited_for_however_many() -> None:
@@ -309,20 +313,23 @@
     now[0] += SITE.report_s * 3 + 0.1
     assert term.reachability.no_longer_listed(now[0]) == [], "a list may be twice its lag late, and these are new"
     for machine in term.cluster.machines.values():
-        machine.rented_at -= 100.0
+        machine.created_at -= 100.0
     assert {machine.zone for machine in term.reachability.no_longer_listed(now[0])} == {"north"}
     heard = term.cluster.machines["vm-north-0"]
-    heard.heard_at, before = now[0], heard.heard_at
+    heard.last_heartbeat_at, before = now[0], heard.last_heartbeat_at
     assert heard not in term.reachability.no_longer_listed(now[0]), "it was heard after the list was drawn up"
-    heard.heard_at = before
-    assert term.surplus(kept(term), now[0]) == [], "what the list does name is waited for"
+    heard.last_heartbeat_at = before
+    assert term.select_scale_in(kept(term), now[0]) == [], "what the list does name is waited for"
     # The same for machines that only the records know, after all controllers were gone.
     term.cluster.started_at = now[0] - 2 * SITE.list_lag_s - SITE.report_s - SITE.lease_s
     place = type("P", (), {"zone": "north"})()
-    term.cluster.waiting = {"vm-taken": {("req-000009", 0): place}, "vm-south-0x": {("req-000009", 1): place}}
+    term.cluster.unconfirmed_placements = {
+        "vm-taken": {("req-000009", 0): place},
+        "vm-south-0x": {("req-000009", 1): place},
+    }
     term.reachability.listed.add("vm-south-0x")
     for machine in term.cluster.machines.values():
-        machine.heard_at = now[0] if machine.zone == "south" else now[0] - SITE.lease_s
+        machine.last_heartbeat_at = now[0] if machine.zone == "south" else now[0] - SITE.lease_s
     assert term.reachability.never_reported(now[0]) == {"vm-taken"}
 
 
@@ -331,39 +338,41 @@
     now = [1000.0]
     term = fleet_term(now, 20, ("south",))
     for number in range(20):
-        machine = term.cluster.adopt(f"vm-north-{number}", "big", "north", False, "h:1", now[0])
-        machine.rented_at, machine.running_since = now[0] - 900.0, now[0]
+        machine = term.cluster.register_machine(f"vm-north-{number}", "big", "north", False, "h:1", now[0])
+        machine.created_at, machine.listed_running_since = now[0] - 900.0, now[0]
     now[0] += SITE.lease_s * term.tuning.lost + 0.1
     hear(term, now, "south", 2)
-    term.cluster.machines["vm-1"].heard_at = now[0]
-    assert term.surplus(kept(term), now[0]) == []
-    booting = term.cluster.adopt("vm-late", "big", "south", False, "h:1", now[0])
-    booting.rented_at = now[0] - 900.0
-    assert term.surplus(kept(term), now[0]) == [booting], "the list does not call this one running"
+    term.cluster.machines["vm-1"].last_heartbeat_at = now[0]
+    assert term.select_scale_in(kept(term), now[0]) == []
+    booting = term.cluster.register_machine("vm-late", "big", "south", False, "h:1", now[0])
+    booting.created_at = now[0] - 900.0
+    assert term.select_scale_in(kept(term), now[0]) == [booting], "the list does not call this one running"
 
 
 def test_room_for_the_work_of_many_silent_machines_boots_early_and_none_in_a_partitioned_zone() -> None:
     """Guards against waiting for the cloud's word about a hundred machines before the first new one is rented."""
     now = [1000.0]
     term = fleet_term(now, 20)
-    term.admission.submit(Ticket(lambda view: None, job(1, hands=8, rank="high", rig="daemon"), "req-000001"))
+    term.admission.submit(
+        PendingRequest(lambda status: None, job(1, hands=8, rank="high", rig="daemon"), "req-000001")
+    )
     commit(term)
     commit(term)
-    held = {place.machine for place in term.cluster.jobs["req-000001"].places.values()}
-    assert held and not term.plan_rentals(now[0]).rentals
+    held = {place.machine for place in term.cluster.jobs["req-000001"].placements.values()}
+    assert held and not term.plan_scale_out(now[0]).scale_out
     for machine in term.cluster.machines.values():
-        machine.heard_at = now[0] + SITE.lease_s + 0.1
-        machine.cpus, machine.gpus = 16.0, 4.0
+        machine.last_heartbeat_at = now[0] + SITE.lease_s + 0.1
+        machine.used_cpus, machine.used_gpus = 16.0, 4.0
     now[0] += SITE.lease_s + 0.1
-    before = sum(term.plan_rentals(now[0]).rentals.values())
+    before = sum(term.plan_scale_out(now[0]).scale_out.values())
     for machine in term.cluster.machines.values():
         if machine.name in held or machine.name in {f"vm-north-{number}" for number in range(8)}:
-            machine.heard_at = now[0] - SITE.lease_s - 0.1
-    assert sum(term.plan_rentals(now[0]).rentals.values()) > before, "their work is reckoned as lost"
+            machine.last_heartbeat_at = now[0] - SITE.lease_s - 0.1
+    assert sum(term.plan_scale_out(now[0]).scale_out.values()) > before, "their work is reckoned as lost"
     for machine in term.cluster.machines.values():
         if machine.zone == "north":
-            machine.heard_at = now[0] - SITE.lease_s - 0.1
-    assert all(zone != "north" for _, zone, _ in term.plan_rentals(now[0]).rentals)
+            machine.last_heartbeat_at = now[0] - SITE.lease_s - 0.1
+    assert all(zone != "north" for _, zone, _ in term.plan_scale_out(now[0]).scale_out)
 
 
 # -- a zone cut off together with a controller ---------------------------------------------------------------
@@ -379,7 +388,7 @@
     world.run(10.0)
     assert world.on_machines()
     site = world.platform
-    max_uncertain_s = min(site.lease_s * 2.0, site.cancel_s - site.lease_s - site.report_s)
+    max_unconfirmed_s = min(site.lease_s * 2.0, site.cancel_s - site.lease_s - site.report_s)
     begun = world.now
     for worker in world.alive():
         worker.cut = True
@@ -387,7 +396,7 @@
     for number in range(1, 5):
         world.cancel(f"req-{number:06d}")
     while world.now < begun + site.cancel_s + 5.0:
-        if world.now < begun + max_uncertain_s:
+        if world.now < begun + max_unconfirmed_s:
             for worker in world.alive():
                 worker.leased_at = world.now
         world.step()
@@ -402,7 +411,7 @@
     assert leader is not None
     inside = next(label for label in "abc" if label != leader)
     election = site.controllers[inside].election
-    token = site.controllers[leader].election.token
+    token = site.controllers[leader].election.fencing_token
     report = {
         "bollard": "vm-9",
         "addr": "127.0.0.1:1",
@@ -420,17 +429,19 @@
     undo = await cut_peers(site, inside)
     site.name_sender(inside)
     site.store.down_for.add(inside)
-    await until(lambda: election.isolated_token is not None, "it is isolated")
+    await until(lambda: election.lease_keeping_token is not None, "it is isolated")
     status, answer, _ = await site.call(inside, "POST", "/agent/beat", report)
     assert (status, answer) == (200, {"helm": token, "signals": []}), "the last leader's token, and no command"
     status, _, _ = await site.call(inside, "POST", "/agent/beat", report | {"helm": token + 1})
-    assert status == 421 and election.isolated_token is None, "a worker that has heard of a newer leader is not held"
+    assert status == 421 and election.lease_keeping_token is None, (
+        "a worker that has heard of a newer leader is not held"
+    )
     # It goes on finding nobody, and still keeps nobody's lease.
     await asyncio.sleep(4 * election.ttl_s)
-    assert election.isolated_token is None
+    assert election.lease_keeping_token is None
     election.superseded = False
-    await until(lambda: election.isolated_token is not None, "it is isolated")
-    election.max_uncertain_s = 0.0
+    await until(lambda: election.lease_keeping_token is not None, "it is isolated")
+    election.max_unconfirmed_s = 0.0
     assert (await site.call(inside, "POST", "/agent/beat", report))[0] == 421, "not for ever"
     for back in undo:
         back()
@@ -453,12 +464,12 @@
 
     async def noted() -> PeerSurvey:
         outlook: PeerSurvey = await ask()
-        asked.append(outlook.others_served)
+        asked.append(outlook.peer_reaches_store)
         return outlook
 
     election.ask_peers = noted
     await until(lambda: len(asked) > 3, "it has asked")
-    assert all(asked) and election.isolated_token is None
+    assert all(asked) and election.lease_keeping_token is None
     assert election.role.value == "follower"
 
 
@@ -513,13 +524,15 @@
     return once more: what is gone stays gone, whatever the list still says."""
     now = [1000.0]
     term = fleet_term(now, 2, ("north",))
-    late = Report("vm-late", "h:1", "big", "north", False, 1, 2, 5, ())
-    machine = term.cluster.observe(late, now[0])
+    late = Heartbeat("vm-late", "h:1", "big", "north", False, 1, 2, 5, ())
+    machine = term.cluster.apply_heartbeat(late, now[0])
     assert machine is not None and machine.state is MachineState.UP
     now[0] += 1000.0
     for known in term.cluster.machines.values():
-        known.heard_at = now[0]
-    assert machine in term.surplus(Plan({}, set()), now[0]), "nobody needs it"
-    term.cluster.forget_machine(machine, now[0])
-    assert term.cluster.observe(Report("vm-late", "h:1", "big", "north", False, 1, 9, 5, ()), now[0]) is None
+        known.last_heartbeat_at = now[0]
+    assert machine in term.select_scale_in(CapacityPlan({}, set()), now[0]), "nobody needs it"
+    term.cluster.record_terminated(machine, now[0])
+    assert (
+        term.cluster.apply_heartbeat(Heartbeat("vm-late", "h:1", "big", "north", False, 1, 9, 5, ()), now[0]) is None
+    )
     assert "vm-late" not in term.cluster.machines
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 
 from driftcleat.leadership import Role
-from driftcleat.store.records import RentalRecord
+from driftcleat.store.records import ScaleOutRecord
 
 from .samples import raw_job
 from .simulation import LABELS, Simulation
@@ -91,7 +91,7 @@
         await sim.call_off(job_id, new)
     sim.state.down_for.add("all")
     await gone_in_time(sim, *ids)
-    assert sim.role(new) is Role.UNSURE, "it kept what it had to keep"
+    assert sim.role(new) is Role.UNCONFIRMED_LEADER, "it kept what it had to keep"
     await sim.settle_down()
 
 
@@ -103,11 +103,11 @@
     assert old is not None
     before = {(worker.name, task.job.id, task.attempt) for worker, task in sim.on_machines()}
     sim.state.down_for.add(old)
-    await sim.until(lambda: sim.role(old) is Role.UNSURE)
+    await sim.until(lambda: sim.role(old) is Role.UNCONFIRMED_LEADER)
     await sim.rest(0.1)
     sim.state.down_for.add("all")
     await sim.rest(sim.platform.cancel_s + 10.0)
-    assert sim.role(old) is Role.UNSURE
+    assert sim.role(old) is Role.UNCONFIRMED_LEADER
     assert before == {(worker.name, task.job.id, task.attempt) for worker, task in sim.on_machines()}
     await sim.settle_down()
 
@@ -151,7 +151,7 @@
     for job_id in ids:
         await sim.call_off(job_id, outside)
     await gone_in_time(sim, *ids)
-    assert sim.controllers[mate].election.isolated_token is None
+    assert sim.controllers[mate].election.lease_keeping_token is None
     await sim.settle_down()
 
 
@@ -172,7 +172,7 @@
     assert len(sim.on_machines()) == 4, "nothing could be stopped yet"
     await sim.rest(sim.platform.report_s * 4)
     assert not sim.on_machines(), "long before the old leader's bound"
-    assert sim.role(new) is Role.UNSURE
+    assert sim.role(new) is Role.UNCONFIRMED_LEADER
     await sim.settle_down()
 
 
@@ -188,7 +188,7 @@
     await sim.call_off(ids[0])
     sim.state.down_for.add("all")
     await gone_in_time(sim, ids[0])
-    assert sim.role(str(leader)) is Role.UNSURE
+    assert sim.role(str(leader)) is Role.UNCONFIRMED_LEADER
     assert [worker.name for worker in sim.alive()] == idle, "it decides nothing else"
     assert on_machines(sim, ids[1]) == (2 if idle else 0)
     await sim.settle_down()
@@ -221,11 +221,11 @@
     sim.call_off(ids[0], leader)
     await sim.rest(0.1)
     sim.state.down_for.add(leader)
-    await sim.until(lambda: sim.role(leader) is Role.UNSURE)
+    await sim.until(lambda: sim.role(leader) is Role.UNCONFIRMED_LEADER)
     assert await sim.poll(ids[0], others(leader)[0]) == 200 and sim.told[ids[0]] == "cancelled"
     sim.state.down_for.add("all")
     await gone_in_time(sim, ids[0])
-    assert sim.role(leader) is Role.UNSURE and on_machines(sim, ids[1]) == 2
+    assert sim.role(leader) is Role.UNCONFIRMED_LEADER and on_machines(sim, ids[1]) == 2
     sim.lost_answers.clear()
     await sim.settle_down()
 
@@ -240,8 +240,8 @@
     for worker in sim.alive():
         worker.deaf = True
     sim.hand_in(raw_job(9, hands=1, voyageS=50.0, crew="blue"))
-    cluster = sim.controllers[old].term.cluster  # type: ignore[union-attr]
-    await sim.until(lambda: "req-000009" in cluster.jobs and cluster.jobs["req-000009"].places)
+    cluster = sim.controllers[old].scheduler.cluster  # type: ignore[union-attr]
+    await sim.until(lambda: "req-000009" in cluster.jobs and cluster.jobs["req-000009"].placements)
     sim.cut_off(old)
     sim.away_from["workers"].update(others(old))
     new = await next_leader(sim, old)
@@ -292,14 +292,14 @@
     await sim.rest(8.0)
     sim.start(back)
     await sim.until(lambda: sim.up(back))
-    sim.controllers[back].election.learn(leader, sim.controllers[witness].election.leader_token)
+    sim.controllers[back].election.observe_leader(leader, sim.controllers[witness].election.leader_fencing_token)
     sim.part(back)
     for worker in sim.alive():
         worker.deaf = False
     stay_with(sim, back)
     await sim.rest(4.0)
-    assert sim.controllers[back].election.leader_token > 0
-    assert sim.controllers[back].election.isolated_token is None
+    assert sim.controllers[back].election.leader_fencing_token > 0
+    assert sim.controllers[back].election.lease_keeping_token is None
     await gone_in_time(sim, ids[0])
     await sim.settle_down()
 
@@ -357,7 +357,7 @@
         if change == 6:
             sim.state.heal()
         await sim.rest(9.0)
-        leaders.update({sim.controllers[label].election.token for label in LABELS if sim.lead() == label})
+        leaders.update({sim.controllers[label].election.fencing_token for label in LABELS if sim.lead() == label})
     assert len(leaders) >= 7
     await sim.settle_down()
 
@@ -469,7 +469,7 @@
     assert sim.on_machines()
     await hand_over(sim)
     await sim.rest(25.0)
-    sim.boot(RentalRecord("big", "south" if zone == "north" else "north", False, 1, 0.0))
+    sim.boot(ScaleOutRecord("big", "south" if zone == "north" else "north", False, 1, 0.0))
     await sim.rest(20.0)
     assert len(sim.on_machines()) < 4, "what was lost waits for its zone"
     sim.capacity = 14
--- a/tests/test_meetings_walk.py
+++ b/tests/test_meetings_walk.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from driftcleat.wire.users import Kind
+from driftcleat.wire.users import JobKind
 
 from .samples import raw_job
 from .simulation import LABELS, Simulation
@@ -178,7 +178,7 @@
 
 def accepted(sim: Simulation) -> list[str]:
     """Return the accepted jobs that others may need."""
-    return sorted(job_id for job_id in sim.told if sim.specs[job_id].kind is not Kind.SERVICE)
+    return sorted(job_id for job_id in sim.told if sim.specs[job_id].kind is not JobKind.SERVICE)
 
 
 def walk(seed: int, kind: type[Simulation] = Simulation) -> Simulation:
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftcleat.model.needs import NO_DEADLINE, Inherited, NeedsGraph, Urgency
-from driftcleat.term import Term
-from driftcleat.wire.users import BadFieldError, pack_ids, parse_submission, unpack_ids
+from driftcleat.cluster.dependencies import NO_DEADLINE, DependencyGraph, InheritedPriority, OwnPriority
+from driftcleat.scheduler import Scheduler
+from driftcleat.wire.users import InvalidFieldError, decode_job_ids, encode_job_ids, parse_submission
 
 from .samples import TYPES, job, platform, raw_job
 from .world import World
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self.needs: dict[str, tuple[str, ...]] = {}
-        self.own: dict[str, Urgency] = {}
+        self.own: dict[str, OwnPriority] = {}
         self.state: dict[str, str] = {}
 
     def ready(self, job_id: str) -> bool:
@@ -41,7 +41,7 @@
         """Return when a job should be done for the deadlines of those that need it."""
         others = self._dependents(job_id)
         return min(
-            (min(self.own[other].due, self.due(other)) - self.own[other].run_s for other in others),
+            (min(self.own[other].deadline, self.due(other)) - self.own[other].run_s for other in others),
             default=NO_DEADLINE,
         )
 
@@ -49,13 +49,13 @@
 @settings(max_examples=200, deadline=None)
 @given(st.data())
 def test_the_graph_holds_what_the_plain_model_holds(data: st.DataObject) -> None:
-    graph, plain = NeedsGraph(), PlainGraph()
+    graph, plain = DependencyGraph(), PlainGraph()
     for number in range(data.draw(st.integers(1, 25))):
         active = sorted(job_id for job_id, state in plain.state.items() if state == "active")
         what = data.draw(st.sampled_from(["add", "add", "done", "cancel"]))
         if what == "add" or not active:
             job_id = f"j{number:02d}"
-            own = Urgency(
+            own = OwnPriority(
                 data.draw(st.integers(0, 3)),
                 data.draw(st.sampled_from([NO_DEADLINE, 50.0, 70.0, 100.0])),
                 data.draw(st.sampled_from([0.0, 8.0, 20.0])),
@@ -71,34 +71,34 @@
                 job_id = data.draw(st.sampled_from(ready))
                 before = {other for other in active if plain.ready(other)}
                 plain.state[job_id] = "done"
-                freed = graph.done(job_id)
+                freed = graph.record_done(job_id)
                 graph.remove(job_id)
                 assert set(freed) == {other for other in active if plain.ready(other)} - before
         else:
             job_id = data.draw(st.sampled_from(active))
             plain.state[job_id] = "cancelled"
-            graph.cancelled(job_id)
+            graph.record_cancelled(job_id)
             graph.remove(job_id)
         for job_id, state in plain.state.items():
             if state == "active":
-                assert graph.ready(job_id) == plain.ready(job_id)
-                assert (job_id in graph.cancel_pending) == plain.below_cancelled(job_id)
-                assert graph.urgency(job_id).level == plain.level(job_id)
-                assert graph.urgency(job_id).due == plain.due(job_id)
+                assert graph.dependencies_met(job_id) == plain.ready(job_id)
+                assert (job_id in graph.pending_cancellations) == plain.below_cancelled(job_id)
+                assert graph.inherited_priority(job_id).level == plain.level(job_id)
+                assert graph.inherited_priority(job_id).deadline == plain.due(job_id)
 
 
 def test_deep_chains_and_wide_fans_need_no_recursion() -> None:
-    graph = NeedsGraph()
+    graph = DependencyGraph()
     chain = [f"c{number}" for number in range(5000)]
     for before, job_id in zip([None, *chain], chain, strict=False):
-        graph.add(job_id, [before] if before else [], [before] if before else [], Urgency(3))
-    graph.add("urgent", [chain[-1]], [chain[-1]], Urgency(0, 100.0))
-    assert graph.urgency(chain[0]) == Inherited(0, 100.0)
+        graph.add(job_id, [before] if before else [], [before] if before else [], OwnPriority(3))
+    graph.add("urgent", [chain[-1]], [chain[-1]], OwnPriority(0, 100.0))
+    assert graph.inherited_priority(chain[0]) == InheritedPriority(0, 100.0)
     for number in range(2000):
-        graph.add(f"f{number}", [chain[0]], [chain[0]], Urgency(2))
-    graph.cancelled(chain[0])
+        graph.add(f"f{number}", [chain[0]], [chain[0]], OwnPriority(2))
+    graph.record_cancelled(chain[0])
     graph.remove(chain[0])
-    assert len(graph.cancel_pending) == 4999 + 1 + 2000
+    assert len(graph.pending_cancellations) == 4999 + 1 + 2000
 
 
 @given(
@@ -109,18 +109,18 @@
     )
 )
 def test_ids_are_packed_without_loss(ids: set[str]) -> None:
-    assert set(unpack_ids(pack_ids(tuple(ids)))) == ids
+    assert set(decode_job_ids(encode_job_ids(tuple(ids)))) == ids
 
 
 def test_what_a_job_needs_is_checked() -> None:
     nothing: list[str] | None
     for nothing in (None, []):
-        assert parse_submission(raw_job(1, tows=nothing)).needs is None
-    assert parse_submission(raw_job(1)).needs is None
+        assert parse_submission(raw_job(1, tows=nothing)).dependencies is None
+    assert parse_submission(raw_job(1)).dependencies is None
     twice = parse_submission(raw_job(9, tows=["req-000002", "req-000001", "req-000002"]))
-    assert twice.needs == ("req-000002", "req-000001")
+    assert twice.dependencies == ("req-000002", "req-000001")
     for wrong in ("req-000001", [1], ["nonsense"], {"a": 1}, [None], [["req-000001"]]):
-        with pytest.raises(BadFieldError) as caught:
+        with pytest.raises(InvalidFieldError) as caught:
             parse_submission(raw_job(9, tows=wrong))
         assert caught.value.field == "tows"
 
@@ -140,10 +140,10 @@
     return ids
 
 
-def states_known(term: Term, job_ids: list[str]) -> set[str]:
+def states_known(scheduler: Scheduler, job_ids: list[str]) -> set[str]:
     """Return the states of those jobs that a term knows."""
-    views = [term.admission.lookup(job_id) for job_id in job_ids]
-    return {view.state for view in views if view is not None}
+    views = [scheduler.admission.lookup(job_id) for job_id in job_ids]
+    return {status.state for status in views if status is not None}
 
 
 def test_a_chain_runs_in_its_order_and_waits_without_a_place() -> None:
@@ -151,7 +151,7 @@
     world = World(3, platform(), TYPES)
     world.elect()
     ids = pipeline(world, 1, 4)
-    assert world.leader.term.layout.switched, "only who knows that all are new hands in such a job"
+    assert world.leader.term.layout.version_2_active, "only who knows that all are new hands in such a job"
     assert [world.told[job_id] for job_id in ids[1:]] == ["pending"] * 3
     queued = world.leader.term.queue.queued()
     assert not {job.id for job in queued.jobs} & set(ids[1:]) and not queued.order.guaranteed & set(ids[1:])
@@ -168,8 +168,8 @@
     world.cancel(chains[0][0])
     world.run(0.5)
     assert world.told[chains[0][0]] == "cancelled"
-    term = world.leader.term
-    assert {view.state for job_id in chains[0] if (view := term.admission.lookup(job_id)) is not None} == {
+    scheduler = world.leader.term
+    assert {status.state for job_id in chains[0] if (status := scheduler.admission.lookup(job_id)) is not None} == {
         "cancelled"
     }
     # The next leader finishes it from the records alone.
@@ -215,15 +215,15 @@
     world.elect()
     ids = pipeline(world, 1, 3, rank="critical")
     jobs = world.leader.term.cluster.jobs
-    assert {jobs[job_id].level for job_id in ids if job_id in jobs} == {0}
+    assert {jobs[job_id].priority_level for job_id in ids if job_id in jobs} == {0}
     world.leader.silent = True
     world.elect("b")
     jobs = world.leader.term.cluster.jobs
-    assert {jobs[job_id].level for job_id in ids if job_id in jobs} == {0}
+    assert {jobs[job_id].priority_level for job_id in ids if job_id in jobs} == {0}
     world.cancel(ids[2])
     world.run(2.0)
     jobs = world.leader.term.cluster.jobs
-    assert {jobs[job_id].level for job_id in ids if job_id in jobs} <= {2}
+    assert {jobs[job_id].priority_level for job_id in ids if job_id in jobs} <= {2}
 
 
 def test_a_deadline_is_worked_back_through_the_chain_and_moves_its_first_stage_ahead() -> None:
@@ -244,8 +244,8 @@
     world.submit(job(4, **wide, tows=["req-000003"], tideS=50.0))
     world.run(1.0)
     jobs = world.leader.term.cluster.jobs
-    handed_in = jobs["req-000004"].submitted
-    assert jobs["req-000002"].start_by == handed_in + 50.0 - 3 * 10.0
+    handed_in = jobs["req-000004"].submitted_at
+    assert jobs["req-000002"].start_deadline == handed_in + 50.0 - 3 * 10.0
     assert [found.id for found in queued().jobs] == ["req-000002", "req-000001"]
     world.leader.silent = True
     world.elect("b")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from driftcleat.store.records import RentalRecord
+from driftcleat.store.records import ScaleOutRecord
 
 from .samples import TYPES, job, platform
 from .world import PlainWorker, RuleBrokenError, World
@@ -119,7 +119,7 @@
     world.submit(job(1, hands=1, voyageS=100.0))
     world.run(40)
     ((first, task),) = world.on_machines()
-    world.boot(RentalRecord("big", "north", False, 1, 0.0))
+    world.boot(ScaleOutRecord("big", "north", False, 1, 0.0))
     other = world.workers[f"vm-{world.rented:06d}"]
     with pytest.raises(RuleBrokenError, match="ran_twice"):
         other.start((task.job.id, task.index, 99))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,18 +10,18 @@
 
 from driftcleat import wire
 from driftcleat.api import UserApi
-from driftcleat.controller import MOST_PEER_BODY
-from driftcleat.fleet.cloud import MOST_RETURNED
-from driftcleat.fleet.manager import FleetManager
-from driftcleat.fleet.sizing import Plan
+from driftcleat.capacity.sizing import CapacityPlan
+from driftcleat.cloud.client import MOST_RETURNED
+from driftcleat.cloud.manager import FleetManager
+from driftcleat.controller.controller import MOST_PEER_BODY
+from driftcleat.controller.overload import OverloadDetector
 from driftcleat.net import SocketBudget
-from driftcleat.overload import OverloadDetector
 from driftcleat.peers.server import MOST_NAMED
-from driftcleat.placement.victims import Victims
+from driftcleat.placement.victims import PreemptibleTasks
+from driftcleat.scheduler.scale_out import MAX_MACHINES_PER_REQUEST
 from driftcleat.settings import Tuning
 from driftcleat.store import records
 from driftcleat.store.client import TokenBucket
-from driftcleat.term.rentals import MOST_AT_ONCE
 from driftcleat.wire import peers as messages
 from driftcleat.workers.dispatch import StopDispatcher
 
@@ -39,15 +39,15 @@
         self.go_on = asyncio.Event()
         self.asked: list[str] = []
 
-    async def send(self, label: str, message: messages.Forward, timeout_s: float) -> messages.Forwarded:
+    async def send(self, label: str, message: messages.ForwardRequest, timeout_s: float) -> messages.ForwardResponse:
         self.asked.append(message.path)
         await self.go_on.wait()
-        return messages.Forwarded(200, "{}", None)
+        return messages.ForwardResponse(200, "{}", None)
 
 
 def user_api(peers: HangingPeers, most_in_progress: int, most_passed_on: int) -> UserApi:
     """Return a follower's side for users."""
-    current: Any = SimpleNamespace(term=None, holds=False, leader="b")
+    current: Any = SimpleNamespace(scheduler=None, may_decide=False, leader="b")
     none: Any = None
     clock = asyncio.get_running_loop().time
     return UserApi(SITE, Tuning(), none, peers, current, clock, most_in_progress, most_passed_on)  # type: ignore[arg-type]
@@ -77,7 +77,7 @@
         for answer in await asyncio.gather(*waiting, cancelling):
             assert answer is not None and answer.status == 200
         # The places are free again.
-        assert users.shed == 2
+        assert users.requests_shed == 2
         later = await users.handle("GET", "/v1/jobs/req-000001", b"")
         assert later is not None and later.status == 200
 
@@ -98,15 +98,19 @@
 
 
 def test_as_many_machines_are_rented_as_the_cloud_takes_until_the_next_round() -> None:
-    assert manager(0.1)._most_rented(0.5) == MOST_AT_ONCE
-    assert manager(4.0)._most_rented(2.0) == 8 * MOST_AT_ONCE
+    assert manager(0.1)._most_rented(0.5) == MAX_MACHINES_PER_REQUEST
+    assert manager(4.0)._most_rented(2.0) == 8 * MAX_MACHINES_PER_REQUEST
 
 
 def test_one_need_for_many_machines_is_several_requests_of_what_the_cloud_takes() -> None:
-    term, _ = fleet(1)
-    term.rentals.rent(Plan({("big", "north", False): 2 * MOST_AT_ONCE + 7}, set()))
-    assert [rental.record.count for rental in term.rentals.new] == [MOST_AT_ONCE, MOST_AT_ONCE, 7]
-    assert len({rental.name for rental in term.rentals.new}) == 3, "a name is never used for two requests"
+    scheduler, _ = fleet(1)
+    scheduler.scale_out.request(CapacityPlan({("big", "north", False): 2 * MAX_MACHINES_PER_REQUEST + 7}, set()))
+    assert [request.record.count for request in scheduler.scale_out.new] == [
+        MAX_MACHINES_PER_REQUEST,
+        MAX_MACHINES_PER_REQUEST,
+        7,
+    ]
+    assert len({request.name for request in scheduler.scale_out.new}) == 3, "a name is never used for two requests"
 
 
 def test_the_list_takes_a_part_of_the_clouds_calls_however_many_pages_it_has() -> None:
@@ -128,13 +132,13 @@
 
 def test_records_are_read_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a leader that loses its lease while it decodes the records of thousands of machines' work."""
-    monkeypatch.setattr(records, "load_head", lambda item: SimpleNamespace(id=item))
+    monkeypatch.setattr(records, "decode_head", lambda item: SimpleNamespace(id=item))
     monkeypatch.setattr(records, "_load_chunk", lambda jobs, item: False)
 
     async def run() -> None:
         heads: Any = list(range(1000))
         chunks: Any = [SimpleNamespace(key=str(number)) for number in range(500)]
-        loading = asyncio.ensure_future(records.load_jobs(heads, chunks))
+        loading = asyncio.ensure_future(records.decode_jobs(heads, chunks))
         turns = 0
         while not loading.done():
             turns += 1
@@ -147,16 +151,16 @@
 
 
 def test_a_scan_looks_only_at_machines_that_may_have_to_be_told_something(monkeypatch: pytest.MonkeyPatch) -> None:
-    term, _ = fleet(50)
+    scheduler, _ = fleet(50)
     looks = Mock(return_value=[])
     monkeypatch.setattr("driftcleat.workers.dispatch.stop_commands", looks)
     none: Any = None
     dispatcher = StopDispatcher(SITE, Tuning(), none, none, none, lambda: 0.0)
-    names = list(term.cluster.machines)
+    names = list(scheduler.cluster.machines)
     for name in names[:45]:
-        term.cluster.machines[name].steady = True
+        scheduler.cluster.machines[name].in_sync = True
     for name in names:
-        dispatcher._send_stops(term, name)
+        dispatcher._send_stops(scheduler, name)
     assert looks.call_count == 5
 
 
@@ -166,7 +170,7 @@
     status = messages.LeaderStatus(1.0, names)
     sent: messages.PeerMessage = messages.Pong("a", True, "a", 7, status, 2)
     if message == "view":
-        sent = messages.View("a", "leading", "a", 7, 0.1, 0.1, True, status, 2)
+        sent = messages.ViewResponse("a", "leading", "a", 7, 0.1, 0.1, True, status, 2)
     body = wire.encode(sent)
     assert len(body) < MOST_PEER_BODY
     assert wire.decode(body, messages.PeerMessage) == sent  # type: ignore[arg-type]
@@ -177,20 +181,20 @@
 def test_a_passed_on_request_at_its_largest_is_taken() -> None:
     """Every byte of a body may take two once it stands in a message's string."""
     body = ("{" + "\t" * 65_000 + "}").encode()
-    assert len(wire.encode(messages.Forward("POST", "/v1/jobs", body.decode()))) < MOST_PEER_BODY
+    assert len(wire.encode(messages.ForwardRequest("POST", "/v1/jobs", body.decode()))) < MOST_PEER_BODY
 
 
 def test_the_work_of_a_take_over_grows_with_the_machines_and_not_faster() -> None:
     """Counts of looks at machines in the round after a take-over, 4,000 against 400 machines."""
     looks: dict[int, int] = {}
     for machines in (400, 4000):
-        term, _ = fleet(machines)
+        scheduler, _ = fleet(machines)
         spec = job(1, hands=8, accelerators=0.0, cores=1.0, imageGb=0.0)
-        accept(term, spec)
-        takes = Mock(side_effect=term.candidates.takes_tasks)
-        term.candidates.takes_tasks = takes  # type: ignore[method-assign]
-        commit_all(term)
-        assert len(term.cluster.jobs["req-000001"].places) == 8
+        accept(scheduler, spec)
+        takes = Mock(side_effect=scheduler.candidates.takes_tasks)
+        scheduler.candidates.takes_tasks = takes  # type: ignore[method-assign]
+        commit_all(scheduler)
+        assert len(scheduler.cluster.jobs["req-000001"].placements) == 8
         looks[machines] = takes.call_count
     assert looks[4000] <= 10 * looks[400]
 
@@ -198,61 +202,61 @@
 def test_work_that_can_wait_gives_way_while_reports_are_missing_and_the_event_loop_is_late() -> None:
     """Guards against 2,003 leases that ran out while tasks were placed, seen at 4,000 machines on a small share."""
     overload = OverloadDetector(3.0)
-    overload.note_interval(3200, 4000, 0.5)
+    overload.record_interval(3200, 4000, 0.5)
     halfway = overload.pause_s
     assert 0 < halfway < 3.0
-    overload.note_interval(400, 4000, 0.5)
+    overload.record_interval(400, 4000, 0.5)
     assert halfway < overload.pause_s <= 3.0, "work gets on at least once a report interval"
     # Machines behind a cut are missing too, but the event loop is idle.
-    overload.note_interval(400, 4000, 0.001)
+    overload.record_interval(400, 4000, 0.001)
     assert overload.pause_s == 0.0
     # The event loop is late, and every report comes all the same.
-    overload.note_interval(400, 4000, 0.5)
-    overload.note_interval(3990, 4000, 0.5)
+    overload.record_interval(400, 4000, 0.5)
+    overload.record_interval(3990, 4000, 0.5)
     assert overload.pause_s == 0.0
-    overload.note_interval(0, 0, 0.5)
+    overload.record_interval(0, 0, 0.5)
     assert overload.pause_s == 0.0
 
 
 def test_a_round_is_put_off_while_reports_are_late() -> None:
-    term, now = fleet(10)
-    term.pacing.note_change()
-    term.pacing.end(now[0], now[0])
-    assert term.pacing.due(now[0])
-    term.pacing.overload_pause_s = lambda: 2.0
-    term.pacing.end(now[0], now[0])
-    assert not term.pacing.due(now[0] + 1.9) and term.pacing.due(now[0] + 2.0)
+    scheduler, now = fleet(10)
+    scheduler.pacing.record_change()
+    scheduler.pacing.end(now[0], now[0])
+    assert scheduler.pacing.due(now[0])
+    scheduler.pacing.overload_pause_s = lambda: 2.0
+    scheduler.pacing.end(now[0], now[0])
+    assert not scheduler.pacing.due(now[0] + 1.9) and scheduler.pacing.due(now[0] + 2.0)
 
 
 def test_nobody_looks_for_work_to_stop_where_an_image_is_that_no_machine_has(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a look at every task of thousands of machines in each round: a third of its time."""
-    looks = Mock(side_effect=Victims)
-    monkeypatch.setattr("driftcleat.term.preemption.Victims", looks)
-    term, now = fleet(20)
-    accept(term, job(1, rig="daemon", hands=2, accelerators=0.0, imageGb=4.0, rank="critical"))
-    commit_all(term)
-    assert len(term.cluster.jobs["req-000001"].places) == 2 and looks.call_count == 0
+    looks = Mock(side_effect=PreemptibleTasks)
+    monkeypatch.setattr("driftcleat.scheduler.preemption.PreemptibleTasks", looks)
+    scheduler, now = fleet(20)
+    accept(scheduler, job(1, rig="daemon", hands=2, accelerators=0.0, imageGb=4.0, rank="critical"))
+    commit_all(scheduler)
+    assert len(scheduler.cluster.jobs["req-000001"].placements) == 2 and looks.call_count == 0
     # Once a machine has the image, it is looked at.
     now[0] += 60.0
-    for number, machine in enumerate(term.cluster.machines.values()):
-        machine.heard_at = now[0]
+    for number, machine in enumerate(scheduler.cluster.machines.values()):
+        machine.last_heartbeat_at = now[0]
         if number < 2:
-            machine.fetched.add("img-01")
-    accept(term, job(2, rig="daemon", hands=40, accelerators=0.0, imageGb=4.0, hull="img-01", rank="critical"))
-    commit_all(term)
+            machine.fetched_images.add("img-01")
+    accept(scheduler, job(2, rig="daemon", hands=40, accelerators=0.0, imageGb=4.0, hull="img-01", rank="critical"))
+    commit_all(scheduler)
     assert looks.call_count > 0
 
 
 def test_sizing_is_put_off_while_reports_are_late() -> None:
     async def story(sim: Simulation) -> None:
         controller = sim.controllers[str(sim.lead())]
-        term = controller.term
-        assert term is not None
+        scheduler = controller.scheduler
+        assert scheduler is not None
         sizes = Mock()
         controller.fleet_manager._size = sizes  # type: ignore[method-assign]
         await sim.rest(20.0)
         usual = sizes.call_count
-        term.pacing.overload_pause_s = lambda: 2.0
+        scheduler.pacing.overload_pause_s = lambda: 2.0
         await sim.rest(2.0)
         sizes.reset_mock()
         await sim.rest(20.0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -26,7 +26,9 @@
                     lambda: all(site.controllers[label].leader == leader for label in site.running),
                     "all know the leader",
                 )
-                await until(lambda: site.controllers[str(leader)].term.cluster.types, "the machine types")
+                await until(
+                    lambda: site.controllers[str(leader)].scheduler.cluster.machine_types, "the machine types"
+                )
                 await test(site)
 
         asyncio.run(inside())
@@ -115,8 +117,10 @@
         assert (await site.call(label, "GET", "/nowhere"))[0] == 404
     assert (await site.call(leader, "POST", "/agent/beat", b"{}"))[0] == 400
     controller = site.controllers[leader]
-    assert controller.metrics.bad_reports == 1 and not controller.term.cluster.machines
-    assert (await controller.answer_peer(b'["shutdown"]')).status == 400 and controller.metrics.bad_peer_messages == 1
+    assert controller.metrics.malformed_heartbeats == 1 and not controller.scheduler.cluster.machines
+    assert (
+        await controller.answer_peer(b'["shutdown"]')
+    ).status == 400 and controller.metrics.malformed_peer_messages == 1
 
 
 @live
@@ -138,10 +142,10 @@
     first = site.leader()
     assert first is not None
     await accepted(site, first, raw_job(1, hands=2, voyageS=3.0))
-    token = site.controllers[first].election.token
+    token = site.controllers[first].election.fencing_token
     await site.kill(first)
     second = await until(site.leader, "another leader")
-    assert second != first and site.controllers[second].election.token > token
+    assert second != first and site.controllers[second].election.fencing_token > token
     await reaches(site, second, "req-000001", "done")
     site.start(first)
     await reaches(site, first, "req-000001", "done")
@@ -211,8 +215,8 @@
 async def test_a_full_queue_is_told_to_come_back(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
-    term = site.controllers[leader].term
-    term.admission.most_waiting = 0.0
+    term = site.controllers[leader].scheduler
+    term.admission.max_waiting = 0.0
     status, _, headers = await site.call(leader, "POST", "/v1/jobs", raw_job(1))
     assert status == 429 and int(headers["Retry-After"]) >= 1
 
@@ -225,8 +229,8 @@
     answer = await controller.handle_back("GET", "/status", b"")
     status = wire.decode(answer.body, dict)
     assert status["role"] == "leading" and status["leader"] == leader and status["batch"]["count"] >= 0
-    view = wire.decode((await controller.answer_peer(wire.encode(peers.Ask("x")))).body, peers.View)
-    assert view.leader == leader and 0 <= view.served_age_s < 5
+    view = wire.decode((await controller.answer_peer(wire.encode(peers.ViewRequest("x")))).body, peers.ViewResponse)
+    assert view.leader == leader and 0 <= view.store_success_age_s < 5
 
 
 def test_the_live_decorator_reports_failures() -> None:
@@ -262,13 +266,13 @@
     before = {(worker.name, task.index, task.attempt) for worker, task in site.world.on_machines()}
     undo = await cut_peers(site, first)
     # It would step down by itself after a while; here only a worker's token can tell it.
-    site.controllers[first].election.max_uncertain_s = 1000.0
+    site.controllers[first].election.max_unconfirmed_s = 1000.0
     site.name_sender(first)
     site.store.down_for.add(first)
     second = await until(lambda: site.leader() if site.leader() != first else None, "another leader")
-    batches = site.controllers[first].writer.batch_number
-    await until(lambda: not site.controllers[first].election.answers_workers, "the old one has stepped down")
-    assert site.controllers[first].writer.batch_number == batches, "it decided nothing"
+    batches = site.controllers[first].commit_pipeline.batch_sequence
+    await until(lambda: not site.controllers[first].election.may_answer_heartbeats, "the old one has stepped down")
+    assert site.controllers[first].commit_pipeline.batch_sequence == batches, "it decided nothing"
     await accepted(site, second, raw_job(2, voyageS=0.5))
     await reaches(site, second, "req-000002", "done")
     assert before <= {(worker.name, task.index, task.attempt) for worker, task in site.world.on_machines()}
@@ -352,7 +356,7 @@
     leader = site.leader()
     assert leader is not None
     election = site.controllers[leader].election
-    election.max_uncertain_s = 0.8
+    election.max_unconfirmed_s = 0.8
     site.store.down_for.add("all")
     await until(lambda: election.role.value == "unsure", "unsure")
     await asyncio.sleep(3.0)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -11,8 +11,8 @@
 from driftcleat.sharing.keys import ASSIGNMENT, CLAIMS, MACHINES, in_share, share_root
 from driftcleat.sharing.messages import LetGo, LetGoAnswer
 from driftcleat.sharing.transfer import TransferState
-from driftcleat.store.client import RefusedError
-from driftcleat.store.records import JOBS, LEADER
+from driftcleat.store.client import StoreUnavailableError
+from driftcleat.store.records import JOBS_PREFIX, LEADER_KEY
 
 from .samples import raw_job
 from .sharing_simulation import SharedSimulation, leader_key
@@ -147,17 +147,19 @@
     async def story(sim: SharedSimulation) -> None:
         giver = str(sim.owner(1))
         engine = sim.controllers[giver].engines[1]
-        election, token = engine.share_election, engine.election.token
+        election, token = engine.share_election, engine.election.fencing_token
         assert election.let_go() == token and election.let_go() == token
-        assert not election.holds and not election.may_start and engine.current.to_decide is None
-        assert election.answers_workers, "leases are kept"
+        assert (
+            not election.may_decide and not election.may_send_starts and engine.active_term.deciding_scheduler is None
+        )
+        assert election.may_answer_heartbeats, "leases are kept"
         assert sim.controllers[giver].transfers.state(1) is TransferState.HANDING_OVER
         # The process renews its lease for its other shares, or for this one: that gives nothing back.
-        await engine.election._renew()
-        assert not election.holds and not election.lease.valid(sim.time())
+        await engine.election._keep_alive()
+        assert not election.may_decide and not election.lease.is_valid(sim.time())
         held = sim.store.data[leader_key(1)][1]
         await sim.until(lambda: sim.owner(1) == giver, 30.0)
-        assert engine.election.token > token and sim.store.data[leader_key(1)][1] > held
+        assert engine.election.fencing_token > token and sim.store.data[leader_key(1)][1] > held
         # A transaction of the receiver that comes late finds another version.
         assert sim.controllers[giver].transfers.state(1) is TransferState.OWNED
 
@@ -361,7 +363,7 @@
         first = await on_share(sim, 1, 1, hands=1, voyageS=30.0)
         second = await on_share(sim, 2, 2, hands=1, tows=[first])
         follower = sim.controllers[others(sim.owner(2))[0]].engines[2]
-        with pytest.raises(RefusedError):
+        with pytest.raises(StoreUnavailableError):
             await follower.users._cancelled_by_need(sim.specs[second])
 
     play(story)
@@ -391,7 +393,7 @@
         await sim.rest(10.0)
         for number in range(1, 7):
             job_id = f"req-{number:06d}"
-            homes = [share for share in range(3) if in_share(share, JOBS + job_id) in sim.store.data]
+            homes = [share for share in range(3) if in_share(share, JOBS_PREFIX + job_id) in sim.store.data]
             assert homes == [sim.store.data[CLAIMS + job_id][0]]
 
     play(story)
@@ -445,9 +447,9 @@
         answer = await host.handle_front("POST", "/agent/beat", body)
         assert answer.status in (200, 421) and host.view.share_of("vm-900001") == 1
         assert all(
-            "vm-900001" not in engine.term.cluster.machines
+            "vm-900001" not in engine.scheduler.cluster.machines
             for engine in host.engines.values()
-            if engine.term is not None and engine.share != 1
+            if engine.scheduler is not None and engine.share != 1
         )
 
     play(story)
@@ -483,7 +485,7 @@
 
     def lead(self) -> str | None:
         return next(
-            (label for label in sorted(self.processes) if self.up(label) and self.controllers[label].holds), None
+            (label for label in sorted(self.processes) if self.up(label) and self.controllers[label].may_decide), None
         )
 
     def owner(self, share: int) -> str | None:
@@ -560,8 +562,8 @@
     async def story(sim: SharedSimulation) -> None:
         await on_share(sim, 0, 1, hands=1)
         await on_share(sim, 1, 2, hands=1)
-        assert LEADER in sim.store.data and JOBS + "req-000001" in sim.store.data
+        assert LEADER_KEY in sim.store.data and JOBS_PREFIX + "req-000001" in sim.store.data
         assert share_root(1) + "jobs/req-000002" in sim.store.data
-        assert sim.controllers["a"].engines[1].election.role in (Role.LEADING, Role.FOLLOWER)
+        assert sim.controllers["a"].engines[1].election.role in (Role.LEADER, Role.FOLLOWER)
 
     play(story)
--- a/tests/test_sharing_parts.py
+++ b/tests/test_sharing_parts.py
@@ -37,7 +37,7 @@
 from driftcleat.sharing.messages import ShareStatus
 from driftcleat.sharing.planner import ShareLoad, loads_by_owner, propose
 from driftcleat.sharing.settings import SharingSettings, load_sharing
-from driftcleat.store.records import CHUNKS, JOBS, LEADER
+from driftcleat.store.records import CHUNKS_PREFIX, JOBS_PREFIX, LEADER_KEY
 
 LABELS = ("a", "b", "c")
 TEAM = Team("red", 0.0, 0.0, 4.0, 12.0)
@@ -140,7 +140,7 @@
 
 
 def test_each_share_has_its_own_keys_and_the_first_those_of_a_deployment_without_sharing() -> None:
-    keys = (LEADER, JOBS + "req-000001", CHUNKS + "req-000001/2.1")
+    keys = (LEADER_KEY, JOBS_PREFIX + "req-000001", CHUNKS_PREFIX + "req-000001/2.1")
     stored = {in_share(share, key) for share, key in product(range(12), keys)}
     assert len(stored) == 36
     assert all(in_share(0, key) == key for key in keys)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -183,8 +183,10 @@
 def test_an_orderly_stop_tells_all_of_a_gang_within_its_time() -> None:
     """A drain of one machine stops the whole gang with time to save, every task at once."""
     world = busy_world()
-    term = world.leader.term
-    batch = term.build()
-    gang = term.cluster.jobs["req-000002"]
-    assert term.drains.stop_attempt(batch, gang, 0)
-    assert {place.stop for place in batch.jobs["req-000002"].places.values()} == {gang.spec.save_s}
+    scheduler = world.leader.term
+    batch = scheduler.build_batch()
+    gang = scheduler.cluster.jobs["req-000002"]
+    assert scheduler.drainer.stop_attempt(batch, gang, 0)
+    assert {placement.stop_grace_s for placement in batch.jobs["req-000002"].placements.values()} == {
+        gang.spec.checkpoint_duration_s
+    }
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,19 +9,19 @@
 import pytest
 
 from driftcleat import wire
-from driftcleat.model import Cluster, Job
+from driftcleat.cluster import ClusterState, Job
+from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Tuning
 from driftcleat.store.records import (
-    CHUNKS,
-    JOBS,
-    VERSION,
-    Layout,
-    RentalRecord,
+    CHUNKS_PREFIX,
+    DATA_VERSION_KEY,
+    JOBS_PREFIX,
+    RecordLayout,
+    ScaleOutRecord,
     chunk_key,
+    decode_head,
     encode_batch,
-    load_head,
 )
-from driftcleat.term import Term
 from driftcleat.wire import peers
 from driftcleat.wire import state as state_messages
 
@@ -54,10 +54,10 @@
     places: list[tuple[str, str, int, str, float | None]]
 
 
-def items(prefix: str, rows: dict[str, Any] = RECORDED["records"]) -> list[state_messages.Item]:
+def items(prefix: str, rows: dict[str, Any] = RECORDED["records"]) -> list[state_messages.KeyValue]:
     """Return the recorded records under a prefix."""
     return [
-        state_messages.Item(msgspec.Raw(wire.encode(value)), 5, key)
+        state_messages.KeyValue(msgspec.Raw(wire.encode(value)), 5, key)
         for key, value in rows.items()
         if key.startswith(prefix)
     ]
@@ -65,25 +65,33 @@
 
 def facts(found: Job) -> tuple[Any, ...]:
     """Return all that is stored of a job."""
-    return (found.spec, found.submitted, found.state, found.launch, bytes(found.status), found.places, found.done)
+    return (
+        found.spec,
+        found.submitted_at,
+        found.state,
+        found.last_attempt,
+        bytes(found.task_states),
+        found.placements,
+        found.tasks_done,
+    )
 
 
-def layout(switched: bool = False) -> Layout:
+def layout(switched: bool = False) -> RecordLayout:
     """Return the layout of the recorded limits, with lower ones to come."""
-    made = Layout(2048, 4, RECORDED["value_bytes"], RECORDED["txn_ops"], ("north", "south"))
-    made.switched = switched
+    made = RecordLayout(2048, 4, RECORDED["value_bytes"], RECORDED["txn_ops"], ("north", "south"))
+    made.version_2_active = switched
     return made
 
 
 def test_what_production_wrote_is_read_and_written_the_same_way() -> None:
-    jobs, orphans = loaded_jobs(items(JOBS), items(CHUNKS))
+    jobs, orphans = loaded_jobs(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     assert len(jobs) == 6 and not orphans
     ours = layout()
     for found in jobs.values():
-        ours.take_in(found)
-        assert found.split == 0
-        head = json.loads(wire.encode(ours.head(found)))
-        written = RECORDED["records"][JOBS + found.id]
+        ours.assign_tasks_per_record(found)
+        assert found.tasks_per_record == 0
+        head = json.loads(wire.encode(ours.head_record(found)))
+        written = RECORDED["records"][JOBS_PREFIX + found.id]
         spec, known = dict(head[0]), dict(written[0])
         assert {name: value for name, value in spec.items() if name in known} == known
         assert head[1:7] == written[1:]
@@ -91,19 +99,23 @@
         assert all(value in (None, 0, "") for value in beyond)
         chunks = {ours.chunk_of(found, index) for index in range(found.spec.tasks)} - {0}
         assert chunks == {
-            int(key.rpartition("/")[2]) for key in RECORDED["records"] if key.startswith(CHUNKS + found.id + "/")
+            int(key.rpartition("/")[2])
+            for key in RECORDED["records"]
+            if key.startswith(CHUNKS_PREFIX + found.id + "/")
         }
         for chunk in chunks:
             key = chunk_key(found.id, chunk)
-            assert json.loads(wire.encode(ours.chunk(found, chunk))) == RECORDED["records"][key]
+            assert json.loads(wire.encode(ours.chunk_record(found, chunk))) == RECORDED["records"][key]
 
 
 def test_what_production_rewrites_loses_nothing_before_the_switch() -> None:
-    jobs, _ = loaded_jobs(items(JOBS), items(CHUNKS))
+    jobs, _ = loaded_jobs(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     for found in jobs.values():
-        rewritten = wire.encode(wire.decode(wire.encode(layout().head(found)), PlainHead))
-        again = load_head(state_messages.Item(msgspec.Raw(rewritten), 9, JOBS + found.id))
-        whole = load_head(state_messages.Item(msgspec.Raw(wire.encode(layout().head(found))), 9, JOBS + found.id))
+        rewritten = wire.encode(wire.decode(wire.encode(layout().head_record(found)), PlainHead))
+        again = decode_head(state_messages.KeyValue(msgspec.Raw(rewritten), 9, JOBS_PREFIX + found.id))
+        whole = decode_head(
+            state_messages.KeyValue(msgspec.Raw(wire.encode(layout().head_record(found))), 9, JOBS_PREFIX + found.id)
+        )
         assert facts(again) == facts(whole)
 
 
@@ -111,19 +123,20 @@
 def test_what_the_version_before_wrote_is_read_and_written_to_the_letter(rows: str, switched: bool) -> None:
     """Each version works on the other's data, of both data versions: what ours writes is what 0.4.0 would write."""
     written = BEFORE[rows]
-    jobs, orphans = loaded_jobs(items(JOBS, written), items(CHUNKS, written))
+    jobs, orphans = loaded_jobs(items(JOBS_PREFIX, written), items(CHUNKS_PREFIX, written))
     assert len(jobs) == (7 if switched else 6) and not orphans
     ours = layout(switched)
     for found in jobs.values():
-        ours.take_in(found)
-        assert bool(found.split) == switched
-        assert json.loads(wire.encode(ours.head(found))) == written[JOBS + found.id]
+        ours.assign_tasks_per_record(found)
+        assert bool(found.tasks_per_record) == switched
+        assert json.loads(wire.encode(ours.head_record(found))) == written[JOBS_PREFIX + found.id]
         for chunk in {ours.chunk_of(found, index) for index in range(found.spec.tasks)} - {0}:
             assert (
-                json.loads(wire.encode(ours.chunk(found, chunk))) == written[chunk_key(found.id, chunk, found.split)]
+                json.loads(wire.encode(ours.chunk_record(found, chunk)))
+                == written[chunk_key(found.id, chunk, found.tasks_per_record)]
             )
     if switched:
-        assert jobs["req-000007"].spec.needs == ("req-000001", "req-000003")
+        assert jobs["req-000007"].spec.dependencies == ("req-000001", "req-000003")
 
 
 def test_messages_of_the_version_before_are_ours_to_the_letter() -> None:
@@ -155,33 +168,39 @@
 
 def test_a_move_that_ends_in_the_middle_leaves_the_old_records_valid() -> None:
     """Chunks of another split than the head names are garbage, of whatever number."""
-    jobs, _ = loaded_jobs(items(JOBS), items(CHUNKS))
+    jobs, _ = loaded_jobs(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     big = jobs["req-000003"]
     new = layout(switched=True)
-    split = new.own_split(big)
-    assert 1 < split < 50 and new.must_move(big)
+    split = new.preferred_tasks_per_record(big)
+    assert 1 < split < 50 and new.needs_migration(big)
     half = [
-        state_messages.Item(
-            msgspec.Raw(wire.encode(new.chunk_in(big, split, number))), 7, chunk_key(big.id, number, split)
+        state_messages.KeyValue(
+            msgspec.Raw(wire.encode(new.chunk_record_in_split(big, split, number))),
+            7,
+            chunk_key(big.id, number, split),
         )
         for number in range(1, 4)
     ]
-    again, orphans = loaded_jobs(items(JOBS), [*items(CHUNKS), *half])
+    again, orphans = loaded_jobs(items(JOBS_PREFIX), [*items(CHUNKS_PREFIX), *half])
     assert facts(again[big.id]) == facts(big)
-    assert orphans == [item.key for item in half]
+    assert orphans == [key_value.key for key_value in half]
     whole = [
-        state_messages.Item(
-            msgspec.Raw(wire.encode(new.chunk_in(big, split, number))), 7, chunk_key(big.id, number, split)
+        state_messages.KeyValue(
+            msgspec.Raw(wire.encode(new.chunk_record_in_split(big, split, number))),
+            7,
+            chunk_key(big.id, number, split),
         )
         for number in range(1, -(-240 // split))
     ]
     moved = big.copy()
-    moved.split = split
-    head = state_messages.Item(msgspec.Raw(wire.encode(new.head(moved))), 8, JOBS + big.id)
-    assert len(bytes(head.value)) <= 2048 and all(len(bytes(item.value)) <= 2048 for item in whole)
-    after, orphans = loaded_jobs([head], [*items(CHUNKS), *whole])
+    moved.tasks_per_record = split
+    head = state_messages.KeyValue(msgspec.Raw(wire.encode(new.head_record(moved))), 8, JOBS_PREFIX + big.id)
+    assert len(bytes(head.value)) <= 2048 and all(len(bytes(key_value.value)) <= 2048 for key_value in whole)
+    after, orphans = loaded_jobs([head], [*items(CHUNKS_PREFIX), *whole])
     assert facts(after[big.id]) == facts(big)
-    assert {item.key for item in whole}.isdisjoint(orphans) and set(after[big.id].chunk_versions.values()) == {7}
+    assert {key_value.key for key_value in whole}.isdisjoint(orphans) and set(
+        after[big.id].chunk_mod_revisions.values()
+    ) == {7}
 
 
 def test_a_cancellation_of_a_job_that_is_not_moved_yet_goes_first() -> None:
@@ -190,18 +209,18 @@
     for number in range(1, 6):
         world.submit(job(number, hands=110, cores=0.1, accelerators=0.0, memGb=0.1, voyageS=300.0))
     world.run(25.0)
-    term = world.elect("b").term
+    scheduler = world.elect("b").term
     world.run(6.0)
-    term.migration.latch_wanted = True
+    scheduler.migration.latch_requested = True
     world.step()
     world.store.lower()
-    assert term.layout.switched and len(term.migration.unmoved) > 1
-    last = max(term.migration.unmoved)
+    assert scheduler.layout.version_2_active and len(scheduler.migration.jobs_to_migrate) > 1
+    last = max(scheduler.migration.jobs_to_migrate)
     world.cancel(last)
-    before = len(term.migration.unmoved)
+    before = len(scheduler.migration.jobs_to_migrate)
     while world.told[last] != "cancelled":
         world.step(0.02)
-    assert len(term.migration.unmoved) >= before - 2 > 0, (
+    assert len(scheduler.migration.jobs_to_migrate) >= before - 2 > 0, (
         "its move goes before the others', but for one that had begun"
     )
     world.run(world.platform.cancel_s)
@@ -211,16 +230,16 @@
 def test_a_gang_of_many_records_can_change_before_the_switch() -> None:
     """Guards against everything waiting behind it: more records than the lower limit allows to change at once."""
     site = platform(next=NEXT | {"txn_ops": 3})
-    jobs, _ = loaded_jobs(items(JOBS), items(CHUNKS))
+    jobs, _ = loaded_jobs(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     gang = jobs["req-000005"]
     ours = layout()
     assert max(ours.chunk_of(gang, index) for index in range(gang.spec.tasks)) + 1 > site.txn_ops - 1
-    cluster = Cluster(5, {gang.id: gang}, dict(TYPES), 0.0, site.lease_s)
-    term = Term(site, Tuning(), cluster, ours, random.Random(1), lambda: 0.0, lambda: 0.0)
-    name = next(iter(gang.places.values())).machine
-    cluster.forget_machine(cluster.adopt(name, "big", "north", False, "", 0.0), 0.0)
-    batch = term.build()
-    assert batch.moves and len(json.loads(encode_batch(batch, ours, 5, 1, 0).body)["then"]) > site.txn_ops
+    cluster = ClusterState(5, {gang.id: gang}, dict(TYPES), 0.0, site.lease_s)
+    scheduler = Scheduler(site, Tuning(), cluster, ours, random.Random(1), lambda: 0.0, lambda: 0.0)
+    name = next(iter(gang.placements.values())).machine
+    cluster.record_terminated(cluster.register_machine(name, "big", "north", False, "", 0.0), 0.0)
+    batch = scheduler.build_batch()
+    assert batch.task_transitions and len(json.loads(encode_batch(batch, ours, 5, 1, 0).body)["then"]) > site.txn_ops
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -256,8 +275,8 @@
             world.leader.silent = rng.random() < 0.7
             world.elect(rng.choice("abc"), old=not new and rng.random() < 0.5)
         if new:
-            world.leader.term.migration.latch_wanted = True
-        if switched_at is None and VERSION in world.store.data:
+            world.leader.term.migration.latch_requested = True
+        if switched_at is None and DATA_VERSION_KEY in world.store.data:
             switched_at = step
         if switched_at is not None and step >= switched_at + fall_after:
             world.store.lower()
@@ -266,8 +285,8 @@
     world.store.lower()
     world.settle(1200.0)
     assert set(world.states().values()) <= {"done", "cancelled"}, world.states()
-    assert VERSION in world.store.data and world.started > 20
-    assert not world.leader.term.migration.unmoved
+    assert DATA_VERSION_KEY in world.store.data and world.started > 20
+    assert not world.leader.term.migration.jobs_to_migrate
 
 
 # -- whole controllers ---------------------------------------------------------------------------------------
@@ -281,7 +300,7 @@
 async def upgraded_one_by_one(sim: Simulation) -> None:
     """Each controller ends and comes back new; the last one makes the switch possible."""
     for label in LABELS:
-        assert VERSION not in sim.store.data, "not before every controller is new"
+        assert DATA_VERSION_KEY not in sim.store.data, "not before every controller is new"
         sim.end(label)
         await sim.rest(2.0)
         sim.old.discard(label)
@@ -295,7 +314,7 @@
             sim.hand_in(big(number))
         await sim.rest(12.0)
         await upgraded_one_by_one(sim)
-        await sim.until(lambda: VERSION in sim.store.data, 10.0)
+        await sim.until(lambda: DATA_VERSION_KEY in sim.store.data, 10.0)
         sim.lower_limits()
         sim.call_off("req-000002")
         await sim.settle_down()
@@ -311,17 +330,17 @@
 
     async def story(sim: Simulation) -> None:
         leader = sim.lead()
-        assert leader is not None and VERSION not in sim.store.data
-        token = sim.controllers[leader].election.token
+        assert leader is not None and DATA_VERSION_KEY not in sim.store.data
+        token = sim.controllers[leader].election.fencing_token
         sim.lower_limits()
         # Each task on a machine of its own: more than the lower limit holds, in one record of the first version.
         sim.hand_in(raw_job(1, hands=75, cores=16.0, accelerators=0.0, voyageS=60.0))
         for _ in range(75):
-            sim.boot(RentalRecord("big", "north", False, 1, 0.0))
-        await sim.until(lambda: VERSION in sim.store.data, 60.0)
+            sim.boot(ScaleOutRecord("big", "north", False, 1, 0.0))
+        await sim.until(lambda: DATA_VERSION_KEY in sim.store.data, 60.0)
         sim.hand_in(big(4))
         await sim.settle_down()
-        assert sim.controllers[leader].election.token == token and 1 <= sim.state.refused < 5
+        assert sim.controllers[leader].election.fencing_token == token and 1 <= sim.state.refused < 5
         assert set(sim.told.values()) == {"done"}
 
     sim = Simulation(3, value_kb=16.0, next=NEXT)
@@ -357,7 +376,7 @@
         assert leader is not None
         follower = next(label for label in LABELS if label != leader)
         # What hangs below a cancelled job is called cancelled by whoever answers, from the records alone.
-        sim.controllers[leader].term.admission.take_dependents = lambda batch: None  # type: ignore[union-attr,method-assign]
+        sim.controllers[leader].scheduler.admission.append_dependent_cancellations = lambda batch: None  # type: ignore[union-attr,method-assign]
         await sim.call_off("req-000001")
         sim.part(follower)
         assert await sim.poll("req-000004", follower) == 200 and sim.told["req-000004"] == "cancelled"
@@ -366,7 +385,7 @@
         await sim.rest(3.0)
         status, _ = await sim.ask("POST", "/v1/jobs", raw_job(60, tows=["req-000001"]), leader)
         assert status == 503
-        del sim.controllers[leader].term.admission.take_dependents  # type: ignore[union-attr]
+        del sim.controllers[leader].scheduler.admission.append_dependent_cancellations  # type: ignore[union-attr]
         await sim.settle_down()
 
     Simulation(4).play(story)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,8 +9,8 @@
 
 from driftcleat import wire
 from driftcleat.wire import peers
-from driftcleat.wire.users import BadFieldError, is_job_id, parse_id, parse_object, parse_submission
-from driftcleat.wire.workers import Report, Signal, split_task, task_name
+from driftcleat.wire.users import InvalidFieldError, is_job_id, parse_job_id, parse_object, parse_submission
+from driftcleat.wire.workers import Command, Heartbeat, format_task_name, parse_task_name
 
 from .samples import raw_job
 
@@ -43,7 +43,7 @@
     ],
 )
 def test_a_wrong_field_is_named(field: str, value: Any) -> None:
-    with pytest.raises(BadFieldError) as caught:
+    with pytest.raises(InvalidFieldError) as caught:
         parse_submission(raw_job(**{field: value}))
     assert caught.value.field == field
 
@@ -52,7 +52,7 @@
     for field in ("nameId", "cargo", "hands", "stowS"):
         raw = raw_job()
         del raw[field]
-        with pytest.raises(BadFieldError) as caught:
+        with pytest.raises(InvalidFieldError) as caught:
             parse_submission(raw)
         assert caught.value.field == field
     assert parse_submission(raw_job(colour="red")) == parse_submission(raw_job())
@@ -74,39 +74,44 @@
 def test_any_body_is_an_object_or_a_clean_error(body: bytes) -> None:
     try:
         raw = parse_object(body)
-        parse_id(raw)
-    except BadFieldError as error:
+        parse_job_id(raw)
+    except InvalidFieldError as error:
         assert error.field in ("body", "nameId")
     else:
         assert is_job_id(raw["nameId"])
 
 
 def test_deep_nesting_is_malformed_not_a_crash() -> None:
-    with pytest.raises(BadFieldError):
+    with pytest.raises(InvalidFieldError):
         parse_object(b'{"a":' + b"[" * 30_000 + b"]" * 30_000 + b"}")
 
 
 def test_names_on_the_wire() -> None:
-    report = wire.decode(
+    heartbeat = wire.decode(
         b'{"bollard":"vm-1","addr":"h:1","build":"g","harbor":"a","driftwood":true,"watch":1,"knot":8,"helm":4,'
         b'"hands":[{"hand":"req-1/3","launch":2,"bearing":"exited","wreck":"done"}],"new":1}',
-        Report,
+        Heartbeat,
     )
-    assert (report.machine, report.session, report.seq, report.token) == ("vm-1", 1, 8, 4)
-    assert report.tasks[0].why == "done" and report.notice_s is None
+    assert (heartbeat.machine, heartbeat.worker_epoch, heartbeat.sequence, heartbeat.fencing_token) == (
+        "vm-1",
+        1,
+        8,
+        4,
+    )
+    assert heartbeat.tasks[0].exit_reason == "done" and heartbeat.termination_notice_s is None
     assert (
-        wire.encode(Signal("kill", "req-1/3", 2, 0.0))
+        wire.encode(Command("kill", "req-1/3", 2, 0.0))
         == b'{"signal":"kill","hand":"req-1/3","launch":2,"slackS":0.0}'
     )
-    assert wire.encode(Signal("start", "req-1/3", 2)) == b'{"signal":"start","hand":"req-1/3","launch":2}'
-    assert split_task(task_name("req-7", 12)) == ("req-7", 12)
+    assert wire.encode(Command("start", "req-1/3", 2)) == b'{"signal":"start","hand":"req-1/3","launch":2}'
+    assert parse_task_name(format_task_name("req-7", 12)) == ("req-7", 12)
     for name in ("req-7", "req-7/", "req-7/-1", "req-7/x", "/1234567"):
-        assert split_task(name) is None
+        assert parse_task_name(name) is None
 
 
 def test_controllers_talk_in_tagged_tuples() -> None:
-    text = wire.encode(peers.Forward("GET", "/v1/jobs/req-1", ""))
+    text = wire.encode(peers.ForwardRequest("GET", "/v1/jobs/req-1", ""))
     assert text == b'["forward","GET","/v1/jobs/req-1",""]'
-    assert wire.decode(text, peers.PeerMessage) == peers.Forward("GET", "/v1/jobs/req-1", "")  # type: ignore[arg-type]
+    assert wire.decode(text, peers.PeerMessage) == peers.ForwardRequest("GET", "/v1/jobs/req-1", "")  # type: ignore[arg-type]
     with pytest.raises(wire.WireError):
         wire.decode(b'["shutdown"]', peers.PeerMessage)  # type: ignore[arg-type]
