--- a/tests/world.py
+++ b/tests/world.py
@@ -11,27 +11,27 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.model import Cluster, JobState, Machine, commands_for, stop_commands
+from driftcleat.cluster import ClusterState, JobState, Machine, commands_for_heartbeat, stop_commands
+from driftcleat.scheduler import PendingRequest, ScaleOutRequest, Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.records import (
-    BATCH,
-    CHUNKS,
-    ENDED,
-    JOBS,
-    LEADER,
-    RENTALS,
-    VERSION,
-    BatchMark,
+    BATCH_MARKER_KEY,
+    CHUNKS_PREFIX,
+    DATA_VERSION_KEY,
+    ENDED_JOBS_PREFIX,
+    JOBS_PREFIX,
+    LEADER_KEY,
+    SCALE_OUTS_PREFIX,
+    BatchMarker,
     EncodedBatch,
-    Layout,
-    RentalRecord,
+    RecordLayout,
+    ScaleOutRecord,
     encode_batch,
 )
-from driftcleat.term import OpenRental, Term, Ticket
 from driftcleat.wire import state as state_messages
 from driftcleat.wire.cloud import MachineType
-from driftcleat.wire.users import JobView, Kind, Submission
-from driftcleat.wire.workers import Report, Signal, TaskReport, split_task
+from driftcleat.wire.users import JobKind, JobSpec, JobStatus
+from driftcleat.wire.workers import Command, Heartbeat, TaskStatus, parse_task_name
 
 from .samples import loaded_jobs
 
@@ -44,7 +44,7 @@
     """Return a transaction as the production version would have sent it: heads without the trailing fields."""
     raw = json.loads(body)
     for change in raw["then"]:
-        if change.get("put", "").startswith(JOBS):
+        if change.get("put", "").startswith(JOBS_PREFIX):
             del change["v"][7:]
     return json.dumps(raw, separators=(",", ":")).encode()
 
@@ -90,13 +90,13 @@
     def put_leader(self, label: str) -> int:
         """Make somebody leader (its lease is not played here); return the token."""
         self.revision += 1
-        self.data[LEADER] = ([label, "x"], self.revision)
+        self.data[LEADER_KEY] = ([label, "x"], self.revision)
         return self.revision
 
-    def items(self, prefix: str) -> list[state_messages.Item]:
+    def items(self, prefix: str) -> list[state_messages.KeyValue]:
         """Return the items under a prefix."""
         return [
-            state_messages.Item(wire.encode(value), version, key)  # type: ignore[arg-type]
+            state_messages.KeyValue(wire.encode(value), version, key)  # type: ignore[arg-type]
             for key, (value, version) in sorted(self.data.items())
             if key.startswith(prefix)
         ]
@@ -106,7 +106,7 @@
 class Running:
     """A task on a worker."""
 
-    job: Submission
+    job: JobSpec
     index: int
     attempt: int
     state: str
@@ -118,8 +118,8 @@
 class PlainWorker:
     """A worker as the protocol describes it."""
 
-    def __init__(self, world: "World", name: str, kind: MachineType, zone: str, spot: bool) -> None:
-        self.world, self.name, self.kind, self.zone, self.spot = world, name, kind, zone, spot
+    def __init__(self, world: "World", name: str, machine_type: MachineType, zone: str, spot: bool) -> None:
+        self.world, self.name, self.kind, self.zone, self.spot = world, name, machine_type, zone, spot
         self.session, self.seq, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int, int], Running] = {}
         self.leased_at = world.now
@@ -134,10 +134,10 @@
         """Return what a worker reports at once when it changes."""
         return (self.session, self.token, [(key, task.state) for key, task in self.tasks.items()])
 
-    def report(self) -> Report:
+    def report(self) -> Heartbeat:
         """Return the newest report."""
         self.seq += 1
-        return Report(
+        return Heartbeat(
             self.name,
             f"{self.name}:1",
             self.kind.name,
@@ -147,12 +147,12 @@
             self.seq,
             self.token,
             tuple(
-                TaskReport(f"{task.job.id}/{task.index}", task.attempt, task.state, task.why, task.saved or None)
+                TaskStatus(f"{task.job.id}/{task.index}", task.attempt, task.state, task.why, task.saved or None)
                 for task in self.tasks.values()
             ),
         )
 
-    def answer(self, session: int, seq: int, token: int, signals: list[Signal], sent_at: float) -> None:
+    def answer(self, session: int, seq: int, token: int, commands: list[Command], sent_at: float) -> None:
         """Take the answer to a report, unless it comes too late or from a leader of before."""
         if self.gone or session != self.session or self.waiting_answer != sent_at or self.world.now > sent_at + 4:
             return
@@ -161,30 +161,34 @@
             return
         self.token = token
         self.leased_at = sent_at
-        self.carry_out(signals)
+        self.carry_out(commands)
 
-    def direct(self, token: int, session: int, signals: list[Signal]) -> None:
+    def direct(self, token: int, session: int, commands: list[Command]) -> None:
         """Take commands sent straight here, however late."""
         if self.gone or token < self.token or session != self.session:
             return
         self.token = token
-        self.carry_out(signals)
+        self.carry_out(commands)
 
-    def carry_out(self, signals: list[Signal]) -> None:
+    def carry_out(self, commands: list[Command]) -> None:
         """Execute commands in order."""
-        for signal in signals:
-            split = split_task(signal.task)
+        for command in commands:
+            split = parse_task_name(command.task)
             assert split is not None
-            key = (*split, signal.attempt)
+            key = (*split, command.attempt)
             task = self.tasks.get(key)
-            if signal.op == "start" and task is None:
+            if command.action == "start" and task is None:
                 self.start(key)
-            elif signal.op == "kill" and task is not None and task.state != "exited":
-                if task.state == "running" and task.job.checkpoint_s > 0 and (signal.grace_s or 0) >= task.job.save_s:
-                    task.state, task.until = "saving", self.world.now + task.job.save_s
-                elif not (task.state == "saving" and signal.grace_s):
+            elif command.action == "kill" and task is not None and task.state != "exited":
+                if (
+                    task.state == "running"
+                    and task.job.checkpoint_interval_s > 0
+                    and (command.grace_period_s or 0) >= task.job.checkpoint_duration_s
+                ):
+                    task.state, task.until = "saving", self.world.now + task.job.checkpoint_duration_s
+                elif not (task.state == "saving" and command.grace_period_s):
                     self.leave(task, "stopped")
-            elif signal.op == "forget" and task is not None and task.state == "exited":
+            elif command.action == "forget" and task is not None and task.state == "exited":
                 del self.tasks[key]
 
     def restart(self) -> None:
@@ -208,14 +212,14 @@
             task.state, task.why = "exited", "no_room"
         else:
             self.world.check_start(self, task)
-            task.until = self.world.now + job.estimate_s * self.world.rng.uniform(0.3, 1.5)
+            task.until = self.world.now + job.estimated_run_s * self.world.rng.uniform(0.3, 1.5)
 
     def leave(self, task: Running, why: str) -> None:
         """A task exits; what is left of its gang notices."""
         task.state, task.why = "exited", why
         if why == "done":
             self.world.finished.add((task.job.id, task.index))
-        if task.job.kind is Kind.GANG:
+        if task.job.kind is JobKind.GANG:
             for other in self.world.on_machines():
                 if other[1].job.id == task.job.id and other[1].attempt == task.attempt:
                     other[0].leave_quietly(other[1], "done" if why == "done" else "mates_gone")
@@ -239,7 +243,7 @@
             if task.state == "saving" and now >= task.until:
                 task.saved = True
                 self.leave(task, "stopped")
-            elif task.state == "running" and now >= task.until and task.job.kind is not Kind.SERVICE:
+            elif task.state == "running" and now >= task.until and task.job.kind is not JobKind.SERVICE:
                 self.leave(task, "error" if self.sick else "done")
         if self.waiting_answer is not None and now > self.waiting_answer + 4:
             self.waiting_answer, self.next_report = None, now + 1
@@ -251,20 +255,20 @@
             self.world.send_report(self, self.report(), now)
 
 
-def check_steady(cluster: Cluster, machine: Machine, report: Report) -> None:
+def check_steady(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> None:
     """An equal report that need not be looked at: a look at every task finds nothing either."""
-    offered = dict(machine.offered)
-    machine.steady = False
-    assert not cluster.news(machine) and not cluster._open_question(machine)
-    assert commands_for(cluster, machine, report) == [] and machine.offered == offered
-    machine.steady = True
+    offered = dict(machine.starts_sent)
+    machine.in_sync = False
+    assert not cluster.has_uncommitted_exits(machine) and not cluster._may_prove_something(machine)
+    assert commands_for_heartbeat(cluster, machine, heartbeat) == [] and machine.starts_sent == offered
+    machine.in_sync = True
 
 
 @dataclass
 class Leader:
     """A controller that believes to lead."""
 
-    term: Term
+    term: Scheduler
     mark_version: int
     number: int = 0
     silent: bool = False
@@ -292,7 +296,7 @@
         self.now = 100.0
         self.store = PlainStore(platform)
         self.workers: dict[str, PlainWorker] = {}
-        self.specs: dict[str, Submission] = {}
+        self.specs: dict[str, JobSpec] = {}
         self.finished: set[tuple[str, int]] = set()
         self.told: dict[str, str] = {}
         self.cancelled_at: dict[str, float] = {}
@@ -328,7 +332,7 @@
             self.mail_number += 1
             self.mail.append(Message(self.now + delay, self.mail_number, deliver))
 
-    def send_report(self, worker: PlainWorker, report: Report, sent_at: float) -> None:
+    def send_report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         """A report goes to one of the leaders."""
         leaders = [leader for leader in self.leaders if not leader.silent and not leader.stepped_down]
         if not leaders or worker.cut:
@@ -339,39 +343,39 @@
         if self.rng.random() < self.copies:
             self.mail_number += 1
             late = self.now + self.rng.choice([2.0, 6.0, 20.0, 60.0])
-            self.mail.append(Message(late, self.mail_number, lambda: self.take_copy(report)))
+            self.mail.append(Message(late, self.mail_number, lambda: self.take_copy(heartbeat)))
 
         def arrive() -> None:
-            self.take_report(leader, worker, report, sent_at)
+            self.take_report(leader, worker, heartbeat, sent_at)
 
         self.post(arrive)
 
-    def take_copy(self, report: Report) -> None:
+    def take_copy(self, heartbeat: Heartbeat) -> None:
         """A late copy of a report; nobody waits for its answer any more."""
         leader = self.leader
-        if leader.silent or leader.stepped_down or report.token > leader.term.cluster.token:
+        if leader.silent or leader.stepped_down or heartbeat.fencing_token > leader.term.cluster.fencing_token:
             return
-        machine = leader.term.cluster.observe(report, self.now)
+        machine = leader.term.cluster.apply_heartbeat(heartbeat, self.now)
         if machine is not None:
-            commands_for(leader.term.cluster, machine, report)
+            commands_for_heartbeat(leader.term.cluster, machine, heartbeat)
 
-    def take_report(self, leader: Leader, worker: PlainWorker, report: Report, sent_at: float) -> None:
+    def take_report(self, leader: Leader, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         """What a controller does with a report."""
         if leader.silent or leader.stepped_down:
             return
         cluster = leader.term.cluster
-        if report.token > cluster.token:
+        if heartbeat.fencing_token > cluster.fencing_token:
             leader.stepped_down = True
             return
-        machine = cluster.observe(report, self.now)
-        if machine is not None and machine.steady:
-            check_steady(cluster, machine, report)
-        signals = [] if machine is None else commands_for(cluster, machine, report)
-        token = cluster.token
+        machine = cluster.apply_heartbeat(heartbeat, self.now)
+        if machine is not None and machine.in_sync:
+            check_steady(cluster, machine, heartbeat)
+        commands = [] if machine is None else commands_for_heartbeat(cluster, machine, heartbeat)
+        token = cluster.fencing_token
 
         def arrive() -> None:
             if not worker.cut and not worker.deaf:
-                worker.answer(report.session, report.seq, token, signals, sent_at)
+                worker.answer(heartbeat.worker_epoch, heartbeat.sequence, token, commands, sent_at)
 
         self.post(arrive)
 
@@ -381,14 +385,18 @@
         """Somebody wins the key and reads all records."""
         token = self.store.put_leader(label)
         site = self.platform
-        layout = Layout(site.value_bytes, site.txn_ops, site.first_value_bytes, site.first_txn_ops, site.zones)
-        layout.switched = VERSION in self.store.data
-        assert not (old and layout.switched), "there is no way back"
-        jobs, orphans = loaded_jobs(self.store.items(JOBS), self.store.items(CHUNKS))
-        over = {need for job in jobs.values() for need in job.spec.needs or () if need not in jobs}
-        ended = {need: str(self.store.data[ENDED + need][0][0]) for need in over if ENDED + need in self.store.data}
-        cluster = Cluster(token, jobs, dict(self.types), self.now, self.platform.lease_s, ended)
-        term = Term(
+        layout = RecordLayout(site.value_bytes, site.txn_ops, site.first_value_bytes, site.first_txn_ops, site.zones)
+        layout.version_2_active = DATA_VERSION_KEY in self.store.data
+        assert not (old and layout.version_2_active), "there is no way back"
+        jobs, orphans = loaded_jobs(self.store.items(JOBS_PREFIX), self.store.items(CHUNKS_PREFIX))
+        over = {need for job in jobs.values() for need in job.spec.dependencies or () if need not in jobs}
+        ended = {
+            need: str(self.store.data[ENDED_JOBS_PREFIX + need][0][0])
+            for need in over
+            if ENDED_JOBS_PREFIX + need in self.store.data
+        }
+        cluster = ClusterState(token, jobs, dict(self.types), self.now, self.platform.lease_s, ended)
+        scheduler = Scheduler(
             self.platform,
             Tuning(),
             cluster,
@@ -397,12 +405,12 @@
             lambda: self.now,
             lambda: self.now,
         )
-        term.housekeeping.garbage.extend(orphans)
-        for item in self.store.items(RENTALS):
-            name = item.key[len(RENTALS) :]
-            term.rentals.restore(OpenRental(name, wire.decode(bytes(item.value), RentalRecord)))
-        mark = self.store.data.get(BATCH, (None, 0))
-        leader = Leader(term, mark[1], old=old)
+        scheduler.garbage_collector.obsolete_keys.extend(orphans)
+        for key_value in self.store.items(SCALE_OUTS_PREFIX):
+            name = key_value.key[len(SCALE_OUTS_PREFIX) :]
+            scheduler.scale_out.restore(ScaleOutRequest(name, wire.decode(bytes(key_value.value), ScaleOutRecord)))
+        mark = self.store.data.get(BATCH_MARKER_KEY, (None, 0))
+        leader = Leader(scheduler, mark[1], old=old)
         self.leaders.append(leader)
         return leader
 
@@ -418,14 +426,14 @@
         if leader.in_flight is None:
             if not leader.term.has_work:
                 return
-            batch = leader.term.build()
-            if batch.empty:
-                for call in batch.after:
+            batch = leader.term.build_batch()
+            if batch.is_empty:
+                for call in batch.on_commit:
                     call()
                 return
             leader.number += 1
             encoded = encode_batch(
-                batch, leader.term.layout, leader.term.cluster.token, leader.number, leader.mark_version
+                batch, leader.term.layout, leader.term.cluster.fencing_token, leader.number, leader.mark_version
             )
             if leader.old:
                 encoded.body = as_production_writes(encoded.body)
@@ -439,117 +447,123 @@
         if self.rng.random() < self.chaos * 0.1:
             return
         if revision is None:
-            value, version = self.store.data.get(BATCH, (None, 0))
-            if value is None or wire.convert(value, BatchMark) != encoded.mark:
+            value, version = self.store.data.get(BATCH_MARKER_KEY, (None, 0))
+            if value is None or wire.convert(value, BatchMarker) != encoded.marker:
                 leader.stepped_down = True
                 return
             revision = version
         leader.in_flight = None
         leader.mark_version = revision
-        leader.term.commit(batch, revision, encoded.garbage)
-        while leader.term.urgent:
-            self.send_stops(leader, leader.term.urgent.pop())
+        leader.term.apply_commit(batch, revision, encoded.obsolete_keys)
+        while leader.term.urgent_stops:
+            self.send_stops(leader, leader.term.urgent_stops.pop())
 
     def send_stops(self, leader: Leader, name: str) -> None:
         """Stops go straight to the worker too, and may land late."""
         machine = leader.term.cluster.machines.get(name)
         worker = self.workers.get(name)
-        if machine is None or worker is None or machine.report is None:
+        if machine is None or worker is None or machine.last_heartbeat is None:
             return
         cluster = leader.term.cluster
-        signals, session, token = stop_commands(cluster, machine), machine.report.session, cluster.token
-        self.post(lambda: None if worker.cut or worker.deaf else worker.direct(token, session, signals))
+        commands, session, token = (
+            stop_commands(cluster, machine),
+            machine.last_heartbeat.worker_epoch,
+            cluster.fencing_token,
+        )
+        self.post(lambda: None if worker.cut or worker.deaf else worker.direct(token, session, commands))
 
     def keep_fleet(self, leader: Leader) -> None:
         """Rent and return as the leader's fleet keeper does."""
-        term = leader.term
+        scheduler = leader.term
         if leader.silent or leader.stepped_down or not self.cloud_up:
             return
-        names = term.cancellations.machines_to_fence() | term.reachability.never_reported(self.now)
-        if self.now >= term.pacing.place_from:
-            plan = term.plan_rentals(self.now)
-            names |= {machine.name for machine in term.surplus(plan, self.now)}
-            if plan.rentals and len(self.alive()) < 14:
-                term.rentals.rent(plan)
+        names = scheduler.cancellations.machines_to_fence() | scheduler.reachability.never_reported(self.now)
+        if self.now >= scheduler.pacing.placement_starts_at:
+            plan = scheduler.plan_scale_out(self.now)
+            names |= {machine.name for machine in scheduler.select_scale_in(plan, self.now)}
+            if plan.scale_out and len(self.alive()) < 14:
+                scheduler.scale_out.request(plan)
         for name in names:
-            machine = term.known_machine(name, self.now)
+            machine = scheduler.find_or_register_machine(name, self.now)
             worker = self.workers.get(name)
             if worker is not None:
                 worker.gone = True
                 worker.tasks.clear()
             if machine.state.value != "gone":
-                term.cluster.forget_machine(machine, self.now)
-        if self.held_by is not None and self.now >= term.pacing.place_from:
+                scheduler.cluster.record_terminated(machine, self.now)
+        if self.held_by is not None and self.now >= scheduler.pacing.placement_starts_at:
             # Workers that an earlier leader holds are shown the new token.
             for worker in self.alive():
-                known = term.cluster.machines.get(worker.name)
-                if (known is None or known.report is None) and not worker.cut and not worker.deaf:
-                    worker.direct(term.cluster.token, worker.session, [])
-        for rental in list(term.rentals.open.values()):
-            machines = self.rentals_done.get(rental.name)
+                known = scheduler.cluster.machines.get(worker.name)
+                if (known is None or known.last_heartbeat is None) and not worker.cut and not worker.deaf:
+                    worker.direct(scheduler.cluster.fencing_token, worker.session, [])
+        for request in list(scheduler.scale_out.open.values()):
+            machines = self.rentals_done.get(request.name)
             if machines is None:
-                machines = tuple(self.boot(rental.record) for _ in range(min(rental.record.count, 3)))
-                self.rentals_done[rental.name] = machines
-            term.rentals.settle(rental, machines, self.now)
+                machines = tuple(self.boot(request.record) for _ in range(min(request.record.count, 3)))
+                self.rentals_done[request.name] = machines
+            scheduler.scale_out.record_answer(request, machines, self.now)
 
-    def boot(self, record: RentalRecord) -> str:
+    def boot(self, record: ScaleOutRecord) -> str:
         """A machine comes up."""
         self.rented += 1
         name = f"vm-{self.rented:06d}"
-        self.workers[name] = PlainWorker(self, name, self.types[record.type], record.zone, record.spot)
+        self.workers[name] = PlainWorker(self, name, self.types[record.machine_type], record.zone, record.spot)
         return name
 
     # -- users --------------------------------------------------------------------------------------------
 
-    def submit(self, spec: Submission) -> None:
+    def submit(self, spec: JobSpec) -> None:
         """A user submits a job (again)."""
-        known = ENDED + spec.id in self.store.data
+        known = ENDED_JOBS_PREFIX + spec.id in self.store.data
         if known or self.leader.stepped_down or self.leader.silent:
             return
         self.specs[spec.id] = spec
         leader = self.leader
 
-        def answered(view: JobView | None) -> None:
-            if view is not None:
-                self.tell(view)
+        def answered(status: JobStatus | None) -> None:
+            if status is not None:
+                self.tell(status)
 
         # What the users' interface finds out: the final states of needed jobs that are over.
         ended = {
-            need: str(self.store.data[ENDED + need][0][0])
-            for need in spec.needs or ()
-            if ENDED + need in self.store.data
+            need: str(self.store.data[ENDED_JOBS_PREFIX + need][0][0])
+            for need in spec.dependencies or ()
+            if ENDED_JOBS_PREFIX + need in self.store.data
         }
-        leader.term.admission.submit(Ticket(answered, spec, spec.id, ended))
+        leader.term.admission.submit(PendingRequest(answered, spec, spec.id, ended))
 
     def cancel(self, job_id: str) -> None:
         """A user cancels a job."""
         if self.leader.term.admission.lookup(job_id) is None:
             return
 
-        def answered(view: JobView | None) -> None:
-            if view is not None:
-                self.tell(view)
-                if view.state == "cancelled":
+        def answered(status: JobStatus | None) -> None:
+            if status is not None:
+                self.tell(status)
+                if status.state == "cancelled":
                     self.cancelled_at.setdefault(job_id, self.now)
 
         self.wanted_off.add(job_id)
-        self.leader.term.admission.cancel(Ticket(answered, None, job_id))
+        self.leader.term.admission.cancel(PendingRequest(answered, None, job_id))
 
-    def tell(self, view: JobView) -> None:
+    def tell(self, status: JobStatus) -> None:
         """A user is told a job's state."""
-        before = self.told.get(view.id)
-        if before in ("done", "cancelled") and view.state != before:
-            raise RuleBrokenError(f"went_back: {view.id} {before} -> {view.state}")
-        if view.state == "done":
-            missing = [index for index in range(self.specs[view.id].tasks) if (view.id, index) not in self.finished]
+        before = self.told.get(status.id)
+        if before in ("done", "cancelled") and status.state != before:
+            raise RuleBrokenError(f"went_back: {status.id} {before} -> {status.state}")
+        if status.state == "done":
+            missing = [
+                index for index in range(self.specs[status.id].tasks) if (status.id, index) not in self.finished
+            ]
             if missing:
-                raise RuleBrokenError(f"not_done: {view.id} lacks {missing}")
-        at = self.cancelled_before(view.id)
-        if view.state in ("pending", "running") and at is not None and self.now > at + self.platform.cancel_s:
-            raise RuleBrokenError(f"orphaned: {view.id} is called {view.state}")
-        if view.state == "cancelled" and at is None and view.id not in self.wanted_off:
-            raise RuleBrokenError(f"went_back: {view.id} was cancelled by nobody")
-        self.told[view.id] = view.state
+                raise RuleBrokenError(f"not_done: {status.id} lacks {missing}")
+        at = self.cancelled_before(status.id)
+        if status.state in ("pending", "running") and at is not None and self.now > at + self.platform.cancel_s:
+            raise RuleBrokenError(f"orphaned: {status.id} is called {status.state}")
+        if status.state == "cancelled" and at is None and status.id not in self.wanted_off:
+            raise RuleBrokenError(f"went_back: {status.id} was cancelled by nobody")
+        self.told[status.id] = status.state
 
     # -- the rules ----------------------------------------------------------------------------------------
 
@@ -584,13 +598,13 @@
         if any(other.job.id == job.id and other.index == task.index for _, other in others):
             raise RuleBrokenError(f"ran_twice: {job.id}/{task.index} on {worker.name}")
         if (
-            (job.types is not None and worker.kind.name not in job.types)
+            (job.machine_types is not None and worker.kind.name not in job.machine_types)
             or (job.zone is not None and worker.zone != job.zone)
             or (worker.spot and not job.spot)
         ):
             raise RuleBrokenError(f"wrong_place: {job.id} on {worker.name}")
         mates = [where.zone for where, other in others if other.job.id == job.id]
-        if job.one_zone and any(zone != worker.zone for zone in mates):
+        if job.single_zone and any(zone != worker.zone for zone in mates):
             raise RuleBrokenError(f"wrong_place: {job.id} in two zones")
         if job.spread and mates.count(worker.zone) + 1 > -(-job.tasks // 2):
             raise RuleBrokenError(f"wrong_place: {job.id} not spread")
@@ -598,7 +612,7 @@
         gpus = job.gpus + sum(other.job.gpus for _, other in others if other.job.team == job.team)
         if team.gpus_max > 0 and gpus > team.gpus_max + 1e-6:
             raise RuleBrokenError(f"quota: {job.team} uses {gpus}")
-        for need in job.needs or ():
+        for need in job.dependencies or ():
             if any((need, index) not in self.finished for index in range(self.specs[need].tasks)):
                 raise RuleBrokenError(f"too_early: {job.id} starts before {need} is done")
         self.check_cancelled(job.id)
@@ -610,7 +624,7 @@
             current = asked.pop()
             if current not in seen:
                 seen.add(current)
-                asked.extend(self.specs[current].needs or ())
+                asked.extend(self.specs[current].dependencies or ())
         return seen
 
     def cancelled_before(self, job_id: str) -> float | None:
@@ -656,13 +670,13 @@
     def poll_all(self) -> None:
         """Users ask for the state of every accepted job; none may be forgotten."""
         for job_id in list(self.told):
-            view = self.leader.term.admission.lookup(job_id)
-            if view is None:
-                value = self.store.data.get(ENDED + job_id)
+            status = self.leader.term.admission.lookup(job_id)
+            if status is None:
+                value = self.store.data.get(ENDED_JOBS_PREFIX + job_id)
                 if value is None:
                     raise RuleBrokenError(f"forgotten: {job_id}")
-                view = JobView(job_id, value[0][0], value[0][1])
-            self.tell(view)
+                status = JobStatus(job_id, value[0][0], value[0][1])
+            self.tell(status)
 
     def settle(self, seconds: float = 400.0) -> None:
         """All trouble ends; then every job that is no service must be done, and cancelled ones gone."""
@@ -675,7 +689,7 @@
         self.run(5.0)
         # Services hold quota for as long as they run.
         for job_id, state in self.states().items():
-            if self.specs[job_id].kind is Kind.SERVICE and state not in ("done", "cancelled"):
+            if self.specs[job_id].kind is JobKind.SERVICE and state not in ("done", "cancelled"):
                 self.cancel(job_id)
         end = self.now + seconds
         while self.now < end and not self.all_over():
@@ -694,10 +708,10 @@
         for job_id in self.told:
             job = self.leader.term.cluster.jobs.get(job_id)
             if job is None:
-                ended = self.store.data.get(ENDED + job_id)
+                ended = self.store.data.get(ENDED_JOBS_PREFIX + job_id)
                 out[job_id] = str(ended[0][0]) if ended is not None else "lost"
-            elif job.state is JobState.CANCELLED and job.places:
+            elif job.state is JobState.CANCELLED and job.placements:
                 out[job_id] = "cancelling"
             else:
-                out[job_id] = self.leader.term.cluster.view(job).state
+                out[job_id] = self.leader.term.cluster.job_status(job).state
         return out
--- a/tools/load/fleet.py
+++ b/tools/load/fleet.py
@@ -12,9 +12,9 @@
 from aiohttp import web
 
 from driftcleat import wire
-from driftcleat.fleet.cloud import PAGE
+from driftcleat.cloud.client import PAGE
 from driftcleat.net import HttpClient, HttpError
-from driftcleat.wire.workers import Orders, Report
+from driftcleat.wire.workers import Heartbeat, HeartbeatResponse
 from tests.standins import LiveWorld
 from tests.world import PlainWorker, Running
 
@@ -52,7 +52,7 @@
         # Zones that no controller reaches.
         self.cut_zones: set[str] = set()
 
-    async def _report(self, worker: PlainWorker, report: Report, sent_at: float) -> None:
+    async def _report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         """Send a report over the worker's own connection."""
         if not self.fronts:
             worker.waiting_answer, worker.next_report = None, self.now + REFUSED_S
@@ -65,7 +65,7 @@
         if label not in self.fronts:
             label = self.attached[worker.name] = self.rng.choice(sorted(self.fronts))
         client = self.clients.setdefault(worker.name, HttpClient(1, 1, 75.0))
-        body = wire.encode(msgspec.structs.replace(report, addr=f"{self.addresses['workers']}/{worker.name}"))
+        body = wire.encode(msgspec.structs.replace(heartbeat, address=f"{self.addresses['workers']}/{worker.name}"))
         began = time.monotonic()
         leader: str | None = None
         try:
@@ -75,9 +75,11 @@
         else:
             if answer.status == 200:
                 self.reports.waits.append(time.monotonic() - began)
-                orders = wire.decode(answer.body, Orders)
-                worker.answer(report.session, report.seq, orders.token, orders.signals, sent_at)
-                if orders.signals:
+                response = wire.decode(answer.body, HeartbeatResponse)
+                worker.answer(
+                    heartbeat.worker_epoch, heartbeat.sequence, response.fencing_token, response.commands, sent_at
+                )
+                if response.commands:
                     worker.next_report = min(worker.next_report, self.now + CHANGED_S)
                 return
             self.reports.redirected += 1
--- a/tools/load/scenario.py
+++ b/tools/load/scenario.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from driftcleat.net import HttpError
-from driftcleat.store.records import RentalRecord
-from driftcleat.wire.users import Submission
+from driftcleat.store.records import ScaleOutRecord
+from driftcleat.wire.users import JobSpec
 from tests.samples import job, raw_job
 
 from .fleet import Reports
@@ -165,7 +165,7 @@
     async def _join(self) -> list[str]:
         world = self.site.world
         for number in range(self.machines):
-            world.boot(RentalRecord("big", "north" if number % 2 else "south", False, 1, 0.0))
+            world.boot(ScaleOutRecord("big", "north" if number % 2 else "south", False, 1, 0.0))
         began = time.monotonic()
         heard = await self._until(lambda: all(worker.token > 0 for worker in world.alive()), 60.0)
         took = time.monotonic() - began
@@ -211,13 +211,13 @@
         if spec.id in self.accepted:
             known.append(spec.id)
 
-    def _new(self, changes: dict[str, Any]) -> Submission:
+    def _new(self, changes: dict[str, Any]) -> JobSpec:
         self.number += 1
         spec = job(self.number, **changes)
         self.site.world.specs[spec.id] = spec
         return spec
 
-    async def _submit(self, spec: Submission, changes: dict[str, Any], asked: Requests, tries: int = 30) -> None:
+    async def _submit(self, spec: JobSpec, changes: dict[str, Any], asked: Requests, tries: int = 30) -> None:
         body = json.dumps(raw_job(int(spec.id[4:]), **changes)).encode()
         for _ in range(tries):
             status = await self._ask("POST", "/v1/jobs", body, USER_TIMEOUT_S, asked)
--- a/tools/record.py
+++ b/tools/record.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.model import Batch, Job, Place, TaskState
+from driftcleat.cluster import Batch, Job, TaskPlacement, TaskState
 from driftcleat.store import records
 from driftcleat.wire import peers
 from driftcleat.wire.users import parse_submission
@@ -47,28 +47,28 @@
             "tideS": 100.0,
         }
         job = Job(parse_submission(raw), 1000.0 + number)
-        job.launch = 7
+        job.last_attempt = 7
         for index in range(tasks):
             roll = rng.random()
             if roll < 0.6:
-                job.places[index] = Place(
+                job.placements[index] = TaskPlacement(
                     f"vm-{rng.randrange(40):06d}", "north", rng.randrange(1, 8), 2.0 if roll < 0.1 else None
                 )
-                job.status[index] = TaskState.PLACED
+                job.task_states[index] = TaskState.PLACED
             elif roll < 0.8 and kind == "array":
-                job.status[index] = TaskState.DONE
-                job.done += 1
+                job.task_states[index] = TaskState.DONE
+                job.tasks_done += 1
         out.append(job)
     return out
 
 
-def encoded(jobs: list[Job], layout: records.Layout) -> dict[str, Any]:
+def encoded(jobs: list[Job], layout: records.RecordLayout) -> dict[str, Any]:
     """Return all records of these jobs by key."""
     rows: dict[str, Any] = {}
     for job in jobs:
         batch = Batch({}, layout.chunk_of, 1000, 1 << 30)
-        batch.create(job)
-        batch.chunks[job.id] = {layout.chunk_of(job, index) for index in range(job.spec.tasks)} - {0}
+        batch.create_job(job)
+        batch.changed_chunks[job.id] = {layout.chunk_of(job, index) for index in range(job.spec.tasks)} - {0}
         written = records.encode_batch(batch, layout, 5, 1, 0)
         for change in json.loads(written.body)["then"]:
             rows[change["put"]] = change["v"]
@@ -77,13 +77,13 @@
 
 def second_version() -> dict[str, Any]:
     """Return the same jobs in records of the second data version, and one that needs two of them."""
-    layout = records.Layout(2048, 4, 8192, 24, ("north", "south"))
-    layout.switched = True
+    layout = records.RecordLayout(2048, 4, 8192, 24, ("north", "south"))
+    layout.version_2_active = True
     found = jobs()
     raw = wire.decode(wire.encode(found[0].spec), dict)
     found.append(Job(parse_submission(raw | {"nameId": "req-000007", "tows": ["req-000001", "req-000003"]}), 1007.0))
     for job in found:
-        layout.take_in(job)
+        layout.assign_tasks_per_record(job)
     # One transaction holds all records of a job here.
     layout.txn_ops = 1000
     return encoded(found, layout)
@@ -95,13 +95,13 @@
     status = getattr(peers, "LeaderStatus", None) or peers.Standing  # type: ignore[attr-defined]
     version: dict[str, Any] = {"data_version": records.DATA_VERSION} if hasattr(records, "DATA_VERSION") else {}
     found = [
-        peers.Ask("a", **version),
+        peers.ViewRequest("a", **version),
         peers.Ping("a", **version),
-        peers.View("a", "leading", "a", 5, 0.1, -1.0, True, status(0.0, ["req-000001"]), **version),
+        peers.ViewResponse("a", "leading", "a", 5, 0.1, -1.0, True, status(0.0, ["req-000001"]), **version),
         peers.Pong("a", True, "a", 5, status(0.5, None), **version),
         peers.Pong("b", False, None, 0, **version),
-        peers.Forward("GET", "/v1/jobs/req-000001", ""),
-        peers.Forwarded(200, "{}", None),
+        peers.ForwardRequest("GET", "/v1/jobs/req-000001", ""),
+        peers.ForwardResponse(200, "{}", None),
     ]
     return [json.loads(wire.encode(message)) for message in found]
 
@@ -111,7 +111,7 @@
     out: dict[str, Any] = {
         "value_bytes": 8192,
         "txn_ops": 24,
-        "records": encoded(jobs(), records.Layout(8192, 1000)),
+        "records": encoded(jobs(), records.RecordLayout(8192, 1000)),
         "messages": messages(),
     }
     if hasattr(records, "DATA_VERSION"):
--- a/tools/shares/run.py
+++ b/tools/shares/run.py
@@ -95,7 +95,7 @@
 
     async def _submit(self) -> None:
         self.number += 1
-        known = [job_id for job_id in self.told if self.site.world.specs[job_id].estimate_s > 0]
+        known = [job_id for job_id in self.told if self.site.world.specs[job_id].estimated_run_s > 0]
         raw = some_job(self.rng, self.number, known[-20:])
         raw |= {"voyageS": 0.0 if raw["rig"] == "daemon" else self.rng.choice([2.0, 5.0]), "imageGb": 0.0}
         spec = self.site.world.specs.setdefault(f"req-{self.number:06d}", parse(raw))
@@ -204,7 +204,7 @@
             if not open_jobs:
                 break
             for job_id in open_jobs:
-                if self.site.world.specs[job_id].estimate_s == 0:
+                if self.site.world.specs[job_id].estimated_run_s == 0:
                     await self._cancel(job_id)
                 elif await self._poll(job_id) == 404:
                     unknown.add(job_id)
--- a/tools/shares/world.py
+++ b/tools/shares/world.py
@@ -12,8 +12,8 @@
 from driftcleat import wire
 from driftcleat.sharing.allotments import Allotment
 from driftcleat.sharing.keys import ALLOTMENTS, MACHINES, in_share
-from driftcleat.store.records import BATCH, LEADER, RentalRecord
-from driftcleat.wire.workers import Signal
+from driftcleat.store.records import BATCH_MARKER_KEY, LEADER_KEY, ScaleOutRecord
+from driftcleat.wire.workers import Command
 from tests.standins import LiveWorld, WatchingStore
 from tests.world import PlainStore, PlainWorker, RuleBrokenError, Running
 
@@ -27,10 +27,10 @@
 
     world: "HistoryWorld"
 
-    def answer(self, session: int, seq: int, token: int, signals: list[Signal], sent_at: float) -> None:
+    def answer(self, session: int, seq: int, token: int, commands: list[Command], sent_at: float) -> None:
         """Take an answer."""
         before = self.leased_at
-        super().answer(session, seq, token, signals, sent_at)
+        super().answer(session, seq, token, commands, sent_at)
         if self.leased_at != before and token == self.token:
             self.world.note(Answered(self.world.now, self.name, token))
 
@@ -42,10 +42,10 @@
             self.world.note(Lapsed(self.world.now, self.name))
         self.tell_stops(running)
 
-    def carry_out(self, signals: list[Signal]) -> None:
+    def carry_out(self, commands: list[Command]) -> None:
         """Execute commands; tell what has ended by them."""
         running = self.live()
-        super().carry_out(signals)
+        super().carry_out(commands)
         self.tell_stops(running)
 
     def live(self) -> dict[tuple[str, int, int], Running]:
@@ -77,11 +77,11 @@
         self.note = note
         self.rule_breaks: list[str] = []
 
-    def boot(self, record: RentalRecord) -> str:
+    def boot(self, record: ScaleOutRecord) -> str:
         """A machine comes up."""
         self.rented += 1
         name = f"vm-{self.rented:06d}"
-        self.workers[name] = HistoryWorker(self, name, self.types[record.type], record.zone, record.spot)
+        self.workers[name] = HistoryWorker(self, name, self.types[record.machine_type], record.zone, record.spot)
         return name
 
     async def cloud(self, request: web.BaseRequest) -> web.Response:
@@ -119,8 +119,8 @@
     def __init__(self, store: PlainStore, shares: int, note: Note) -> None:
         super().__init__(store)
         self._note, self._shares = note, shares
-        self._leader_keys = {in_share(share, LEADER): share for share in range(shares)}
-        self._batch_keys = {in_share(share, BATCH): share for share in range(shares)}
+        self._leader_keys = {in_share(share, LEADER_KEY): share for share in range(shares)}
+        self._batch_keys = {in_share(share, BATCH_MARKER_KEY): share for share in range(shares)}
         self._since: dict[int, tuple[int, float]] = {}
         # For each change of a share's leader: from its key's change to the first batch after, and whether it was a
         # put over another's key, which only a move does.
