--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -176,7 +176,7 @@
             raise self._bad(str(error)) from None
 
     async def get(self, key: str, most_wait_s: float | None = None) -> messages.KeyValue | None:
-        """Return a key, or None when it does not exist; `StoreUnavailableError` if its turn would come later than asked."""
+        """Return a key, or None when it does not exist; `StoreUnavailableError` if it would wait too long."""
         status, data = await self._call("GET", f"/store/{key}", most_wait_s=most_wait_s)
         if status == 404:
             return None
