--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -20,7 +20,9 @@
 from driftcleat.scheduler import PendingRequest, Scheduler, never_fits
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.client import StoreClient, StoreError, StoreUnavailableError
-from driftcleat.store.records import ENDED_JOBS_PREFIX, JOBS_PREFIX, EndedJobRecord, decode_head
+from driftcleat.store.decoding import decode_head
+from driftcleat.store.keys import ENDED_JOBS_PREFIX, JOBS_PREFIX
+from driftcleat.store.records import EndedJobRecord
 from driftcleat.wire import peers as peer_messages
 from driftcleat.wire.users import (
     InvalidFieldError,
--- a/driftcleat/cloud/manager.py
+++ b/driftcleat/cloud/manager.py
@@ -15,7 +15,7 @@
 from driftcleat.scheduler import ScaleOutRequest, Scheduler
 from driftcleat.scheduler.scale_out import MAX_MACHINES_PER_REQUEST
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.records import MACHINE_TYPES_KEY
+from driftcleat.store.keys import MACHINE_TYPES_KEY
 from driftcleat.wire.cloud import CreateMachinesRequest, ListedMachine
 from driftcleat.workers.dispatch import StopDispatcher
 
--- a/driftcleat/controller/commit_pipeline.py
+++ b/driftcleat/controller/commit_pipeline.py
@@ -19,7 +19,9 @@
     StoreClient,
     StoreError,
 )
-from driftcleat.store.records import BATCH_MARKER_KEY, BatchMarker, BatchTooLargeError, EncodedBatch, encode_batch
+from driftcleat.store.encoding import BatchTooLargeError, EncodedBatch, encode_batch
+from driftcleat.store.keys import BATCH_MARKER_KEY
+from driftcleat.store.records import BatchMarker
 
 log = logging.getLogger(__name__)
 
--- a/driftcleat/controller/recovery.py
+++ b/driftcleat/controller/recovery.py
@@ -10,22 +10,19 @@
 from driftcleat.scheduler import ScaleOutRequest, Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.client import MalformedResponseError, StoreClient
-from driftcleat.store.records import (
+from driftcleat.store.decoding import decode_jobs
+from driftcleat.store.keys import (
     BATCH_MARKER_KEY,
     CHUNKS_PREFIX,
-    DATA_VERSION,
     DATA_VERSION_KEY,
     ENDED_JOBS_PREFIX,
     JOBS_PREFIX,
     MACHINE_IMAGES_PREFIX,
     MACHINE_TYPES_KEY,
     SCALE_OUTS_PREFIX,
-    EndedJobRecord,
-    MachineImagesRecord,
-    RecordLayout,
-    ScaleOutRecord,
-    decode_jobs,
 )
+from driftcleat.store.layout import RecordLayout
+from driftcleat.store.records import DATA_VERSION, EndedJobRecord, MachineImagesRecord, ScaleOutRecord
 from driftcleat.wire.cloud import MachineType
 
 
--- a/driftcleat/leadership/election.py
+++ b/driftcleat/leadership/election.py
@@ -17,7 +17,7 @@
 from driftcleat.leadership.lease import LeaseClock
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.client import CompareFailedError, LeaseNotFoundError, StoreClient, StoreError
-from driftcleat.store.records import LEADER_KEY
+from driftcleat.store.keys import LEADER_KEY
 from driftcleat.wire import state as messages
 
 log = logging.getLogger(__name__)
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -11,7 +11,8 @@
 from driftcleat.runtime.metrics import Metrics
 from driftcleat.settings import Platform
 from driftcleat.store.client import StoreClient, StoreError
-from driftcleat.store.records import DATA_VERSION, LEADER_KEY
+from driftcleat.store.keys import LEADER_KEY
+from driftcleat.store.records import DATA_VERSION
 from driftcleat.wire import peers as messages
 
 log = logging.getLogger(__name__)
--- a/driftcleat/scheduler/context.py
+++ b/driftcleat/scheduler/context.py
@@ -6,7 +6,7 @@
 
 from driftcleat.cluster import ClusterState
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.records import RecordLayout
+from driftcleat.store.layout import RecordLayout
 
 INFINITE = float("inf")
 
--- a/driftcleat/scheduler/garbage_collection.py
+++ b/driftcleat/scheduler/garbage_collection.py
@@ -5,7 +5,8 @@
 from driftcleat import wire
 from driftcleat.cluster import Batch, Machine
 from driftcleat.scheduler.context import SchedulerContext
-from driftcleat.store.records import MACHINE_IMAGES_PREFIX, MachineImagesRecord
+from driftcleat.store.keys import MACHINE_IMAGES_PREFIX
+from driftcleat.store.records import MachineImagesRecord
 
 
 class GarbageCollector:
--- a/driftcleat/scheduler/record_migration.py
+++ b/driftcleat/scheduler/record_migration.py
@@ -12,7 +12,8 @@
 from driftcleat.scheduler.context import SchedulerContext
 from driftcleat.scheduler.garbage_collection import GarbageCollector
 from driftcleat.scheduler.pacing import RoundPacing
-from driftcleat.store.records import DATA_VERSION, DATA_VERSION_KEY, chunk_key
+from driftcleat.store.keys import DATA_VERSION_KEY, chunk_key
+from driftcleat.store.records import DATA_VERSION
 
 log = logging.getLogger(__name__)
 
--- a/driftcleat/scheduler/scale_out.py
+++ b/driftcleat/scheduler/scale_out.py
@@ -7,7 +7,8 @@
 from driftcleat.capacity.sizing import CapacityPlan, MachineOffer
 from driftcleat.cluster import Batch
 from driftcleat.scheduler.context import SchedulerContext
-from driftcleat.store.records import SCALE_OUTS_PREFIX, ScaleOutRecord
+from driftcleat.store.keys import SCALE_OUTS_PREFIX
+from driftcleat.store.records import ScaleOutRecord
 
 # The most machines that the cloud rents in one request.
 MAX_MACHINES_PER_REQUEST = 50
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -29,7 +29,7 @@
 from driftcleat.scheduler.scale_in import ScaleInPlanner
 from driftcleat.scheduler.scale_out import MAX_MACHINES_PER_REQUEST, ScaleOut
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.records import RecordLayout
+from driftcleat.store.layout import RecordLayout
 
 # Workers have this many report intervals to be heard by a new leader before anything is placed.
 REPORTS_BEFORE_PLACING = 1.25
--- a/driftcleat/sharing/claims.py
+++ b/driftcleat/sharing/claims.py
@@ -6,7 +6,7 @@
 from driftcleat import wire
 from driftcleat.sharing.keys import CLAIMS, FIRST_SHARE
 from driftcleat.store.client import CompareFailedError, OutcomeUnknownError, StoreClient
-from driftcleat.store.records import ENDED_JOBS_PREFIX, JOBS_PREFIX
+from driftcleat.store.keys import ENDED_JOBS_PREFIX, JOBS_PREFIX
 from driftcleat.wire import state as messages
 
 # Homes that are kept in memory; a home never changes.
--- a/driftcleat/sharing/election.py
+++ b/driftcleat/sharing/election.py
@@ -18,7 +18,7 @@
 from driftcleat.sharing.keys import ASSIGNMENT, FIRST_SHARE
 from driftcleat.sharing.process_lease import ProcessLease
 from driftcleat.sharing.view import SharingView
-from driftcleat.store.records import LEADER_KEY
+from driftcleat.store.keys import LEADER_KEY
 from driftcleat.wire import state as messages
 
 log = logging.getLogger(__name__)
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -27,7 +27,7 @@
 from driftcleat.sharing.share_states import state_elsewhere
 from driftcleat.sharing.share_store import ShareStore
 from driftcleat.store.client import StoreError
-from driftcleat.store.records import LEADER_KEY
+from driftcleat.store.keys import LEADER_KEY
 
 if TYPE_CHECKING:
     from driftcleat.sharing.host import SharingHost
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -36,7 +36,7 @@
 from driftcleat.sharing.transfer import Transfers
 from driftcleat.sharing.view import SharingView
 from driftcleat.store.client import CompareFailedError, StoreError
-from driftcleat.store.records import LEADER_KEY
+from driftcleat.store.keys import LEADER_KEY
 from driftcleat.wire import state as messages
 
 log = logging.getLogger(__name__)
--- a/driftcleat/sharing/keys.py
+++ b/driftcleat/sharing/keys.py
@@ -1,6 +1,6 @@
 """Where shares and what they have in common lie in the store."""
 
-from driftcleat.store.records import ROOT_PREFIX
+from driftcleat.store.keys import ROOT_PREFIX
 
 # What all shares have in common; every controller keeps a replica of what lies under it.
 SHARING = ROOT_PREFIX + "sharing/"
--- a/driftcleat/sharing/share_states.py
+++ b/driftcleat/sharing/share_states.py
@@ -4,7 +4,9 @@
 from driftcleat.cluster import JobState
 from driftcleat.sharing.keys import in_share
 from driftcleat.store.client import StoreClient
-from driftcleat.store.records import ENDED_JOBS_PREFIX, JOBS_PREFIX, EndedJobRecord, decode_head
+from driftcleat.store.decoding import decode_head
+from driftcleat.store.keys import ENDED_JOBS_PREFIX, JOBS_PREFIX
+from driftcleat.store.records import EndedJobRecord
 
 
 async def state_elsewhere(store: StoreClient, home: int, job_id: str, most_wait_s: float | None = None) -> str | None:
--- a/tests/costs.py
+++ b/tests/costs.py
@@ -14,7 +14,9 @@
 from driftcleat import wire
 from driftcleat.cluster import ClusterState, commands_for_heartbeat
 from driftcleat.scheduler import PendingRequest, Scheduler
-from driftcleat.store.records import CHUNKS_PREFIX, JOBS_PREFIX, decode_jobs, encode_batch
+from driftcleat.store.decoding import decode_jobs
+from driftcleat.store.encoding import encode_batch
+from driftcleat.store.keys import CHUNKS_PREFIX, JOBS_PREFIX
 from driftcleat.wire.workers import Heartbeat, TaskPhase, TaskStatus, format_task_name
 
 from .samples import TYPES, job, platform
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -5,7 +5,7 @@
 
 from driftcleat.cluster import Job
 from driftcleat.settings.platform import Platform, parse_platform
-from driftcleat.store.records import decode_jobs
+from driftcleat.store.decoding import decode_jobs
 from driftcleat.wire import state
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.users import JobSpec, parse_submission
--- a/tests/sharing_simulation.py
+++ b/tests/sharing_simulation.py
@@ -14,7 +14,7 @@
 from driftcleat.sharing.host import SharingHost
 from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, MACHINES, share_root
 from driftcleat.sharing.settings import SharingSettings
-from driftcleat.store.records import LEADER_KEY, ROOT_PREFIX
+from driftcleat.store.keys import LEADER_KEY, ROOT_PREFIX
 
 from .simulation import LABELS, Simulation, _Cloud, _Peers, _Store, _Workers
 from .standins import WatchingStore
--- a/tests/terms.py
+++ b/tests/terms.py
@@ -6,7 +6,8 @@
 from driftcleat.cluster import ClusterState
 from driftcleat.scheduler import PendingRequest, Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.records import RecordLayout, encode_batch
+from driftcleat.store.encoding import encode_batch
+from driftcleat.store.layout import RecordLayout
 from driftcleat.wire.users import JobSpec
 from driftcleat.wire.workers import Heartbeat
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -27,14 +27,10 @@
 from driftcleat.scheduler import PendingRequest, Scheduler, never_fits
 from driftcleat.settings import Tuning
 from driftcleat.store.client import TokenBucket
-from driftcleat.store.records import (
-    CHUNKS_PREFIX,
-    JOBS_PREFIX,
-    RecordLayout,
-    encode_batch,
-    format_ranges,
-    parse_ranges,
-)
+from driftcleat.store.encoding import encode_batch
+from driftcleat.store.index_ranges import format_ranges, parse_ranges
+from driftcleat.store.keys import CHUNKS_PREFIX, JOBS_PREFIX
+from driftcleat.store.layout import RecordLayout
 from driftcleat.wire.users import JobSpec, JobStatus
 from driftcleat.wire.workers import Heartbeat, TaskStatus
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,7 +20,7 @@
 from driftcleat.placement.victims import PreemptibleTasks
 from driftcleat.scheduler.scale_out import MAX_MACHINES_PER_REQUEST
 from driftcleat.settings import Tuning
-from driftcleat.store import records
+from driftcleat.store import decoding
 from driftcleat.store.client import TokenBucket
 from driftcleat.wire import peers as messages
 from driftcleat.workers.dispatch import StopDispatcher
@@ -132,20 +132,20 @@
 
 def test_records_are_read_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a leader that loses its lease while it decodes the records of thousands of machines' work."""
-    monkeypatch.setattr(records, "decode_head", lambda item: SimpleNamespace(id=item))
-    monkeypatch.setattr(records, "_load_chunk", lambda jobs, item: False)
+    monkeypatch.setattr(decoding, "decode_head", lambda item: SimpleNamespace(id=item))
+    monkeypatch.setattr(decoding, "_load_chunk", lambda jobs, item: False)
 
     async def run() -> None:
         heads: Any = list(range(1000))
         chunks: Any = [SimpleNamespace(key=str(number)) for number in range(500)]
-        loading = asyncio.ensure_future(records.decode_jobs(heads, chunks))
+        loading = asyncio.ensure_future(decoding.decode_jobs(heads, chunks))
         turns = 0
         while not loading.done():
             turns += 1
             await asyncio.sleep(0)
         jobs, orphans = loading.result()
         assert len(jobs) == 1000 and len(orphans) == 500
-        assert turns >= 1500 // records.RECORDS_AT_ONCE
+        assert turns >= 1500 // decoding.RECORDS_AT_ONCE
 
     asyncio.run(run())
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -12,7 +12,7 @@
 from driftcleat.sharing.messages import LetGo, LetGoAnswer
 from driftcleat.sharing.transfer import TransferState
 from driftcleat.store.client import StoreUnavailableError
-from driftcleat.store.records import JOBS_PREFIX, LEADER_KEY
+from driftcleat.store.keys import JOBS_PREFIX, LEADER_KEY
 
 from .samples import raw_job
 from .sharing_simulation import SharedSimulation, leader_key
--- a/tests/test_sharing_parts.py
+++ b/tests/test_sharing_parts.py
@@ -37,7 +37,7 @@
 from driftcleat.sharing.messages import ShareStatus
 from driftcleat.sharing.planner import ShareLoad, loads_by_owner, propose
 from driftcleat.sharing.settings import SharingSettings, load_sharing
-from driftcleat.store.records import CHUNKS_PREFIX, JOBS_PREFIX, LEADER_KEY
+from driftcleat.store.keys import CHUNKS_PREFIX, JOBS_PREFIX, LEADER_KEY
 
 LABELS = ("a", "b", "c")
 TEAM = Team("red", 0.0, 0.0, 4.0, 12.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,16 +12,11 @@
 from driftcleat.cluster import ClusterState, Job
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Tuning
-from driftcleat.store.records import (
-    CHUNKS_PREFIX,
-    DATA_VERSION_KEY,
-    JOBS_PREFIX,
-    RecordLayout,
-    ScaleOutRecord,
-    chunk_key,
-    decode_head,
-    encode_batch,
-)
+from driftcleat.store.decoding import decode_head
+from driftcleat.store.encoding import encode_batch
+from driftcleat.store.keys import CHUNKS_PREFIX, DATA_VERSION_KEY, JOBS_PREFIX, chunk_key
+from driftcleat.store.layout import RecordLayout
+from driftcleat.store.records import ScaleOutRecord
 from driftcleat.wire import peers
 from driftcleat.wire import state as state_messages
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -14,7 +14,8 @@
 from driftcleat.cluster import ClusterState, JobState, Machine, commands_for_heartbeat, stop_commands
 from driftcleat.scheduler import PendingRequest, ScaleOutRequest, Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.records import (
+from driftcleat.store.encoding import EncodedBatch, encode_batch
+from driftcleat.store.keys import (
     BATCH_MARKER_KEY,
     CHUNKS_PREFIX,
     DATA_VERSION_KEY,
@@ -22,12 +23,9 @@
     JOBS_PREFIX,
     LEADER_KEY,
     SCALE_OUTS_PREFIX,
-    BatchMarker,
-    EncodedBatch,
-    RecordLayout,
-    ScaleOutRecord,
-    encode_batch,
 )
+from driftcleat.store.layout import RecordLayout
+from driftcleat.store.records import BatchMarker, ScaleOutRecord
 from driftcleat.wire import state as state_messages
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.users import JobKind, JobSpec, JobStatus
--- a/tools/record.py
+++ b/tools/record.py
@@ -13,6 +13,8 @@
 from driftcleat import wire
 from driftcleat.cluster import Batch, Job, TaskPlacement, TaskState
 from driftcleat.store import records
+from driftcleat.store.encoding import encode_batch
+from driftcleat.store.layout import RecordLayout
 from driftcleat.wire import peers
 from driftcleat.wire.users import parse_submission
 
@@ -62,14 +64,14 @@
     return out
 
 
-def encoded(jobs: list[Job], layout: records.RecordLayout) -> dict[str, Any]:
+def encoded(jobs: list[Job], layout: RecordLayout) -> dict[str, Any]:
     """Return all records of these jobs by key."""
     rows: dict[str, Any] = {}
     for job in jobs:
         batch = Batch({}, layout.chunk_of, 1000, 1 << 30)
         batch.create_job(job)
         batch.changed_chunks[job.id] = {layout.chunk_of(job, index) for index in range(job.spec.tasks)} - {0}
-        written = records.encode_batch(batch, layout, 5, 1, 0)
+        written = encode_batch(batch, layout, 5, 1, 0)
         for change in json.loads(written.body)["then"]:
             rows[change["put"]] = change["v"]
     return rows
@@ -77,7 +79,7 @@
 
 def second_version() -> dict[str, Any]:
     """Return the same jobs in records of the second data version, and one that needs two of them."""
-    layout = records.RecordLayout(2048, 4, 8192, 24, ("north", "south"))
+    layout = RecordLayout(2048, 4, 8192, 24, ("north", "south"))
     layout.version_2_active = True
     found = jobs()
     raw = wire.decode(wire.encode(found[0].spec), dict)
@@ -111,7 +113,7 @@
     out: dict[str, Any] = {
         "value_bytes": 8192,
         "txn_ops": 24,
-        "records": encoded(jobs(), records.RecordLayout(8192, 1000)),
+        "records": encoded(jobs(), RecordLayout(8192, 1000)),
         "messages": messages(),
     }
     if hasattr(records, "DATA_VERSION"):
--- a/tools/shares/world.py
+++ b/tools/shares/world.py
@@ -12,7 +12,8 @@
 from driftcleat import wire
 from driftcleat.sharing.allotments import Allotment
 from driftcleat.sharing.keys import ALLOTMENTS, MACHINES, in_share
-from driftcleat.store.records import BATCH_MARKER_KEY, LEADER_KEY, ScaleOutRecord
+from driftcleat.store.keys import BATCH_MARKER_KEY, LEADER_KEY
+from driftcleat.store.records import ScaleOutRecord
 from driftcleat.wire.workers import Command
 from tests.standins import LiveWorld, WatchingStore
 from tests.world import PlainStore, PlainWorker, RuleBrokenError, Running
