--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -19,21 +19,15 @@
 from driftcleat.peers.client import PeerClient, PeerError
 from driftcleat.scheduler import PendingRequest, Scheduler, never_fits
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.client import StoreClient, StoreError, StoreUnavailableError
+from driftcleat.store.client import StoreClient
 from driftcleat.store.decoding import decode_head
+from driftcleat.store.errors import StoreError, StoreUnavailableError
 from driftcleat.store.keys import ENDED_JOBS_PREFIX, JOBS_PREFIX
 from driftcleat.store.records import EndedJobRecord
 from driftcleat.wire import peers as peer_messages
-from driftcleat.wire.users import (
-    InvalidFieldError,
-    JobKind,
-    JobSpec,
-    JobStatus,
-    is_job_id,
-    parse_job_id,
-    parse_object,
-    parse_submission,
-)
+from driftcleat.wire.job_ids import is_job_id
+from driftcleat.wire.job_spec_parsing import InvalidFieldError, parse_job_id, parse_object, parse_submission
+from driftcleat.wire.users import JobKind, JobSpec, JobStatus
 
 log = logging.getLogger(__name__)
 
--- a/driftcleat/cloud/client.py
+++ b/driftcleat/cloud/client.py
@@ -8,7 +8,7 @@
 from driftcleat import wire
 from driftcleat.errors import DriftcleatError
 from driftcleat.net import HttpAnswer, HttpClient, HttpError
-from driftcleat.store.client import TokenBucket
+from driftcleat.store.rate_limit import TokenBucket
 from driftcleat.wire import cloud as messages
 
 log = logging.getLogger(__name__)
--- a/driftcleat/controller/commit_pipeline.py
+++ b/driftcleat/controller/commit_pipeline.py
@@ -11,15 +11,15 @@
 from driftcleat.runtime.metrics import Metrics
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform
-from driftcleat.store.client import (
+from driftcleat.store.client import StoreClient
+from driftcleat.store.encoding import BatchTooLargeError, EncodedBatch, encode_batch
+from driftcleat.store.errors import (
     CompareFailedError,
     MalformedResponseError,
     OutcomeUnknownError,
     RequestRejectedError,
-    StoreClient,
     StoreError,
 )
-from driftcleat.store.encoding import BatchTooLargeError, EncodedBatch, encode_batch
 from driftcleat.store.keys import BATCH_MARKER_KEY
 from driftcleat.store.records import BatchMarker
 
--- a/driftcleat/controller/recovery.py
+++ b/driftcleat/controller/recovery.py
@@ -9,8 +9,9 @@
 from driftcleat.cluster import ClusterState, Job
 from driftcleat.scheduler import ScaleOutRequest, Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.client import MalformedResponseError, StoreClient
+from driftcleat.store.client import StoreClient
 from driftcleat.store.decoding import decode_jobs
+from driftcleat.store.errors import MalformedResponseError
 from driftcleat.store.keys import (
     BATCH_MARKER_KEY,
     CHUNKS_PREFIX,
--- a/driftcleat/leadership/election.py
+++ b/driftcleat/leadership/election.py
@@ -16,7 +16,8 @@
 from driftcleat import wire
 from driftcleat.leadership.lease import LeaseClock
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.client import CompareFailedError, LeaseNotFoundError, StoreClient, StoreError
+from driftcleat.store.client import StoreClient
+from driftcleat.store.errors import CompareFailedError, LeaseNotFoundError, StoreError
 from driftcleat.store.keys import LEADER_KEY
 from driftcleat.wire import state as messages
 
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -10,7 +10,8 @@
 from driftcleat.leadership import ActiveTerm
 from driftcleat.runtime.metrics import Metrics
 from driftcleat.settings import Platform
-from driftcleat.store.client import StoreClient, StoreError
+from driftcleat.store.client import StoreClient
+from driftcleat.store.errors import StoreError
 from driftcleat.store.keys import LEADER_KEY
 from driftcleat.store.records import DATA_VERSION
 from driftcleat.wire import peers as messages
--- a/driftcleat/sharing/claims.py
+++ b/driftcleat/sharing/claims.py
@@ -5,7 +5,8 @@
 
 from driftcleat import wire
 from driftcleat.sharing.keys import CLAIMS, FIRST_SHARE
-from driftcleat.store.client import CompareFailedError, OutcomeUnknownError, StoreClient
+from driftcleat.store.client import StoreClient
+from driftcleat.store.errors import CompareFailedError, OutcomeUnknownError
 from driftcleat.store.keys import ENDED_JOBS_PREFIX, JOBS_PREFIX
 from driftcleat.wire import state as messages
 
--- a/driftcleat/sharing/cloud.py
+++ b/driftcleat/sharing/cloud.py
@@ -12,7 +12,9 @@
 from driftcleat.settings import Platform
 from driftcleat.sharing.keys import FIRST_SHARE, MACHINES
 from driftcleat.sharing.view import SharingView
-from driftcleat.store.client import CompareFailedError, StoreClient, StoreError, TokenBucket
+from driftcleat.store.client import StoreClient
+from driftcleat.store.errors import CompareFailedError, StoreError
+from driftcleat.store.rate_limit import TokenBucket
 from driftcleat.wire import cloud as wire_cloud
 from driftcleat.wire import state as messages
 
--- a/driftcleat/sharing/duties.py
+++ b/driftcleat/sharing/duties.py
@@ -10,7 +10,7 @@
 from driftcleat.sharing.coordinator import Coordinator
 from driftcleat.sharing.messages import MoveAnswer, MoveRequest, SharingMessage, Status, StatusAnswer, Target
 from driftcleat.sharing.sharing_client import SharingClient
-from driftcleat.store.client import StoreError
+from driftcleat.store.errors import StoreError
 from driftcleat.store.keys import LEADER_KEY
 
 if TYPE_CHECKING:
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -26,7 +26,7 @@
 from driftcleat.sharing.needs import ShareUserApi
 from driftcleat.sharing.share_states import state_elsewhere
 from driftcleat.sharing.share_store import ShareStore
-from driftcleat.store.client import StoreError
+from driftcleat.store.errors import StoreError
 from driftcleat.store.keys import LEADER_KEY
 
 if TYPE_CHECKING:
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -35,7 +35,7 @@
 from driftcleat.sharing.settings import SharingSettings
 from driftcleat.sharing.transfer import Transfers
 from driftcleat.sharing.view import SharingView
-from driftcleat.store.client import CompareFailedError, StoreError
+from driftcleat.store.errors import CompareFailedError, StoreError
 from driftcleat.store.keys import LEADER_KEY
 from driftcleat.wire import state as messages
 
--- a/driftcleat/sharing/needs.py
+++ b/driftcleat/sharing/needs.py
@@ -9,7 +9,7 @@
 from driftcleat.api.users import FINAL
 from driftcleat.scheduler import Scheduler
 from driftcleat.sharing.share_states import state_elsewhere
-from driftcleat.store.client import StoreError, StoreUnavailableError
+from driftcleat.store.errors import StoreError, StoreUnavailableError
 from driftcleat.wire.users import JobSpec
 
 if TYPE_CHECKING:
--- a/driftcleat/sharing/process_lease.py
+++ b/driftcleat/sharing/process_lease.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from driftcleat.store.client import LeaseNotFoundError, StoreClient
+from driftcleat.store.client import StoreClient
+from driftcleat.store.errors import LeaseNotFoundError
 
 log = logging.getLogger(__name__)
 
--- a/driftcleat/sharing/routing.py
+++ b/driftcleat/sharing/routing.py
@@ -7,8 +7,10 @@
 from driftcleat import wire
 from driftcleat.api import Answer
 from driftcleat.sharing.keys import FIRST_SHARE
-from driftcleat.store.client import StoreError
-from driftcleat.wire.users import InvalidFieldError, JobSpec, is_job_id, parse_job_id, parse_object, parse_submission
+from driftcleat.store.errors import StoreError
+from driftcleat.wire.job_ids import is_job_id
+from driftcleat.wire.job_spec_parsing import InvalidFieldError, parse_job_id, parse_object, parse_submission
+from driftcleat.wire.users import JobSpec
 
 if TYPE_CHECKING:
     from driftcleat.sharing.host import SharingHost
--- a/driftcleat/sharing/share_store.py
+++ b/driftcleat/sharing/share_store.py
@@ -9,8 +9,9 @@
 from driftcleat import wire
 from driftcleat.sharing.keys import in_share, without_share
 from driftcleat.sharing.process_lease import ProcessLease
-from driftcleat.store.client import StoreClient, StoreLimits, TokenBucket
+from driftcleat.store.client import StoreClient, StoreLimits
 from driftcleat.store.keys import LEADER_KEY
+from driftcleat.store.rate_limit import TokenBucket
 from driftcleat.wire import state as messages
 
 log = logging.getLogger(__name__)
--- a/driftcleat/sharing/transfer.py
+++ b/driftcleat/sharing/transfer.py
@@ -10,7 +10,7 @@
 from driftcleat.sharing.assignment import Move
 from driftcleat.sharing.messages import LetGo, LetGoAnswer, SharingMessage
 from driftcleat.sharing.sharing_client import SharingClient
-from driftcleat.store.client import StoreError
+from driftcleat.store.errors import StoreError
 
 if TYPE_CHECKING:
     from driftcleat.sharing.host import SharingHost
--- a/driftcleat/sharing/view.py
+++ b/driftcleat/sharing/view.py
@@ -15,7 +15,8 @@
 from driftcleat.sharing.allotments import Allotment
 from driftcleat.sharing.assignment import Assignment, AssignmentError, read_assignment
 from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE, MACHINES, SHARING
-from driftcleat.store.client import StoreClient, StoreError
+from driftcleat.store.client import StoreClient
+from driftcleat.store.errors import StoreError
 
 log = logging.getLogger(__name__)
 
--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -8,8 +8,16 @@
 from urllib.parse import quote, urlencode
 
 from driftcleat import wire
-from driftcleat.errors import DriftcleatError
 from driftcleat.net import ConnectError, HttpAnswer, HttpClient, HttpError
+from driftcleat.store.errors import (
+    CompareFailedError,
+    LeaseNotFoundError,
+    MalformedResponseError,
+    OutcomeUnknownError,
+    RequestRejectedError,
+    StoreUnavailableError,
+)
+from driftcleat.store.rate_limit import TokenBucket
 from driftcleat.wire import state as messages
 
 log = logging.getLogger(__name__)
@@ -17,66 +25,6 @@
 T = TypeVar("T")
 
 
-class StoreError(DriftcleatError):
-    """A request that the store did not answer as asked."""
-
-
-class StoreUnavailableError(StoreError):
-    """The request was certainly not carried out (503, 429 or no connection)."""
-
-
-class OutcomeUnknownError(StoreError):
-    """Nobody can say yet whether the request was carried out."""
-
-
-class MalformedResponseError(StoreError):
-    """The store calls the request wrong (400), or its answer is not one."""
-
-
-class RequestRejectedError(MalformedResponseError):
-    """The store calls the request wrong and has not carried it out."""
-
-
-class CompareFailedError(StoreError):
-    """A transaction whose conditions did not hold."""
-
-    def __init__(self, failed: tuple[str, ...]) -> None:
-        super().__init__(f"conditions failed: {', '.join(failed)}")
-        self.failed_keys = failed
-
-
-class LeaseNotFoundError(StoreError):
-    """The lease has ended."""
-
-
-class TokenBucket:
-    """Permits `rate` units a second with bursts worth `burst_s`."""
-
-    def __init__(self, rate: float, clock: Callable[[], float], burst_s: float = 1.0) -> None:
-        self.rate, self.clock, self.capacity = rate, clock, rate * burst_s
-        self.tokens, self.refilled_at = self.capacity, clock()
-
-    def _fill(self) -> None:
-        now = self.clock()
-        self.tokens = min(self.capacity, self.tokens + (now - self.refilled_at) * self.rate)
-        self.refilled_at = now
-
-    def delay_s(self, units: float) -> float:
-        """Return how long to wait until `units` are there (a request above the burst waits for a full one)."""
-        self._fill()
-        return max(0.0, (min(units, self.capacity) - self.tokens) / self.rate)
-
-    def available(self) -> float:
-        """Return the units that are there."""
-        self._fill()
-        return self.tokens
-
-    def consume(self, units: float) -> None:
-        """Use up `units`; the level may go below zero."""
-        self._fill()
-        self.tokens -= units
-
-
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
     """What the store takes, with a little kept back for what is counted on its side of the network."""
--- a/driftcleat/store/decoding.py
+++ b/driftcleat/store/decoding.py
@@ -9,7 +9,7 @@
 from driftcleat.store.keys import parse_chunk_key
 from driftcleat.store.records import ChunkRecord, JobRecord, PlacementRow
 from driftcleat.wire import state as messages
-from driftcleat.wire.users import decode_job_ids
+from driftcleat.wire.job_ids import decode_job_ids
 
 # Records that a full read decodes before it lets others go on.
 RECORDS_AT_ONCE = 20
--- a/driftcleat/store/layout.py
+++ b/driftcleat/store/layout.py
@@ -7,7 +7,8 @@
 from driftcleat.cluster.jobs import Job, TaskPlacement, TaskState
 from driftcleat.store.index_ranges import format_ranges
 from driftcleat.store.records import ChunkRecord, JobRecord, PlacementRow
-from driftcleat.wire.users import JobSpec, encode_job_ids
+from driftcleat.wire.job_ids import encode_job_ids
+from driftcleat.wire.users import JobSpec
 
 
 class RecordLayout:
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -8,7 +8,8 @@
 from driftcleat.store.decoding import decode_jobs
 from driftcleat.wire import state
 from driftcleat.wire.cloud import MachineType
-from driftcleat.wire.users import JobSpec, parse_submission
+from driftcleat.wire.job_spec_parsing import parse_submission
+from driftcleat.wire.users import JobSpec
 
 
 def raw_job(number: int = 1, **changes: Any) -> dict[str, Any]:
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -25,7 +25,8 @@
 from driftcleat.settings.platform import Platform, parse_platform
 from driftcleat.store.client import StoreClient
 from driftcleat.store.records import ScaleOutRecord
-from driftcleat.wire.users import JobKind, JobSpec, parse_submission
+from driftcleat.wire.job_spec_parsing import parse_submission
+from driftcleat.wire.users import JobKind, JobSpec
 from driftcleat.wire.workers import Command, Heartbeat, HeartbeatResponse
 from driftcleat.workers import WorkerClient
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,11 +26,11 @@
 from driftcleat.placement.placement_round import PlacementRound, QuotaHeadroom
 from driftcleat.scheduler import PendingRequest, Scheduler, never_fits
 from driftcleat.settings import Tuning
-from driftcleat.store.client import TokenBucket
 from driftcleat.store.encoding import encode_batch
 from driftcleat.store.index_ranges import format_ranges, parse_ranges
 from driftcleat.store.keys import CHUNKS_PREFIX, JOBS_PREFIX
 from driftcleat.store.layout import RecordLayout
+from driftcleat.store.rate_limit import TokenBucket
 from driftcleat.wire.users import JobSpec, JobStatus
 from driftcleat.wire.workers import Heartbeat, TaskStatus
 
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -8,7 +8,8 @@
 
 from driftcleat.cluster.dependencies import NO_DEADLINE, DependencyGraph, InheritedPriority, OwnPriority
 from driftcleat.scheduler import Scheduler
-from driftcleat.wire.users import InvalidFieldError, decode_job_ids, encode_job_ids, parse_submission
+from driftcleat.wire.job_ids import decode_job_ids, encode_job_ids
+from driftcleat.wire.job_spec_parsing import InvalidFieldError, parse_submission
 
 from .samples import TYPES, job, platform, raw_job
 from .world import World
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from driftcleat.scheduler.scale_out import MAX_MACHINES_PER_REQUEST
 from driftcleat.settings import Tuning
 from driftcleat.store import decoding
-from driftcleat.store.client import TokenBucket
+from driftcleat.store.rate_limit import TokenBucket
 from driftcleat.wire import peers as messages
 from driftcleat.workers.dispatch import StopDispatcher
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -11,7 +11,7 @@
 from driftcleat.sharing.keys import ASSIGNMENT, CLAIMS, MACHINES, in_share, share_root
 from driftcleat.sharing.messages import LetGo, LetGoAnswer
 from driftcleat.sharing.transfer import TransferState
-from driftcleat.store.client import StoreUnavailableError
+from driftcleat.store.errors import StoreUnavailableError
 from driftcleat.store.keys import JOBS_PREFIX, LEADER_KEY
 
 from .samples import raw_job
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,8 @@
 
 from driftcleat import wire
 from driftcleat.wire import peers
-from driftcleat.wire.users import InvalidFieldError, is_job_id, parse_job_id, parse_object, parse_submission
+from driftcleat.wire.job_ids import is_job_id
+from driftcleat.wire.job_spec_parsing import InvalidFieldError, parse_job_id, parse_object, parse_submission
 from driftcleat.wire.workers import Command, Heartbeat, format_task_name, parse_task_name
 
 from .samples import raw_job
--- a/tools/record.py
+++ b/tools/record.py
@@ -16,7 +16,7 @@
 from driftcleat.store.encoding import encode_batch
 from driftcleat.store.layout import RecordLayout
 from driftcleat.wire import peers
-from driftcleat.wire.users import parse_submission
+from driftcleat.wire.job_spec_parsing import parse_submission
 
 
 def jobs() -> list[Job]:
--- a/tools/shares/run.py
+++ b/tools/shares/run.py
@@ -13,7 +13,7 @@
 from driftcleat.net import HttpClient, HttpError
 from driftcleat.settings import Team
 from driftcleat.settings.platform import parse_platform
-from driftcleat.wire.users import parse_submission
+from driftcleat.wire.job_spec_parsing import parse_submission
 from tests.samples import raw_settings
 from tests.standins import until
 from tests.test_meetings_walk import some_job
