--- a/driftcleat/store/__init__.py
+++ b/driftcleat/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: its client, and how records lie in it."""
+"""The state service: its client, and the layout and encoding of the records that are stored in it."""
--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -1,9 +1,10 @@
-"""The state service's client: pooled connections, a time-out on every call, its limits kept on our side."""
+"""The state service's client: pooled connections, a timeout for every request, rate limits kept on our side."""
 
 import asyncio
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import TypeVar
 from urllib.parse import quote, urlencode
 
@@ -15,6 +16,7 @@
     MalformedResponseError,
     OutcomeUnknownError,
     RequestRejectedError,
+    StoreError,
     StoreUnavailableError,
 )
 from driftcleat.store.rate_limit import TokenBucket
@@ -24,10 +26,20 @@
 
 T = TypeVar("T")
 
+# The part of the service's rate limits that we use: the service counts on its side of the network, so a little is
+# kept back.
+USABLE_LIMIT_FRACTION = 0.9
+# A page of keys takes longer than other requests: its timeout, in timeouts of those.
+LIST_TIMEOUT_FACTOR = 3
+# What the 400 for a lease that does not exist contains; every other 400 rejects the request itself.
+LEASE_NOT_FOUND_TEXT = b"no such lease"
+# The most bytes of an answer that are quoted in a log line.
+QUOTED_BYTES = 200
+
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """What the store takes, with a little kept back for what is counted on its side of the network."""
+    """The state service's limits: requests and changes (puts and deletes) a second; the timeout of a request."""
 
     rps: float
     write_rps: float
@@ -35,9 +47,13 @@
 
 
 class StoreClient:
-    """Speaks to the state service; what concerns the lease goes over connections of its own.
+    """Sends requests to the state service.
+
+    Every method raises `StoreError`: `StoreUnavailableError` if the request was certainly not carried out,
+    `OutcomeUnknownError` if nobody can tell, `MalformedResponseError` for an answer that is not understood.
 
-    Guards against a renewal that waits for a free connection behind reads and watches that hang.
+    What concerns the lease is urgent: it goes over connections of its own and does not wait for the rate limit.
+    Guards against a keep-alive that waits for a free connection behind reads and open watches.
     """
 
     def __init__(
@@ -48,31 +64,37 @@
         limits: StoreLimits,
         clock: Callable[[], float],
     ) -> None:
-        self.client, self.lease_client = client, lease_client
-        self.address, self.limits, self.clock = address, limits, clock
-        self.request_bucket = TokenBucket(limits.rps * 0.9, clock)
-        self.write_bucket = TokenBucket(limits.write_rps * 0.9, clock)
+        self.client = client
+        self.lease_client = lease_client
+        self.address = address
+        self.limits = limits
+        self.clock = clock
+        self.request_bucket = TokenBucket(limits.rps * USABLE_LIMIT_FRACTION, clock)
+        self.write_bucket = TokenBucket(limits.write_rps * USABLE_LIMIT_FRACTION, clock)
+        # When the service last served us, and last failed to; None: it never did. By `clock`.
         self.last_success_at: float | None = None
         self.last_failure_at: float | None = None
         self.malformed_responses = 0
 
+    # -- requests -----------------------------------------------------------------------------------------
+
     async def _call(
         self,
         method: str,
         path: str,
         body: bytes | None = None,
-        timeout_s: float | None = None,
+        *,
         params: dict[str, str] | None = None,
+        timeout_s: float | None = None,
         urgent: bool = False,
         most_wait_s: float | None = None,
         watching: bool = False,
-    ) -> tuple[int, bytes]:
-        if not urgent:
-            while (delay := self.request_bucket.delay_s(1)) > 0:
-                if most_wait_s is not None and delay > most_wait_s:
-                    raise StoreUnavailableError("too many requests wait for the store")
-                await asyncio.sleep(delay)
-        self.request_bucket.consume(1)
+    ) -> HttpAnswer:
+        """Send one request and return its answer; `StoreError` for 400, 429 and 5xx."""
+        if urgent:
+            self.request_bucket.consume(1)
+        else:
+            await self._acquire_request(most_wait_s)
         try:
             answer = await self.exchange(method, path, body, params, timeout_s or self.limits.timeout_s, urgent)
         except ConnectError as error:
@@ -81,20 +103,24 @@
         except (HttpError, TimeoutError) as error:
             self.last_failure_at = self.clock()
             raise OutcomeUnknownError(f"no answer: {error!r}") from None
-        status, data = answer.status, answer.body
-        if status == 429:
-            raise StoreUnavailableError("too many requests")
-        if status >= 500:
-            self.last_failure_at = self.clock()
-            raise StoreUnavailableError(f"status {status}")
+        self._require_served(answer)
         if not watching:
-            # A watch that was open before an outage may still end in it: that is no service.
+            # A watch that was open before an outage may end within it, so its answer does not prove service.
             self.last_success_at = self.clock()
-        if status == 400:
-            if b"no such lease" in data:
-                raise LeaseNotFoundError("no such lease")
-            raise RequestRejectedError(str(self._bad(f"{method} {path}: {data[:200]!r}")))
-        return status, data
+        if answer.status == HTTPStatus.BAD_REQUEST:
+            raise self._rejection(f"{method} {path}", answer)
+        return answer
+
+    async def _acquire_request(self, most_wait_s: float | None) -> None:
+        """Wait until the rate limit permits a request; `StoreUnavailableError` if that takes above `most_wait_s`."""
+        while True:
+            delay = self.request_bucket.delay_s(1)
+            if delay <= 0:
+                break
+            if most_wait_s is not None and delay > most_wait_s:
+                raise StoreUnavailableError("too many requests wait for the store")
+            await asyncio.sleep(delay)
+        self.request_bucket.consume(1)
 
     async def exchange(
         self,
@@ -105,45 +131,71 @@
         timeout_s: float,
         urgent: bool,
     ) -> HttpAnswer:
-        """Send one request."""
+        """Send one request over the connections that it belongs to, and return the answer whatever its status."""
         client = self.lease_client if urgent else self.client
         target = quote(path) + (f"?{urlencode(params)}" if params else "")
         return await client.request(method, self.address, target, body, timeout_s)
 
-    def _bad(self, why: str) -> MalformedResponseError:
+    # -- answers ------------------------------------------------------------------------------------------
+
+    def _require_served(self, answer: HttpAnswer) -> None:
+        """Raise `StoreUnavailableError` for a status which says that the request was not carried out."""
+        if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
+            raise StoreUnavailableError("too many requests")
+        if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+            self.last_failure_at = self.clock()
+            raise StoreUnavailableError(f"status {answer.status}")
+
+    def _rejection(self, request: str, answer: HttpAnswer) -> StoreError:
+        """Return the error of a 400."""
+        if LEASE_NOT_FOUND_TEXT in answer.body:
+            return LeaseNotFoundError("no such lease")
+        return RequestRejectedError(str(self._malformed(f"{request}: {answer.body[:QUOTED_BYTES]!r}")))
+
+    def _malformed(self, reason: str) -> MalformedResponseError:
+        """Log and count an answer that is not understood, and return its error."""
         self.malformed_responses += 1
-        log.warning("state service: %s", why)
-        return MalformedResponseError(why)
+        log.warning("state service: malformed response: %s", reason)
+        return MalformedResponseError(reason)
 
-    def _expect(self, status: int, data: bytes, kind: type[T]) -> T:
-        if status != 200:
-            raise self._bad(f"status {status}")
+    def _decode_ok(self, answer: HttpAnswer, kind: type[T]) -> T:
+        """Return the body of an answer that must have status 200."""
+        if answer.status != HTTPStatus.OK:
+            raise self._malformed(f"status {answer.status}")
+        return self._decode_body(answer, kind)
+
+    def _decode_body(self, answer: HttpAnswer, kind: type[T]) -> T:
         try:
-            return wire.decode(data, kind)
+            return wire.decode(answer.body, kind)
         except wire.WireError as error:
-            raise self._bad(str(error)) from None
+            raise self._malformed(str(error)) from None
+
+    # -- reads --------------------------------------------------------------------------------------------
 
     async def get(self, key: str, most_wait_s: float | None = None) -> messages.KeyValue | None:
-        """Return a key, or None when it does not exist; `StoreUnavailableError` if it would wait too long."""
-        status, data = await self._call("GET", f"/store/{key}", most_wait_s=most_wait_s)
-        if status == 404:
+        """Return a key, or None when it does not exist.
+
+        `StoreUnavailableError` if the request would wait longer than `most_wait_s` for the rate limit.
+        """
+        answer = await self._call("GET", f"/store/{key}", most_wait_s=most_wait_s)
+        if answer.status == HTTPStatus.NOT_FOUND:
             return None
-        return self._expect(status, data, messages.KeyValue)
+        return self._decode_ok(answer, messages.KeyValue)
 
     async def list_page(
         self, prefix: str, after: str | None, limit: int, timeout_s: float | None = None
     ) -> messages.KeyValuePage:
-        """Return a page of the keys under a prefix."""
+        """Return up to `limit` keys under a prefix in order, from the first one behind `after` on."""
         params = {"under": prefix, "page": str(limit)}
         if after is not None:
             params["from"] = after
-        status, data = await self._call(
-            "GET", "/store", params=params, timeout_s=timeout_s or self.limits.timeout_s * 3
+        answer = await self._call(
+            "GET", "/store", params=params, timeout_s=timeout_s or self.limits.timeout_s * LIST_TIMEOUT_FACTOR
         )
-        return self._expect(status, data, messages.KeyValuePage)
+        return self._decode_ok(answer, messages.KeyValuePage)
 
     async def list_all(self, prefix: str, limit: int = 500) -> list[messages.KeyValue]:
-        """Return all keys under a prefix."""
+        """Return all keys under a prefix, read in pages of `limit` keys. The pages are no common snapshot."""
         key_values: list[messages.KeyValue] = []
         after: str | None = None
         while True:
@@ -153,44 +205,46 @@
                 return key_values
             after = page.key_values[-1].key
 
+    async def watch(self, prefix: str, revision: int, wait_s: float) -> messages.WatchResponse | None:
+        """Wait up to `wait_s` for a change under a prefix after `revision`; None when the revision is compacted."""
+        params = {"under": prefix, "from": str(revision), "waitMs": str(round(wait_s * 1000))}
+        answer = await self._call(
+            "GET", "/watch", params=params, timeout_s=wait_s + self.limits.timeout_s, watching=True
+        )
+        if answer.status == HTTPStatus.GONE:
+            return None
+        return self._decode_ok(answer, messages.WatchResponse)
+
+    # -- transactions -------------------------------------------------------------------------------------
+
     async def commit(self, transaction: messages.Transaction) -> int:
-        """Carry out a transaction; return its revision."""
+        """Carry out a transaction and return its revision; `CompareFailedError` if a compare fails."""
         return await self.commit_encoded(wire.encode(transaction), len(transaction.operations))
 
     async def commit_encoded(self, body: bytes, changes: int) -> int:
-        """Carry out an encoded transaction; return its revision."""
-        while (delay := self.write_bucket.delay_s(changes)) > 0:
-            await asyncio.sleep(delay)
-        self.write_bucket.consume(changes)
-        status, data = await self._call("POST", "/txn", body)
-        if status == 409:
-            raise CompareFailedError(self._expect(200, data, messages.CompareFailure).failed_keys)
-        return self._expect(status, data, messages.TransactionCommitted).revision
+        """Carry out an encoded transaction with so many puts and deletes; see `commit`."""
+        await self.write_bucket.acquire(changes)
+        answer = await self._call("POST", "/txn", body)
+        if answer.status == HTTPStatus.CONFLICT:
+            raise CompareFailedError(self._decode_body(answer, messages.CompareFailure).failed_keys)
+        return self._decode_ok(answer, messages.TransactionCommitted).revision
+
+    # -- leases -------------------------------------------------------------------------------------------
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Return a new lease."""
+        """Return the id of a new lease."""
         body = wire.encode(messages.LeaseGrantRequest(round(ttl_s * 1000)))
-        status, data = await self._call("POST", "/leases", body, urgent=True)
-        return self._expect(status, data, messages.LeaseGrantResponse).lease_id
+        answer = await self._call("POST", "/leases", body, urgent=True)
+        return self._decode_ok(answer, messages.LeaseGrantResponse).lease_id
 
     async def keep_lease_alive(self, lease: int, timeout_s: float) -> None:
-        """Give a lease its full time again; `LeaseNotFoundError` once it has ended."""
-        status, _ = await self._call("POST", f"/leases/{lease}/renew", b"{}", timeout_s, urgent=True)
-        if status == 404:
-            raise LeaseNotFoundError(f"lease {lease} has ended")
-        if status != 200:
-            raise self._bad(f"renewal got status {status}")
+        """Renew a lease for its full time; `LeaseNotFoundError` once it has expired."""
+        answer = await self._call("POST", f"/leases/{lease}/renew", b"{}", timeout_s=timeout_s, urgent=True)
+        if answer.status == HTTPStatus.NOT_FOUND:
+            raise LeaseNotFoundError(f"lease {lease} has expired")
+        if answer.status != HTTPStatus.OK:
+            raise self._malformed(f"lease {lease}: keep-alive answered with status {answer.status}")
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease at once."""
+        """End a lease at once; the service deletes the keys attached to it."""
         await self._call("DELETE", f"/leases/{lease}", urgent=True)
-
-    async def watch(self, prefix: str, revision: int, wait_s: float) -> messages.WatchResponse | None:
-        """Wait for a change under a prefix; None when the revision is too old."""
-        params = {"under": prefix, "from": str(revision), "waitMs": str(round(wait_s * 1000))}
-        status, data = await self._call(
-            "GET", "/watch", params=params, timeout_s=wait_s + self.limits.timeout_s, watching=True
-        )
-        if status == 410:
-            return None
-        return self._expect(status, data, messages.WatchResponse)
--- a/driftcleat/store/errors.py
+++ b/driftcleat/store/errors.py
@@ -4,27 +4,27 @@
 
 
 class StoreError(DriftcleatError):
-    """A request that the store did not answer as asked."""
+    """A request to the state service that failed."""
 
 
 class StoreUnavailableError(StoreError):
-    """The request was certainly not carried out (503, 429 or no connection)."""
+    """The request was certainly not carried out: no connection, 429, 5xx, or the client's own rate limit."""
 
 
 class OutcomeUnknownError(StoreError):
-    """Nobody can say yet whether the request was carried out."""
+    """The request was sent and got no answer: it may have been carried out, or may still be."""
 
 
 class MalformedResponseError(StoreError):
-    """The store calls the request wrong (400), or its answer is not one."""
+    """The answer has an unexpected status or cannot be decoded."""
 
 
 class RequestRejectedError(MalformedResponseError):
-    """The store calls the request wrong and has not carried it out."""
+    """The state service rejected the request as malformed (400) and did not carry it out."""
 
 
 class CompareFailedError(StoreError):
-    """A transaction whose conditions did not hold."""
+    """A transaction was not carried out because a compare failed; `failed_keys` names the keys."""
 
     def __init__(self, failed: tuple[str, ...]) -> None:
         super().__init__(f"conditions failed: {', '.join(failed)}")
@@ -32,4 +32,4 @@
 
 
 class LeaseNotFoundError(StoreError):
-    """The lease has ended."""
+    """The lease has expired or was revoked."""
--- a/driftcleat/store/index_ranges.py
+++ b/driftcleat/store/index_ranges.py
@@ -1,26 +1,33 @@
-"""Ranges of task indices as compact text."""
+"""Ranges of task indices as compact text, such as `0-3,7`."""
+
+# Two below the first index, so that no index continues a range that has not begun.
+_NO_INDEX = -2
 
 
 def format_ranges(indices: list[int]) -> str:
-    """Return sorted indices as text: 0-3,7."""
+    """Return the text of indices that are sorted and distinct; empty for none."""
     parts: list[str] = []
-    start = last = -2
+    start = last = _NO_INDEX
     for index in indices:
         if index == last + 1:
             last = index
             continue
         if start >= 0:
-            parts.append(str(start) if start == last else f"{start}-{last}")
+            parts.append(_format_range(start, last))
         start = last = index
     if start >= 0:
-        parts.append(str(start) if start == last else f"{start}-{last}")
+        parts.append(_format_range(start, last))
     return ",".join(parts)
 
 
+def _format_range(first: int, last: int) -> str:
+    return str(first) if first == last else f"{first}-{last}"
+
+
 def parse_ranges(text: str) -> list[int]:
-    """Return the indices that `ranges` wrote."""
-    out: list[int] = []
+    """Return the indices of a text that `format_ranges` wrote."""
+    indices: list[int] = []
     for part in text.split(",") if text else ():
         first, _, last = part.partition("-")
-        out.extend(range(int(first), int(last or first) + 1))
-    return out
+        indices.extend(range(int(first), int(last or first) + 1))
+    return indices
--- a/driftcleat/store/keys.py
+++ b/driftcleat/store/keys.py
@@ -1,24 +1,45 @@
-"""The keys of the records in the state service."""
+"""The keys of the records in the state service. Stored data and other versions depend on their spelling."""
+
+from typing import NamedTuple
 
 ROOT_PREFIX = "driftcleat/"
+# Attached to the leader's lease; its mod revision is the fencing token.
 LEADER_KEY = ROOT_PREFIX + "leader"
 BATCH_MARKER_KEY = ROOT_PREFIX + "batch"
 MACHINE_TYPES_KEY = ROOT_PREFIX + "types"
+# Head records of the jobs that have not ended, by job id.
 JOBS_PREFIX = ROOT_PREFIX + "jobs/"
 CHUNKS_PREFIX = ROOT_PREFIX + "chunks/"
+# Final states of the jobs that have ended, by job id.
 ENDED_JOBS_PREFIX = ROOT_PREFIX + "ended/"
+# Scale-out requests that may have to be repeated, by request id.
 SCALE_OUTS_PREFIX = ROOT_PREFIX + "rentals/"
+# The images on each machine, by machine name.
 MACHINE_IMAGES_PREFIX = ROOT_PREFIX + "machines/"
+# The data version in force; without the key it is 1.
 DATA_VERSION_KEY = ROOT_PREFIX + "version"
 
 
-def chunk_key(job_id: str, number: int, split: int = 0) -> str:
-    """Return the key of a chunk; those of different splits cannot be mistaken for one another."""
-    return f"{CHUNKS_PREFIX}{job_id}/{split}.{number}" if split else f"{CHUNKS_PREFIX}{job_id}/{number}"
+class ChunkKey(NamedTuple):
+    """The parts of a chunk record's key; `tasks_per_record` is 0 in data version 1."""
+
+    job_id: str
+    tasks_per_record: int
+    number: int
+
+
+def chunk_key(job_id: str, number: int, tasks_per_record: int = 0) -> str:
+    """Return the key of a chunk record.
+
+    From data version 2 on it holds the tasks per record, so that chunks of different layouts are never confused.
+    """
+    if tasks_per_record:
+        return f"{CHUNKS_PREFIX}{job_id}/{tasks_per_record}.{number}"
+    return f"{CHUNKS_PREFIX}{job_id}/{number}"
 
 
-def parse_chunk_key(key: str) -> tuple[str, int, int]:
-    """Return job, split and number of a chunk's key."""
+def parse_chunk_key(key: str) -> ChunkKey:
+    """Return the parts of a chunk record's key."""
     job_id, _, rest = key[len(CHUNKS_PREFIX) :].rpartition("/")
-    split, dot, number = rest.rpartition(".")
-    return job_id, int(split) if dot else 0, int(number)
+    tasks_per_record, dot, number = rest.rpartition(".")
+    return ChunkKey(job_id, int(tasks_per_record) if dot else 0, int(number))
--- a/driftcleat/store/layout.py
+++ b/driftcleat/store/layout.py
@@ -1,4 +1,4 @@
-"""How a job is divided into records."""
+"""How a job's tasks are divided into records, and what each record holds."""
 
 import msgspec
 
@@ -10,12 +10,23 @@
 from driftcleat.wire.job_ids import encode_job_ids
 from driftcleat.wire.users import JobSpec
 
+# The most bytes of one task's `PlacementRow` beside its zone: machine, attempt, index, grace period.
+ROW_BYTES_WITHOUT_ZONE = 46
+# The zone's bytes in a row if the zones are not known.
+DEFAULT_ZONE_BYTES = 24
+# The most bytes of a head record beside specification, dependencies and placements, with numbers at their longest.
+HEAD_FIELDS_BYTES = 160
+# Operations beside one for each of a gang's records when all of it changes: the batch marker, and the second one of a
+# head whose job ends (its final state is written, the head deleted).
+OPERATIONS_BESIDE_RECORDS = 2
+
 
 class RecordLayout:
-    """How many tasks go into one record, from the store's limits.
+    """Derives the number of tasks in a record from the state service's limits.
 
-    Until the switch to data version 2 jobs are split as the first version does, by today's limits; from then on each
-    new job by the lower ones, and jobs of before are moved.
+    In data version 1, jobs are divided by the limits in force today (`first_value_bytes`, `first_txn_ops`). In data
+    version 2, new jobs are divided by the lower limits that are announced (`value_bytes`, `txn_ops`), and the records
+    of older jobs are migrated.
     """
 
     def __init__(
@@ -26,101 +37,108 @@
         first_txn_ops: int | None = None,
         zones: tuple[str, ...] = (),
     ) -> None:
-        self.value_bytes, self.txn_ops = value_bytes, txn_ops
+        self.value_bytes = value_bytes
+        self.txn_ops = txn_ops
         self.first_value_bytes = first_value_bytes if first_value_bytes is not None else value_bytes
         self.first_txn_ops = first_txn_ops if first_txn_ops is not None else txn_ops
-        self.base = max(1, (self.first_value_bytes - HEAD_BYTES) // ENTRY_BYTES)
-        # The most that a row for one task takes: names of machine and zone, attempt, index, grace.
-        self.row_bytes = 46 + max((len(wire.encode(zone)) for zone in zones), default=24)
         self.version_2_active = False
+        self._version_1_tasks_per_record = max(1, (self.first_value_bytes - HEAD_BYTES) // ENTRY_BYTES)
+        zone_bytes = max((len(wire.encode(zone)) for zone in zones), default=DEFAULT_ZONE_BYTES)
+        self._row_bytes = ROW_BYTES_WITHOUT_ZONE + zone_bytes
+
+    # -- the division into records ------------------------------------------------------------------------
 
     def tasks_per_record(self, job: Job) -> int:
-        """Return the tasks a record of this job holds; a gang must fit into one batch, so its may hold more."""
+        """Return the number of tasks in a record of this job; a gang must fit one batch, so it may be larger."""
         if job.tasks_per_record:
             return job.tasks_per_record
         if job.is_gang:
-            return max(self.base, -(-job.spec.tasks // max(1, self.first_txn_ops // 2)))
-        return self.base
+            return max(self._version_1_tasks_per_record, -(-job.spec.tasks // max(1, self.first_txn_ops // 2)))
+        return self._version_1_tasks_per_record
 
     def preferred_tasks_per_record(self, job: Job) -> int:
-        """Return the tasks a record of this job is to hold in data version 2."""
-        split = max(1, (self.value_bytes - self.head_bytes(job.spec)) // self.row_bytes)
+        """Return the number of tasks that a record of this job should hold in data version 2."""
+        tasks = max(1, (self.value_bytes - self.head_bytes(job.spec)) // self._row_bytes)
         if job.is_gang:
-            # What may change with one task is the whole gang: head (which may end), all chunks, the batch's own key.
-            split = max(split, -(-job.spec.tasks // max(1, self.txn_ops - 2)))
-        return split
+            # A change of one task may change the whole gang, with all its records, in one batch.
+            tasks = max(tasks, -(-job.spec.tasks // max(1, self.txn_ops - OPERATIONS_BESIDE_RECORDS)))
+        return tasks
 
     @staticmethod
     def head_bytes(spec: JobSpec) -> int:
-        """Return what a job's head takes beside its tasks, with numbers at their longest."""
-        return len(wire.encode(without_dependencies(spec))) + len(encode_job_ids(spec.dependencies or ())) + 160
+        """Return the most bytes of a job's head record without its placements."""
+        packed_dependencies = encode_job_ids(spec.dependencies or ())
+        return len(wire.encode(without_dependencies(spec))) + len(packed_dependencies) + HEAD_FIELDS_BYTES
 
     def spec_fits(self, spec: JobSpec) -> bool:
-        """Whether a job's head, with its first task, fits a value under every limit."""
-        return self.head_bytes(spec) + self.row_bytes <= self.value_bytes
+        """Tell whether a job's head record, with its first task, fits a value under every limit."""
+        return self.head_bytes(spec) + self._row_bytes <= self.value_bytes
 
     def assign_tasks_per_record(self, job: Job) -> None:
-        """Give a job the split of the data version in force, if that changes none of its records."""
+        """Set a job's tasks per record in data version 2, unless that changes records which are stored already."""
         if self.version_2_active and not job.tasks_per_record and not job.chunk_mod_revisions:
-            split = self.preferred_tasks_per_record(job)
-            if not job.mod_revision or job.spec.tasks <= min(split, self.tasks_per_record(job)):
-                job.tasks_per_record = split
+            tasks = self.preferred_tasks_per_record(job)
+            if not job.mod_revision or job.spec.tasks <= min(tasks, self.tasks_per_record(job)):
+                job.tasks_per_record = tasks
 
     def needs_migration(self, job: Job) -> bool:
-        """Whether a job's records must be written anew, in other pieces, before any of them may change."""
+        """Tell whether a job's records must be migrated to data version 2 before any of them may change."""
         return self.version_2_active and not job.tasks_per_record
 
+    def chunk_of(self, job: Job, index: int) -> int:
+        """Return the number of the record that holds a task (0: the head)."""
+        return index // self.tasks_per_record(job)
+
+    # -- limits -------------------------------------------------------------------------------------------
+
     @property
     def max_value_bytes(self) -> int:
-        """The largest value that may be written now."""
+        """The largest value that may be written now, in bytes."""
         return self.value_bytes if self.version_2_active else self.first_value_bytes
 
     @property
     def max_operations(self) -> int:
-        """The most changes that a transaction may hold now."""
+        """The most operations that a transaction may have now."""
         return self.txn_ops if self.version_2_active else self.first_txn_ops
 
-    def chunk_of(self, job: Job, index: int) -> int:
-        """Return the number of the record that holds a task (0: the head)."""
-        return index // self.tasks_per_record(job)
-
-    def _tasks(self, job: Job, chunk: int, size: int) -> tuple[str, list[PlacementRow]]:
-        low, high = chunk * size, min((chunk + 1) * size, job.spec.tasks)
-        done = [index for index in range(low, high) if job.task_states[index] == TaskState.DONE]
-        groups: dict[TaskPlacement, list[int]] = {}
-        for index in range(low, high):
-            if job.task_states[index] == TaskState.PLACED:
-                groups.setdefault(job.placements[index], []).append(index)
-        rows = [
-            (placement.machine, placement.zone, placement.attempt, format_ranges(group), placement.stop_grace_s)
-            for placement, group in groups.items()
-        ]
-        return format_ranges(done), rows
+    # -- the records' contents ----------------------------------------------------------------------------
 
     def head_record(self, job: Job) -> JobRecord:
         """Return a job's head record."""
-        done, rows = self._tasks(job, 0, self.tasks_per_record(job))
+        tasks = self.chunk_record(job, 0)
         return JobRecord(
             without_dependencies(job.spec),
             job.submitted_at,
             job.state.value,
             job.cancelled_at,
             job.last_attempt,
-            done,
-            rows,
+            tasks.done_ranges,
+            tasks.placements,
             job.tasks_per_record,
             encode_job_ids(job.spec.dependencies or ()),
         )
 
     def chunk_record(self, job: Job, number: int) -> ChunkRecord:
-        """Return one of a job's further records."""
+        """Return the tasks in a job's record `number`."""
         return self.chunk_record_in_split(job, self.tasks_per_record(job), number)
 
-    def chunk_record_in_split(self, job: Job, split: int, number: int) -> ChunkRecord:
-        """Return one of the further records that a job has in a given split."""
-        return ChunkRecord(*self._tasks(job, number, split))
+    def chunk_record_in_split(self, job: Job, tasks_per_record: int, number: int) -> ChunkRecord:
+        """Return the tasks in a job's record `number` if records hold `tasks_per_record`; a migration's target."""
+        indices = range(number * tasks_per_record, min((number + 1) * tasks_per_record, job.spec.tasks))
+        done = [index for index in indices if job.task_states[index] == TaskState.DONE]
+        groups: dict[TaskPlacement, list[int]] = {}
+        for index in indices:
+            if job.task_states[index] == TaskState.PLACED:
+                groups.setdefault(job.placements[index], []).append(index)
+        rows = [
+            PlacementRow(
+                placement.machine, placement.zone, placement.attempt, format_ranges(group), placement.stop_grace_s
+            )
+            for placement, group in groups.items()
+        ]
+        return ChunkRecord(format_ranges(done), rows)
 
 
 def without_dependencies(spec: JobSpec) -> JobSpec:
-    """Return what was asked for without what it needs, which is stored in short."""
+    """Return a specification without its dependencies, which a head record holds in packed form."""
     return msgspec.structs.replace(spec, dependencies=None) if spec.dependencies else spec
--- a/driftcleat/store/rate_limit.py
+++ b/driftcleat/store/rate_limit.py
@@ -1,31 +1,44 @@
-"""A token bucket, for limits that are kept on the client's side."""
+"""A token bucket, for rate limits that are kept on the client's side."""
 
+import asyncio
 from collections.abc import Callable
 
 
 class TokenBucket:
-    """Permits `rate` units a second with bursts worth `burst_s`."""
+    """Permits `rate` units a second, with bursts of what accrues in `burst_s` seconds."""
 
     def __init__(self, rate: float, clock: Callable[[], float], burst_s: float = 1.0) -> None:
-        self.rate, self.clock, self.capacity = rate, clock, rate * burst_s
-        self.tokens, self.refilled_at = self.capacity, clock()
+        self.rate = rate
+        self.clock = clock
+        self.capacity = rate * burst_s
+        self.tokens = self.capacity
+        self.refilled_at = clock()
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self.clock()
         self.tokens = min(self.capacity, self.tokens + (now - self.refilled_at) * self.rate)
         self.refilled_at = now
 
     def delay_s(self, units: float) -> float:
-        """Return how long to wait until `units` are there (a request above the burst waits for a full one)."""
-        self._fill()
+        """Return the seconds until `units` are available; more than the capacity waits for a full bucket only."""
+        self._refill()
         return max(0.0, (min(units, self.capacity) - self.tokens) / self.rate)
 
     def available(self) -> float:
-        """Return the units that are there."""
-        self._fill()
+        """Return the number of units that are available; negative after an overdraft."""
+        self._refill()
         return self.tokens
 
     def consume(self, units: float) -> None:
-        """Use up `units`; the level may go below zero."""
-        self._fill()
+        """Take `units` without waiting; the level may fall below zero."""
+        self._refill()
         self.tokens -= units
+
+    async def acquire(self, units: float) -> None:
+        """Wait until `units` are available and take them."""
+        while True:
+            delay = self.delay_s(units)
+            if delay <= 0:
+                break
+            await asyncio.sleep(delay)
+        self.consume(units)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -16,7 +16,7 @@
 from driftcleat.store.encoding import encode_batch
 from driftcleat.store.keys import CHUNKS_PREFIX, DATA_VERSION_KEY, JOBS_PREFIX, chunk_key
 from driftcleat.store.layout import RecordLayout
-from driftcleat.store.records import ScaleOutRecord
+from driftcleat.store.records import ChunkRecord, ScaleOutRecord
 from driftcleat.wire import peers
 from driftcleat.wire import state as state_messages
 
@@ -114,6 +114,15 @@
         assert facts(again) == facts(whole)
 
 
+@pytest.mark.parametrize("row", ['["vm-1","north",1,"0"]', '["vm-1","north",1,"0",null,0]', '{"machine":"vm-1"}'])
+def test_a_placement_row_of_another_shape_is_refused(row: str) -> None:
+    """Guards against a row that a later version extends, and that we would cut when we rewrite its record."""
+    text = b'["1-3",[["vm-1","north",1,"0",2.5],["vm-1","north",1,"4-6",null]]]'
+    assert wire.encode(wire.decode(text, ChunkRecord)) == text
+    with pytest.raises(wire.WireError):
+        wire.decode(f'["1-3",[{row}]]'.encode(), ChunkRecord)
+
+
 @pytest.mark.parametrize(("rows", "switched"), [("records", False), ("second_version", True)])
 def test_what_the_version_before_wrote_is_read_and_written_to_the_letter(rows: str, switched: bool) -> None:
     """Each version works on the other's data, of both data versions: what ours writes is what 0.4.0 would write."""
--- a/tests/world.py
+++ b/tests/world.py
@@ -7,7 +7,7 @@
 import json
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from typing import Any
 
 from driftcleat import wire
@@ -434,7 +434,7 @@
                 batch, leader.term.layout, leader.term.cluster.fencing_token, leader.number, leader.mark_version
             )
             if leader.old:
-                encoded.body = as_production_writes(encoded.body)
+                encoded = replace(encoded, body=as_production_writes(encoded.body))
             leader.in_flight = (batch, encoded)
         batch, encoded = leader.in_flight
         if self.rng.random() < self.chaos * 0.1:
