--- a/tests/world.py
+++ b/tests/world.py
@@ -7,14 +7,15 @@
 import json
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from typing import Any
 
 from driftcleat import wire
 from driftcleat.cluster import ClusterState, JobState, Machine, commands_for_heartbeat, stop_commands
 from driftcleat.scheduler import PendingRequest, ScaleOutRequest, Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.store.records import (
+from driftcleat.store.encoding import EncodedBatch, encode_batch
+from driftcleat.store.keys import (
     BATCH_MARKER_KEY,
     CHUNKS_PREFIX,
     DATA_VERSION_KEY,
@@ -22,12 +23,9 @@
     JOBS_PREFIX,
     LEADER_KEY,
     SCALE_OUTS_PREFIX,
-    BatchMarker,
-    EncodedBatch,
-    RecordLayout,
-    ScaleOutRecord,
-    encode_batch,
 )
+from driftcleat.store.layout import RecordLayout
+from driftcleat.store.records import BatchMarker, ScaleOutRecord
 from driftcleat.wire import state as state_messages
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.users import JobKind, JobSpec, JobStatus
@@ -436,7 +434,7 @@
                 batch, leader.term.layout, leader.term.cluster.fencing_token, leader.number, leader.mark_version
             )
             if leader.old:
-                encoded.body = as_production_writes(encoded.body)
+                encoded = replace(encoded, body=as_production_writes(encoded.body))
             leader.in_flight = (batch, encoded)
         batch, encoded = leader.in_flight
         if self.rng.random() < self.chaos * 0.1:
