--- a/driftcleat/leadership/active_term.py
+++ b/driftcleat/leadership/active_term.py
@@ -3,7 +3,8 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from driftcleat.leadership.election import Election, Role
+from driftcleat.leadership.election import Election
+from driftcleat.leadership.role import Role
 
 if TYPE_CHECKING:
     from driftcleat.scheduler import Scheduler
--- a/driftcleat/leadership/election.py
+++ b/driftcleat/leadership/election.py
@@ -8,13 +8,12 @@
 import logging
 import random
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
-from enum import StrEnum
-
-import msgspec
 
 from driftcleat import wire
+from driftcleat.leadership.leader_key import LeaderRecord
 from driftcleat.leadership.lease import LeaseClock
+from driftcleat.leadership.peer_survey import PeerSurvey
+from driftcleat.leadership.role import _MOVES, Role
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.client import CompareFailedError, LeaseNotFoundError, StoreClient, StoreError
 from driftcleat.store.records import LEADER_KEY
@@ -23,58 +22,6 @@
 log = logging.getLogger(__name__)
 
 
-class Role(StrEnum):
-    """What this controller is in the election."""
-
-    FOLLOWER = "follower"
-    # A follower cut off from the store and from every controller: it keeps workers' leases with the last leader's
-    # token and gives no commands.
-    PARTITIONED = "tending"
-    CAMPAIGNING = "campaigning"
-    RECOVERING = "rebuilding"
-    LEADER = "leading"
-    UNCONFIRMED_LEADER = "unsure"
-
-
-_MOVES = {
-    (Role.FOLLOWER, Role.CAMPAIGNING),
-    (Role.FOLLOWER, Role.PARTITIONED),
-    (Role.PARTITIONED, Role.FOLLOWER),
-    (Role.CAMPAIGNING, Role.FOLLOWER),
-    (Role.CAMPAIGNING, Role.RECOVERING),
-    (Role.RECOVERING, Role.LEADER),
-    (Role.RECOVERING, Role.FOLLOWER),
-    (Role.LEADER, Role.UNCONFIRMED_LEADER),
-    (Role.LEADER, Role.FOLLOWER),
-    (Role.UNCONFIRMED_LEADER, Role.LEADER),
-    (Role.UNCONFIRMED_LEADER, Role.FOLLOWER),
-}
-
-
-@dataclass(frozen=True, slots=True)
-class PeerSurvey:
-    """What the other controllers say when asked.
-
-    Whether one of them is served by the store or leads; as of when a leader among them was sure of it, and which
-    cancelled jobs' tasks it had not seen gone; the highest token that any of them knows and whose it is; whether
-    every one of them has read a leader key since it was started, and so can say what it knows.
-    """
-
-    peer_reaches_store: bool = False
-    leader_confirmed_at: float = float("-inf")
-    cancelled_jobs: frozenset[str] = frozenset()
-    highest_fencing_token: int = 0
-    leader: str | None = None
-    all_have_read_leader_key: bool = False
-
-
-class LeaderRecord(msgspec.Struct, array_like=True):
-    """The leader key's value: who holds it, and which of its lives."""
-
-    controller_id: str
-    incarnation: str
-
-
 class Election:
     """Takes part in the election and keeps the lease while it holds the key."""
 
