--- a/driftcleat/leadership/__init__.py
+++ b/driftcleat/leadership/__init__.py
@@ -1,10 +1,24 @@
-"""Leadership: one leader by a key attached to a lease; the revision of the winning put is the token."""
+"""Leadership: one leader by a key attached to a lease; the mod revision of the winning put is the fencing token."""
 
 from driftcleat.leadership.active_term import ActiveTerm
+from driftcleat.leadership.campaign import Campaign
 from driftcleat.leadership.election import Election
+from driftcleat.leadership.follower_loop import FollowerLoop
 from driftcleat.leadership.leader_key import LeaderRecord
+from driftcleat.leadership.leader_loop import LeaderLoop
 from driftcleat.leadership.lease import LeaseClock
 from driftcleat.leadership.peer_survey import PeerSurvey
-from driftcleat.leadership.role import Role
+from driftcleat.leadership.role import IllegalRoleTransitionError, Role
 
-__all__ = ["ActiveTerm", "Election", "LeaderRecord", "LeaseClock", "PeerSurvey", "Role"]
+__all__ = [
+    "ActiveTerm",
+    "Campaign",
+    "Election",
+    "FollowerLoop",
+    "IllegalRoleTransitionError",
+    "LeaderLoop",
+    "LeaderRecord",
+    "LeaseClock",
+    "PeerSurvey",
+    "Role",
+]
--- /dev/null
+++ b/driftcleat/leadership/follower_loop.py
@@ -0,0 +1,79 @@
+"""What a follower does: watches the leader key, campaigns when nobody leads, keeps leases in a partition."""
+
+import asyncio
+import random
+
+from driftcleat.leadership.callbacks import ElectionCallbacks
+from driftcleat.leadership.campaign import Campaign
+from driftcleat.leadership.leader_key import LeaderKey
+from driftcleat.leadership.permissions import LeadershipState
+from driftcleat.leadership.role import Role
+
+# Times as parts of the leader lease: the longest sleep while this controller backs off from campaigning, and the
+# longest random delay before a campaign, which keeps followers from campaigning all at once.
+BACK_OFF_PAUSE = 0.25
+CAMPAIGN_JITTER = 0.02
+
+
+class FollowerLoop:
+    """Follows the leader, in the roles follower and partitioned."""
+
+    def __init__(
+        self,
+        state: LeadershipState,
+        leader_key: LeaderKey,
+        campaign: Campaign,
+        callbacks: ElectionCallbacks,
+        rng: random.Random,
+    ) -> None:
+        self._state = state
+        self._leader_key = leader_key
+        self._campaign = campaign
+        self._callbacks = callbacks
+        self._rng = rng
+
+    async def step(self) -> None:
+        """Read the leader key; then wait for it to change if somebody leads, else campaign.
+
+        Raises `StoreError` if the store does not answer: see `check_partition`.
+        """
+        key_value = await self._leader_key.read()
+        if self._state.role is Role.PARTITIONED:
+            self._state.transition(Role.FOLLOWER)
+        if key_value is None:
+            self._state.leader = None
+            await self._campaign_unless_backing_off()
+            return
+        self._leader_key.record(key_value)
+        # Guards against waiting for a previous incarnation: its put was carried out after we had looked at the start.
+        if await self._leader_key.revoke_if_ours(key_value):
+            return
+        self._state.record_leader_contact(await self._callbacks.ask_leader())
+        await self.wait_for_change()
+
+    async def wait_for_change(self) -> None:
+        """Wait until the leader key changes, or long enough to read it again."""
+        await self._leader_key.wait_for_change()
+
+    async def _campaign_unless_backing_off(self) -> None:
+        state = self._state
+        now = state.clock()
+        if now < state.back_off_until:
+            await asyncio.sleep(min(state.ttl_s * BACK_OFF_PAUSE, state.back_off_until - now))
+            return
+        await asyncio.sleep(self._rng.uniform(0.0, CAMPAIGN_JITTER) * state.ttl_s)
+        await self._campaign.run()
+
+    async def check_partition(self) -> None:
+        """The store does not serve us: if no controller reaches it either, keep the leases of workers that report."""
+        state = self._state
+        survey = await self._callbacks.ask_peers()
+        state.observe_leader(survey.leader, survey.highest_fencing_token)
+        state.record_leader_contact(survey)
+        if survey.peer_reaches_store:
+            if state.role is Role.PARTITIONED:
+                state.transition(Role.FOLLOWER)
+        elif state.may_become_partitioned:
+            state.transition(Role.PARTITIONED)
+        elif state.role is Role.PARTITIONED and state.lease_keeping_token is None:
+            state.transition(Role.FOLLOWER)
--- a/driftcleat/sharing/election.py
+++ b/driftcleat/sharing/election.py
@@ -1,8 +1,8 @@
-"""The election of one share: only who it is assigned to campaigns, and a share in order goes from hand to hand.
+"""The election of one share: only its assigned controller campaigns, and a share in order is handed over.
 
 A move is one transaction: on condition that the giver's leader key and the assignment are as they were, the key
 becomes the receiver's and the assignment says so. Everything before it can be dropped; everything after it is an
-ordinary take-over.
+ordinary failover.
 
 The giver's lease goes on when its key is replaced, so the lease proves nothing from the moment at which the giver has
 let go: it decides nothing any more under that token, whether or not the move comes about. To go on it has to campaign
@@ -10,98 +10,120 @@
 """
 
 import asyncio
-import logging
+import random
 from typing import Any
 
-from driftcleat.leadership import Election, Role
+from driftcleat.leadership import Campaign, Election, FollowerLoop, LeaderLoop, Role
+from driftcleat.settings import Platform, Tuning
 from driftcleat.sharing.assignment import complete_move
 from driftcleat.sharing.keys import ASSIGNMENT, FIRST_SHARE
 from driftcleat.sharing.process_lease import ProcessLease
 from driftcleat.sharing.view import SharingView
+from driftcleat.store.client import StoreClient
 from driftcleat.store.records import LEADER_KEY
 from driftcleat.wire import state as messages
 
-log = logging.getLogger(__name__)
+# Times as parts of the leader lease: how long a giver waits for its key to be replaced, how often it looks, and the
+# pause of a controller that may not campaign.
+HANDOVER_TIMEOUT = 1.0
+HANDOVER_POLL_PAUSE = 0.05
+INELIGIBLE_PAUSE = 0.1
 
-# How long a giver waits for its key to be replaced, and how often it looks, as parts of the leader's lease.
-HANDOVER_LIMIT = 1.0
-HANDOVER_LOOK = 0.05
-# The pause of who may not campaign, of the leader's lease.
-WAIT = 0.1
 
+class ShareCandidacy:
+    """Whether this controller may campaign for a share."""
 
-class ShareElection(Election):
-    """Takes part in the election of one share."""
-
-    def __init__(self, share: int, view: SharingView, process_lease: ProcessLease, *parts: Any) -> None:
-        super().__init__(*parts)
-        self._share, self._view, self._process_lease = share, view, process_lease
-        # While the share is handed over: until when this leader waits for its key to be replaced.
-        self._handing_over_until: float | None = None
-        # The version of the giver's leader key that is to be replaced by ours.
-        self._replaces: int | None = None
-        self._called = asyncio.Event()
-
-    # -- who may lead -------------------------------------------------------------------------------------
+    def __init__(self, share: int, view: SharingView, label: str) -> None:
+        self.share = share
+        self.view = view
+        self._label = label
 
     @property
     def may_lead(self) -> bool:
         """Whether this controller may campaign: the first share is anybody's, the others are assigned."""
-        if self._share == FIRST_SHARE:
+        if self.share == FIRST_SHARE:
             return True
-        assignment = self._view.assignment
+        assignment = self.view.assignment
         if assignment is None:
             return False
-        move = assignment.move_of(self._share)
-        label = self.platform.label
-        return assignment.owner(self._share) == label or (move is not None and move.receiver == label)
+        move = assignment.move_of(self.share)
+        return assignment.owner(self.share) == self._label or (move is not None and move.receiver == self._label)
+
+
+class ShareCampaign(Campaign):
+    """Campaigns for a share that is assigned to this controller, or completes a move to it."""
 
-    async def _campaign(self) -> None:
-        if not self.may_lead:
-            await asyncio.sleep(self.ttl_s * WAIT)
+    def __init__(self, candidacy: ShareCandidacy, *parts: Any) -> None:
+        super().__init__(*parts)
+        self._candidacy = candidacy
+        # The mod revision of the giver's leader key that is to be replaced by ours.
+        self.replaces: int | None = None
+
+    async def run(self) -> None:
+        """As in every election, if this controller may lead the share."""
+        if not self._candidacy.may_lead:
+            await asyncio.sleep(self._state.ttl_s * INELIGIBLE_PAUSE)
             return
         try:
-            await super()._campaign()
+            await super().run()
         finally:
-            self._replaces = None
+            self.replaces = None
 
-    def _campaign_transaction(self, lease: int) -> messages.Transaction:
+    def transaction(self, lease: int) -> messages.Transaction:
         """Return the transaction that makes this controller the share's leader, and completes a move to it."""
-        transaction = super()._campaign_transaction(lease)
-        if self._replaces is not None:
-            transaction.compares[0] = messages.Compare(LEADER_KEY, self._replaces)
-        assignment = self._view.assignment
-        move = assignment.move_of(self._share) if assignment is not None else None
-        if assignment is not None and move is not None and move.receiver == self.platform.label:
-            transaction.compares.append(messages.Compare(ASSIGNMENT, self._view.assignment_version))
-            transaction.operations.append(messages.Put(ASSIGNMENT, complete_move(assignment, self._share)))
+        transaction = super().transaction(lease)
+        if self.replaces is not None:
+            transaction.compares[0] = messages.Compare(LEADER_KEY, self.replaces)
+        view, share = self._candidacy.view, self._candidacy.share
+        assignment = view.assignment
+        move = assignment.move_of(share) if assignment is not None else None
+        if assignment is not None and move is not None and move.receiver == self._state.label:
+            transaction.compares.append(messages.Compare(ASSIGNMENT, view.assignment_version))
+            transaction.operations.append(messages.Put(ASSIGNMENT, complete_move(assignment, share)))
         return transaction
 
-    # -- receiving ----------------------------------------------------------------------------------------
 
-    def take_over(self, held_version: int) -> None:
-        """The giver has let go of its key, which has this version: replace it."""
-        if self.role is Role.FOLLOWER:
-            self._replaces = held_version
-            self._called.set()
+class ShareFollowerLoop(FollowerLoop):
+    """Follows the share's leader; as the receiver of a move it campaigns once the giver has let go."""
 
-    async def _watch_leader(self) -> None:
-        """As in every election; a hand-over ends the wait."""
-        self._called.clear()
-        if self._replaces is None:
-            watching = asyncio.ensure_future(super()._watch_leader())
-            called = asyncio.ensure_future(self._called.wait())
+    def __init__(self, campaign: ShareCampaign, *parts: Any) -> None:
+        super().__init__(*parts)
+        self._share_campaign = campaign
+        # Set by a hand-over to end the wait for the leader key.
+        self._handed_over = asyncio.Event()
+
+    def take_over(self, held_mod_revision: int) -> None:
+        """The giver has let go of its leader key, which has this mod revision: replace it."""
+        if self._state.role is Role.FOLLOWER:
+            self._share_campaign.replaces = held_mod_revision
+            self._handed_over.set()
+
+    async def wait_for_change(self) -> None:
+        """As in every election; a hand-over ends the wait and starts a campaign."""
+        self._handed_over.clear()
+        if self._share_campaign.replaces is None:
+            watching = asyncio.ensure_future(super().wait_for_change())
+            handed_over = asyncio.ensure_future(self._handed_over.wait())
             try:
-                await asyncio.wait((watching, called), return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait((watching, handed_over), return_when=asyncio.FIRST_COMPLETED)
                 if watching.done():
                     watching.result()
             finally:
                 watching.cancel()
-                called.cancel()
-        if self._replaces is not None:
-            await self._campaign()
+                handed_over.cancel()
+        if self._share_campaign.replaces is not None:
+            await self._share_campaign.run()
+
+
+class ShareLeaderLoop(LeaderLoop):
+    """Holds leadership of a share with the lease of the process, until the share is handed over."""
 
-    # -- giving -------------------------------------------------------------------------------------------
+    def __init__(self, candidacy: ShareCandidacy, process_lease: ProcessLease, *parts: Any) -> None:
+        super().__init__(*parts)
+        self._candidacy = candidacy
+        self._process_lease = process_lease
+        # While the share is handed over: until when this leader waits for its key to be replaced.
+        self._handing_over_until: float | None = None
 
     @property
     def handing_over(self) -> bool:
@@ -111,50 +133,92 @@
     def let_go(self) -> int | None:
         """Decide nothing more under this token; return it, None if this controller does not lead for certain.
 
-        Workers' leases are kept until the receiver leads, or until the bound of an unsure leader.
+        Workers' leases are kept until the receiver leads, or until the bound of an unconfirmed leader.
         """
+        state = self._state
         if self.handing_over:
-            return self.fencing_token
-        if not self.may_decide:
+            return state.fencing_token
+        if not state.may_decide:
             return None
-        now = self.clock()
-        self._handing_over_until = now + self.ttl_s * HANDOVER_LIMIT
-        self.lease.surrender(now)
-        self._confirmed_at = float("-inf")
-        self.transition(Role.UNCONFIRMED_LEADER)
+        now = state.clock()
+        self._handing_over_until = now + state.ttl_s * HANDOVER_TIMEOUT
+        state.lease.surrender(now)
+        state.peers_confirmed_at = float("-inf")
+        state.transition(Role.UNCONFIRMED_LEADER)
         self._wake.set()
-        return self.fencing_token
+        return state.fencing_token
 
-    async def _hold_leadership(self) -> None:
+    async def step(self) -> None:
+        """As in every election, unless the share is handed over or no longer assigned to this controller."""
         if self._handing_over_until is not None:
             await self._await_receiver(self._handing_over_until)
             return
-        if not self.may_lead:
+        if not self._candidacy.may_lead:
             self.request_step_down("the share is assigned to another controller")
-        await super()._hold_leadership()
+        await super().step()
 
     async def _await_receiver(self, until: float) -> None:
         """Wait until the key is replaced; give the key up if nobody takes it, and campaign for it again."""
-        key_value = await self.store.get(LEADER_KEY)
-        if key_value is None or key_value.mod_revision != self.fencing_token:
-            self._step_down("handed over" if key_value is not None else "the lease has ended")
-        elif self.clock() > until or not self.may_answer_heartbeats:
+        key_value = await self._store.get(LEADER_KEY)
+        if key_value is None or key_value.mod_revision != self._state.fencing_token:
+            self.step_down("the share is handed over" if key_value is not None else "lease expired")
+        elif self._state.clock() > until or not self._state.may_answer_heartbeats:
             lease = key_value.lease_id
-            self._step_down("nobody took the share over")
+            self.step_down("no controller took the share over")
             if lease is not None:
-                await self._revoke_lease(lease)
+                await self.revoke_lease(lease)
         else:
-            await asyncio.sleep(self.ttl_s * HANDOVER_LOOK)
+            await asyncio.sleep(self._state.ttl_s * HANDOVER_POLL_PAUSE)
 
-    def _step_down(self, why: str) -> None:
-        super()._step_down(why)
+    def step_down(self, why: str) -> None:
+        """As in every election; a hand-over is over too."""
+        super().step_down(why)
         self._handing_over_until = None
 
-    # -- the lease ----------------------------------------------------------------------------------------
-
-    async def _keep_alive(self) -> None:
-        """Renew the lease of the process; what counts is when that request was sent, by whichever share."""
-        lease = self.lease.lease_id
+    async def keep_alive(self) -> None:
+        """Keep the lease of the process alive; what counts is when that request was sent, by whichever share."""
+        lease = self._state.lease.lease_id
         sent_at = await self._process_lease.renew(lease if lease is not None else -1)
         if not self.handing_over:
-            self.lease.record_renewal(sent_at)
+            self._state.lease.record_renewal(sent_at)
+
+
+class ShareElection(Election):
+    """Takes part in the election of one share."""
+
+    leader_loop: ShareLeaderLoop
+    campaign: ShareCampaign
+    follower_loop: ShareFollowerLoop
+
+    def __init__(
+        self, share: int, view: SharingView, process_lease: ProcessLease, platform: Platform, *parts: Any
+    ) -> None:
+        # Before the common parts, which are made with these.
+        self._candidacy = ShareCandidacy(share, view, platform.label)
+        self._process_lease = process_lease
+        super().__init__(platform, *parts)
+
+    def make_leader_loop(self, store: StoreClient, platform: Platform, tuning: Tuning) -> ShareLeaderLoop:
+        """Return what holds leadership of the share."""
+        return ShareLeaderLoop(self._candidacy, self._process_lease, self, store, self.callbacks, platform, tuning)
+
+    def make_campaign(self, store: StoreClient, incarnation: str) -> ShareCampaign:
+        """Return what campaigns for the share."""
+        return ShareCampaign(self._candidacy, self, store, self.leader_loop, self.callbacks, incarnation)
+
+    def make_follower_loop(self, rng: random.Random) -> ShareFollowerLoop:
+        """Return what follows the share's leader."""
+        return ShareFollowerLoop(self.campaign, self, self.leader_key, self.campaign, self.callbacks, rng)
+
+    def take_over(self, held_mod_revision: int) -> None:
+        """The giver has let go of its leader key, which has this mod revision: replace it."""
+        self.follower_loop.take_over(held_mod_revision)
+
+    @property
+    def handing_over(self) -> bool:
+        """Whether this leader has let go of its key and waits for the receiver."""
+        return self.leader_loop.handing_over
+
+    def let_go(self) -> int | None:
+        """Decide nothing more under this token; return it, None if this controller does not lead for certain."""
+        return self.leader_loop.let_go()
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -155,7 +155,7 @@
         assert election.may_answer_heartbeats, "leases are kept"
         assert sim.controllers[giver].transfers.state(1) is TransferState.HANDING_OVER
         # The process renews its lease for its other shares, or for this one: that gives nothing back.
-        await engine.election._keep_alive()
+        await engine.election.leader_loop.keep_alive()
         assert not election.may_decide and not election.lease.is_valid(sim.time())
         held = sim.store.data[leader_key(1)][1]
         await sim.until(lambda: sim.owner(1) == giver, 30.0)
