--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -7,7 +7,7 @@
 from driftcleat import wire
 from driftcleat.api.answers import Answer
 from driftcleat.api.server import Reply
-from driftcleat.cluster import Machine, commands_for_heartbeat
+from driftcleat.cluster import Machine, apply_heartbeat, commands_for_heartbeat
 from driftcleat.leadership import ActiveTerm
 from driftcleat.runtime.metrics import Metrics
 from driftcleat.scheduler import Scheduler
@@ -59,7 +59,7 @@
         scheduler = self._active_term.scheduler
         if scheduler is None:
             return _orders(token)
-        machine = scheduler.cluster.apply_heartbeat(heartbeat, started)
+        machine = apply_heartbeat(scheduler.cluster, heartbeat, started)
         self._metrics.record_part("reports", self._clock() - started)
         if machine is None:
             self._metrics.stale_heartbeats += 1
--- a/driftcleat/cluster/__init__.py
+++ b/driftcleat/cluster/__init__.py
@@ -2,6 +2,9 @@
 
 from driftcleat.cluster.batch import Batch
 from driftcleat.cluster.commands import commands_for_heartbeat, stop_commands
+from driftcleat.cluster.commit import apply_batch
+from driftcleat.cluster.heartbeat_intake import apply_heartbeat, needs_reconciliation
+from driftcleat.cluster.job_status import user_job_status
 from driftcleat.cluster.jobs import (
     IllegalTransitionError,
     Job,
@@ -25,10 +28,14 @@
     "MachineState",
     "TaskPlacement",
     "TaskState",
+    "apply_batch",
+    "apply_heartbeat",
     "commands_for_heartbeat",
+    "needs_reconciliation",
     "reconcile",
     "stop_commands",
     "transition_job",
     "transition_machine",
     "transition_task",
+    "user_job_status",
 ]
--- /dev/null
+++ b/driftcleat/cluster/commit.py
@@ -0,0 +1,66 @@
+"""Makes a committed batch visible in the cluster state."""
+
+from driftcleat.cluster.batch import Batch
+from driftcleat.cluster.jobs import Job, JobState
+from driftcleat.cluster.machines import MachineState
+from driftcleat.cluster.state import ClusterState
+from driftcleat.cluster.usage import ResourceUsage
+
+
+def apply_batch(cluster: ClusterState, batch: Batch, revision: int, now: float) -> None:
+    """Make a batch that the store has taken visible."""
+    for job_id in batch.changed_jobs:
+        job = batch.jobs[job_id]
+        if job_id in batch.changed_heads:
+            job.mod_revision = revision
+        for chunk in batch.changed_chunks.get(job_id, ()):
+            job.chunk_mod_revisions[chunk] = revision
+        cluster.jobs[job_id] = job
+    cluster.job_dependencies.apply_batch(batch, now)
+    _apply_task_transitions(cluster, batch, now)
+    for job_id in batch.changed_jobs:
+        _apply_job_state(cluster, batch.jobs[job_id])
+    for name in {
+        placement.machine for _, _, old, new in batch.task_transitions for placement in (old, new) if placement
+    }:
+        machine = cluster.machines.get(name)
+        if machine is not None and machine.state is MachineState.TERMINATED and not machine.tasks:
+            del cluster.machines[name]
+
+
+def _apply_job_state(cluster: ClusterState, job: Job) -> None:
+    """A job's state may have changed: its machines are told what follows, or it is over."""
+    if job.state is JobState.CANCELLED:
+        cluster.cancelled_jobs.add(job.id)
+        cluster.mark_out_of_sync(job)
+    elif job.state in (JobState.DONE, JobState.TERMINATED):
+        cluster.cancelled_jobs.discard(job.id)
+        del cluster.jobs[job.id]
+        cluster.retry_at.pop(job.id, None)
+        cluster.failure_counts.pop(job.id, None)
+
+
+def _apply_task_transitions(cluster: ClusterState, batch: Batch, now: float) -> None:
+    """Count tasks where they are now, on their machines and in their team's usage."""
+    for job_id, index, old, new in batch.task_transitions:
+        job = batch.jobs[job_id]
+        usage = cluster.team_usage.setdefault(job.spec.team, ResourceUsage())
+        if old is None:
+            usage.add(job.spec, 1)
+        if new is None:
+            usage.add(job.spec, -1)
+        placement = new or old
+        if placement is None:
+            continue
+        machine = cluster.machines.get(placement.machine)
+        key = (job_id, index)
+        if machine is None:
+            waiting = cluster.unconfirmed_placements.setdefault(placement.machine, {})
+            if new is None:
+                waiting.pop(key, None)
+            else:
+                waiting[key] = new
+        elif new is None:
+            machine.remove_task(key, job.spec, now, cluster.image_of)
+        else:
+            machine.add_task(key, new, job.spec)
--- a/driftcleat/scheduler/admission.py
+++ b/driftcleat/scheduler/admission.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from driftcleat.capacity.arrivals import ArrivalRates
-from driftcleat.cluster import Batch, Job, JobState
+from driftcleat.cluster import Batch, Job, JobState, user_job_status
 from driftcleat.scheduler.context import SchedulerContext
 from driftcleat.wire.users import JobSpec, JobStatus
 
@@ -77,12 +77,12 @@
         """Return the committed state of a job that this term knows of."""
         job = self._cluster.jobs.get(job_id)
         if job is not None:
-            return self._cluster.job_status(job)
+            return user_job_status(self._cluster, job)
         return self._ended.get(job_id)
 
     def record_ended(self, job: Job) -> None:
         """Remember how a job ended."""
-        self._ended[job.id] = self._cluster.job_status(job)
+        self._ended[job.id] = user_job_status(self._cluster, job)
         while len(self._ended) > KEPT_FINAL_STATES:
             self._ended.popitem(last=False)
 
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -11,7 +11,7 @@
 from driftcleat.capacity.arrivals import ArrivalRates
 from driftcleat.capacity.failure_detector import FailureDetector
 from driftcleat.capacity.sizing import CapacityPlan
-from driftcleat.cluster import Batch, ClusterState, Job, JobState, Machine, MachineState, reconcile
+from driftcleat.cluster import Batch, ClusterState, Job, JobState, Machine, MachineState, apply_batch, reconcile
 from driftcleat.scheduler.admission import Admission
 from driftcleat.scheduler.cancellations import Cancellations
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
@@ -213,7 +213,7 @@
         self.migration.record_commit(revision)
         for job_id in batch.changed_jobs:
             self._note_changed(batch.jobs[job_id])
-        self.cluster.apply_batch(batch, revision, now)
+        apply_batch(self.cluster, batch, revision, now)
         self.queue.invalidate()
         for job_id, ready_at in self.cluster.ready_at.items():
             if ready_at == now:
--- a/tests/costs.py
+++ b/tests/costs.py
@@ -12,7 +12,7 @@
 from typing import TypeVar
 
 from driftcleat import wire
-from driftcleat.cluster import ClusterState, commands_for_heartbeat
+from driftcleat.cluster import ClusterState, apply_heartbeat, commands_for_heartbeat
 from driftcleat.scheduler import PendingRequest, Scheduler
 from driftcleat.store.records import CHUNKS_PREFIX, JOBS_PREFIX, decode_jobs, encode_batch
 from driftcleat.wire.workers import Heartbeat, TaskPhase, TaskStatus, format_task_name
@@ -112,7 +112,7 @@
     def _observe(self, reports: list[Heartbeat]) -> None:
         cluster = self._term.cluster
         for heartbeat in reports:
-            machine = cluster.apply_heartbeat(heartbeat, self._now[0])
+            machine = apply_heartbeat(cluster, heartbeat, self._now[0])
             assert machine is not None
             cluster.has_uncommitted_exits(machine)
             commands_for_heartbeat(cluster, machine, heartbeat)
--- a/tests/terms.py
+++ b/tests/terms.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from driftcleat.cluster import ClusterState
+from driftcleat.cluster import ClusterState, apply_heartbeat
 from driftcleat.scheduler import PendingRequest, Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.records import RecordLayout, encode_batch
@@ -40,7 +40,7 @@
     scheduler = new_term(site, cluster, now)
     for number in range(machines):
         zone = ("north", "south")[number % 2]
-        cluster.apply_heartbeat(Heartbeat(f"vm-{number}", "h", "big", zone, False, 1, 1, TOKEN, ()), 0.0)
+        apply_heartbeat(cluster, Heartbeat(f"vm-{number}", "h", "big", zone, False, 1, 1, TOKEN, ()), 0.0)
     return scheduler, now
 
 
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from driftcleat.capacity.sizing import CandidatePool, Demand, plan_fleet
-from driftcleat.cluster import ClusterState, Job, MachineState, commands_for_heartbeat
+from driftcleat.cluster import ClusterState, Job, MachineState, apply_heartbeat, commands_for_heartbeat
 from driftcleat.placement.candidates import Candidate, allowed, capacity, fits, spread_limit
 from driftcleat.placement.placement_round import PlacementRound, QuotaHeadroom
 from driftcleat.scheduler import PendingRequest
@@ -42,11 +42,11 @@
     now = [100.0]
     scheduler = make_term(now)
     first = Heartbeat("vm-2", "h:2", "big", "north", False, 1, 1, 0, ())
-    machine = scheduler.cluster.apply_heartbeat(first, now[0])
+    machine = apply_heartbeat(scheduler.cluster, first, now[0])
     assert machine is not None and not scheduler.candidates.takes_tasks(machine, now[0])
     commands_for_heartbeat(scheduler.cluster, machine, first)
     heard = Heartbeat("vm-2", "h:2", "big", "north", False, 1, 2, 5, ())
-    assert scheduler.cluster.apply_heartbeat(heard, now[0]) is machine and scheduler.candidates.takes_tasks(
+    assert apply_heartbeat(scheduler.cluster, heard, now[0]) is machine and scheduler.candidates.takes_tasks(
         machine, now[0]
     )
 
@@ -68,11 +68,11 @@
     machine = scheduler.cluster.machines["vm-1"]
     for seq in (2, 3):
         newest = report(seq)
-        scheduler.cluster.apply_heartbeat(newest, now[0])
+        apply_heartbeat(scheduler.cluster, newest, now[0])
         commands_for_heartbeat(scheduler.cluster, machine, newest)
     assert machine.unacknowledged_responses == 1
     attempt = scheduler.cluster.jobs["req-000001"].placements[0].attempt
-    scheduler.cluster.apply_heartbeat(report(4, TaskStatus("req-000001/0", attempt, "running")), now[0])
+    apply_heartbeat(scheduler.cluster, report(4, TaskStatus("req-000001/0", attempt, "running")), now[0])
     assert machine.unacknowledged_responses == 0 and scheduler.candidates.takes_tasks(machine, now[0])
 
 
@@ -82,7 +82,7 @@
     scheduler = make_term(now)
     scheduler.cluster.started_at = 0.0
     for number in range(2, 12):
-        scheduler.cluster.apply_heartbeat(Heartbeat(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
+        apply_heartbeat(scheduler.cluster, Heartbeat(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
     empty = plan_fleet([], [], TYPES, lambda offer: False, 1)
     empty.machines_in_use.update(scheduler.cluster.machines)
     for count, machine in enumerate(scheduler.cluster.machines.values(), 1):
@@ -101,7 +101,7 @@
     cluster = ClusterState(9, {}, dict(TYPES), now[0], SITE.lease_s)
     scheduler = new_term(SITE, cluster, now)
     copy = Heartbeat("vm-1", "h:1", "big", "north", False, 1, 7, 5, (), 3.0)
-    machine = cluster.apply_heartbeat(copy, now[0])
+    machine = apply_heartbeat(cluster, copy, now[0])
     assert machine is not None
     assert not scheduler.candidates.takes_tasks(machine, now[0]) and scheduler.candidates.all(now[0]) == []
     assert machine.state is MachineState.UP, "an old notice drains nothing"
@@ -117,12 +117,12 @@
     attempt = placed(scheduler, hands=1).placements[0].attempt
     running = TaskStatus("req-000001/0", attempt, "running")
     early = report(2)
-    machine = scheduler.cluster.apply_heartbeat(early, 1.0)
+    machine = apply_heartbeat(scheduler.cluster, early, 1.0)
     assert machine is not None
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, early)] == ["start"]
-    scheduler.cluster.apply_heartbeat(report(3, running), 2.0)
+    apply_heartbeat(scheduler.cluster, report(3, running), 2.0)
     for late in (early, report(2, TaskStatus("req-000001/0", attempt, "exited", "done")), report(1, session=1)):
-        assert scheduler.cluster.apply_heartbeat(late, 50.0) is None
+        assert apply_heartbeat(scheduler.cluster, late, 50.0) is None
         assert commands_for_heartbeat(scheduler.cluster, machine, late) == []
     commit(scheduler)
     assert machine.last_heartbeat_at == 2.0, "it revives nothing"
@@ -247,7 +247,7 @@
     now = [100.0]
     scheduler = make_term(now)
     for number in (2, 3):
-        scheduler.cluster.apply_heartbeat(Heartbeat(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
+        apply_heartbeat(scheduler.cluster, Heartbeat(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
     low = job(1, hands=3, cores=16.0, rank="best_effort", voyageS=500.0)
     scheduler.admission.submit(PendingRequest(lambda status: None, low, low.id))
     commit(scheduler)
@@ -270,7 +270,7 @@
     """Guards against smaller jobs taking the free machines of a gang one by one while the others come free."""
     now = [100.0]
     scheduler = make_term(now)
-    scheduler.cluster.apply_heartbeat(Heartbeat("vm-2", "h", "big", "north", False, 1, 1, 5, ()), now[0])
+    apply_heartbeat(scheduler.cluster, Heartbeat("vm-2", "h", "big", "north", False, 1, 1, 5, ()), now[0])
     low = job(1, hands=1, cores=16.0, rank="best_effort", voyageS=500.0)
     scheduler.admission.submit(PendingRequest(lambda status: None, low, low.id))
     commit(scheduler)
@@ -290,8 +290,8 @@
     for name in ("vm-1", "vm-2"):
         known = scheduler.cluster.machines[name].last_heartbeat
         assert known is not None
-        scheduler.cluster.apply_heartbeat(
-            Heartbeat(name, "h", "big", "north", False, 1, known.sequence + 1, 5, ()), now[0]
+        apply_heartbeat(
+            scheduler.cluster, Heartbeat(name, "h", "big", "north", False, 1, known.sequence + 1, 5, ()), now[0]
         )
     for _ in range(3):
         commit(scheduler)
@@ -451,7 +451,7 @@
     now = [100.0]
     scheduler = make_term(now)
     for name, zone in (("vm-2", "north"), ("vm-3", "south")):
-        scheduler.cluster.apply_heartbeat(Heartbeat(name, "h", "big", zone, False, 1, 1, 5, ()), now[0])
+        apply_heartbeat(scheduler.cluster, Heartbeat(name, "h", "big", zone, False, 1, 1, 5, ()), now[0])
     low = job(1, hands=2, cores=16.0, rank="best_effort", mooringS=1.0, stowS=0.0, imageGb=0.1, hull="img-low")
     scheduler.admission.submit(PendingRequest(lambda status: None, low, low.id))
     commit(scheduler)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -16,6 +16,7 @@
     JobState,
     TaskPlacement,
     TaskState,
+    apply_heartbeat,
     commands_for_heartbeat,
     transition_job,
     transition_task,
@@ -49,7 +50,7 @@
     """Return a term with one empty machine `vm-1` that has reported; `clock` stands for the time in `now`."""
     cluster = ClusterState(5, {}, dict(TYPES), now[0])
     scheduler = new_term(SITE, cluster, now, clock)
-    cluster.apply_heartbeat(report(1), now[0])
+    apply_heartbeat(cluster, report(1), now[0])
     return scheduler
 
 
@@ -80,7 +81,7 @@
     placed(scheduler, hands=1)
     machine = scheduler.cluster.machines["vm-1"]
     newest = report(2)
-    assert scheduler.cluster.apply_heartbeat(newest, 1.0) is machine
+    assert apply_heartbeat(scheduler.cluster, newest, 1.0) is machine
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, newest)] == ["start"]
     scheduler.admission.cancel(PendingRequest(lambda status: None, None, "req-000001"))
     commit(scheduler)
@@ -88,7 +89,7 @@
     commit(scheduler)
     # The start may be on its way: the task still counts as there.
     assert scheduler.cluster.jobs["req-000001"].placements
-    scheduler.cluster.apply_heartbeat(report(3), 2.0)
+    apply_heartbeat(scheduler.cluster, report(3), 2.0)
     commit(scheduler)
     assert "req-000001" not in scheduler.cluster.jobs and scheduler.admission.lookup("req-000001") == JobStatus(
         "req-000001", "cancelled", 0, 0
@@ -99,7 +100,7 @@
     now = [0.0]
     scheduler = make_term(now)
     placed(scheduler, hands=1)
-    scheduler.cluster.apply_heartbeat(report(2, token=4), 1.0)
+    apply_heartbeat(scheduler.cluster, report(2, token=4), 1.0)
     scheduler.admission.cancel(PendingRequest(lambda status: None, None, "req-000001"))
     commit(scheduler)
     scheduler.cluster.machines_to_reconcile.add("vm-1")
@@ -116,20 +117,20 @@
     placed(scheduler, hands=1)
     machine = scheduler.cluster.machines["vm-1"]
     first = report(2)
-    scheduler.cluster.apply_heartbeat(first, 1.0)
+    apply_heartbeat(scheduler.cluster, first, 1.0)
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, first)] == ["start"]
     attempt = scheduler.cluster.jobs["req-000001"].placements[0].attempt
     running = report(3, TaskStatus("req-000001/0", attempt, "running"))
-    scheduler.cluster.apply_heartbeat(running, 1.5)
+    apply_heartbeat(scheduler.cluster, running, 1.5)
     commands_for_heartbeat(scheduler.cluster, machine, running)
     commit(scheduler)
     back = report(1, session=2)
-    scheduler.cluster.apply_heartbeat(back, 2.0)
+    apply_heartbeat(scheduler.cluster, back, 2.0)
     batch = scheduler.build_batch()
     assert [(old is not None, new) for _, _, old, new in batch.task_transitions] == [(True, None)], "it is proven off"
     commands_for_heartbeat(scheduler.cluster, machine, back)
     later = report(2, session=2)
-    scheduler.cluster.apply_heartbeat(later, 3.0)
+    apply_heartbeat(scheduler.cluster, later, 3.0)
     assert commands_for_heartbeat(scheduler.cluster, machine, later) == []
     scheduler.apply_commit(batch, 99, [])
     assert not scheduler.cluster.jobs["req-000001"].placements and not scheduler.cluster.attempts_being_released
@@ -141,7 +142,7 @@
     attempt = placed(scheduler, hands=1).placements[0].attempt
     machine = scheduler.cluster.machines["vm-1"]
     newest = report(2, TaskStatus("req-000001/0", attempt, "exited", "done"))
-    scheduler.cluster.apply_heartbeat(newest, 1.0)
+    apply_heartbeat(scheduler.cluster, newest, 1.0)
     assert "forget" not in [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, newest)]
     commit(scheduler)
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, newest)] == ["forget"]
@@ -154,8 +155,8 @@
     placed(scheduler, hands=1)
     machine = scheduler.cluster.machines["vm-1"]
     late = report(2)
-    scheduler.cluster.apply_heartbeat(report(7), 1.0)
-    assert scheduler.cluster.apply_heartbeat(late, 2.0) is None
+    apply_heartbeat(scheduler.cluster, report(7), 1.0)
+    assert apply_heartbeat(scheduler.cluster, late, 2.0) is None
     assert commands_for_heartbeat(scheduler.cluster, machine, late) == []
 
 
@@ -179,7 +180,7 @@
     commit(scheduler)
     commit(scheduler)
     assert not scheduler.cluster.jobs["req-000001"].placements
-    assert scheduler.cluster.apply_heartbeat(report(9), 1.0) is None, "a late report does not bring it back"
+    assert apply_heartbeat(scheduler.cluster, report(9), 1.0) is None, "a late report does not bring it back"
     assert not scheduler.cluster.machines, "nothing of it is kept"
 
 
@@ -236,7 +237,7 @@
         site, Tuning(budget=0.2), cluster, layout, random.Random(1), lambda: now[0], lambda: now[0], brand_new=True
     )
     for number in range(30):
-        cluster.apply_heartbeat(Heartbeat(f"vm-{number:06d}", "h:1", "big", "north", False, 1, 1, token, ()), 0.0)
+        apply_heartbeat(cluster, Heartbeat(f"vm-{number:06d}", "h:1", "big", "north", False, 1, 1, token, ()), 0.0)
     scheduler.admission.submit(PendingRequest(lambda status: None, spec, spec.id))
     mark = 0
     for number in range(1, 12):
@@ -393,7 +394,7 @@
     commit(scheduler)
     assert scheduler.cancellations.machines_to_fence() == set()
     now[0] = SITE.cancel_s * 0.5
-    scheduler.cluster.apply_heartbeat(report(2, TaskStatus("req-000001/0", attempt, "running")), now[0])
+    apply_heartbeat(scheduler.cluster, report(2, TaskStatus("req-000001/0", attempt, "running")), now[0])
     commit(scheduler)
     assert scheduler.cancellations.machines_to_fence() == {"vm-1"}
 
@@ -419,10 +420,10 @@
     scheduler = make_term(now)
     attempt = placed(scheduler, hands=1).placements[0].attempt
     running = TaskStatus("req-000001/0", attempt, "running")
-    scheduler.cluster.apply_heartbeat(report(2, running), 1.0)
+    apply_heartbeat(scheduler.cluster, report(2, running), 1.0)
     while scheduler.has_work:
         commit(scheduler)
-    scheduler.cluster.apply_heartbeat(Heartbeat("vm-1", "h:1", "big", "north", False, 1, 3, 5, (running,), 8.0), 2.0)
+    apply_heartbeat(scheduler.cluster, Heartbeat("vm-1", "h:1", "big", "north", False, 1, 3, 5, (running,), 8.0), 2.0)
     assert scheduler.has_work
     commit(scheduler)
     assert scheduler.cluster.jobs["req-000001"].placements[0].stop_grace_s == 2.0
@@ -439,7 +440,7 @@
     commit(scheduler)
     commit(scheduler)
     cluster = scheduler.cluster
-    cluster.apply_heartbeat(Heartbeat("vm-2", "h:2", "big", "north", False, 1, 1, 5, ()), now[0])
+    apply_heartbeat(cluster, Heartbeat("vm-2", "h:2", "big", "north", False, 1, 1, 5, ()), now[0])
     scheduler.admission.submit(
         PendingRequest(lambda status: None, job(4, rig="daemon", hands=1, accelerators=4.0), "req-000004")
     )
@@ -475,15 +476,15 @@
     attempt = placed(scheduler, hands=1).placements[0].attempt
     machine = scheduler.cluster.machines["vm-1"]
     assert "img-1" in machine.cached_images
-    scheduler.cluster.apply_heartbeat(report(2, TaskStatus("req-000001/0", attempt, "pulling")), 1.0)
-    scheduler.cluster.apply_heartbeat(report(3, TaskStatus("req-000001/0", attempt, "exited", "stopped")), 2.0)
+    apply_heartbeat(scheduler.cluster, report(2, TaskStatus("req-000001/0", attempt, "pulling")), 1.0)
+    apply_heartbeat(scheduler.cluster, report(3, TaskStatus("req-000001/0", attempt, "exited", "stopped")), 2.0)
     commit(scheduler)
     assert "img-1" not in machine.cached_images
     scheduler = make_term(now)
     attempt = placed(scheduler, hands=1).placements[0].attempt
     machine = scheduler.cluster.machines["vm-1"]
-    scheduler.cluster.apply_heartbeat(report(2, TaskStatus("req-000001/0", attempt, "running")), 1.0)
-    scheduler.cluster.apply_heartbeat(report(3, TaskStatus("req-000001/0", attempt, "exited", "stopped")), 2.0)
+    apply_heartbeat(scheduler.cluster, report(2, TaskStatus("req-000001/0", attempt, "running")), 1.0)
+    apply_heartbeat(scheduler.cluster, report(3, TaskStatus("req-000001/0", attempt, "exited", "stopped")), 2.0)
     commit(scheduler)
     assert "img-1" in machine.cached_images
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -10,7 +10,7 @@
 from driftcleat import wire
 from driftcleat.api import Answer
 from driftcleat.capacity.failure_detector import FailureDetector
-from driftcleat.cluster import Machine, MachineState, commands_for_heartbeat, transition_machine
+from driftcleat.cluster import Machine, MachineState, apply_heartbeat, commands_for_heartbeat, transition_machine
 from driftcleat.scheduler import PendingRequest
 from driftcleat.wire.workers import (
     Heartbeat,
@@ -135,7 +135,9 @@
         now[0] += 1.0
         split.reset_mock()
         heartbeat = Heartbeat("vm-0", "h", "big", "north", False, 1, seq, 5, tasks)
-        assert scheduler.cluster.apply_heartbeat(heartbeat, now[0]) is machine and machine.last_heartbeat_at == now[0]
+        assert (
+            apply_heartbeat(scheduler.cluster, heartbeat, now[0]) is machine and machine.last_heartbeat_at == now[0]
+        )
         scheduler.cluster.has_uncommitted_exits(machine)
         assert commands_for_heartbeat(scheduler.cluster, machine, heartbeat) == []
         looks.append(split.call_count)
@@ -143,13 +145,13 @@
     assert looks[0] > 0 and looks[2:] == [0, 0, 0]
     # What changes is looked at again.
     heartbeat = Heartbeat("vm-0", "h", "big", "north", False, 1, 7, 5, tasks[:-1])
-    scheduler.cluster.apply_heartbeat(heartbeat, now[0])
+    apply_heartbeat(scheduler.cluster, heartbeat, now[0])
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, heartbeat)] == ["start"]
     # So is an equal report once the job is cancelled.
     back = Heartbeat("vm-0", "h", "big", "north", False, 1, 8, 5, tasks)
     for seq in (8, 9, 10):
         back = Heartbeat("vm-0", "h", "big", "north", False, 1, seq, 5, tasks)
-        scheduler.cluster.apply_heartbeat(back, now[0])
+        apply_heartbeat(scheduler.cluster, back, now[0])
         commands_for_heartbeat(scheduler.cluster, machine, back)
         commit_all(scheduler)
     assert machine.in_sync
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
 
 from driftcleat.capacity.failure_detector import FailureDetector
 from driftcleat.capacity.sizing import CapacityPlan
-from driftcleat.cluster import MachineState
+from driftcleat.cluster import MachineState, apply_heartbeat
 from driftcleat.leadership import PeerSurvey
 from driftcleat.net import ConnectionLimiter, HttpClient, SocketBudget
 from driftcleat.net.budget import OWN
@@ -236,8 +236,8 @@
     scheduler.cluster.started_at = now[0] - 1000.0
     for zone in zones:
         for number in range(count):
-            scheduler.cluster.apply_heartbeat(
-                Heartbeat(f"vm-{zone}-{number}", "h:1", "big", zone, False, 1, 1, 5, ()), now[0]
+            apply_heartbeat(
+                scheduler.cluster, Heartbeat(f"vm-{zone}-{number}", "h:1", "big", zone, False, 1, 1, 5, ()), now[0]
             )
     return scheduler
 
@@ -253,7 +253,7 @@
                 for key, place in term.cluster.machines[name].tasks.items()
             )
             assert known is not None
-            term.cluster.apply_heartbeat(Heartbeat(name, "h:1", "big", zone, False, 1, seq, 5, tasks), now[0])
+            apply_heartbeat(term.cluster, Heartbeat(name, "h:1", "big", zone, False, 1, seq, 5, tasks), now[0])
 
 
 def kept(term) -> CapacityPlan:  # type: ignore[no-untyped-def]
@@ -525,7 +525,7 @@
     now = [1000.0]
     term = fleet_term(now, 2, ("north",))
     late = Heartbeat("vm-late", "h:1", "big", "north", False, 1, 2, 5, ())
-    machine = term.cluster.apply_heartbeat(late, now[0])
+    machine = apply_heartbeat(term.cluster, late, now[0])
     assert machine is not None and machine.state is MachineState.UP
     now[0] += 1000.0
     for known in term.cluster.machines.values():
@@ -533,6 +533,6 @@
     assert machine in term.select_scale_in(CapacityPlan({}, set()), now[0]), "nobody needs it"
     term.cluster.record_terminated(machine, now[0])
     assert (
-        term.cluster.apply_heartbeat(Heartbeat("vm-late", "h:1", "big", "north", False, 1, 9, 5, ()), now[0]) is None
+        apply_heartbeat(term.cluster, Heartbeat("vm-late", "h:1", "big", "north", False, 1, 9, 5, ()), now[0]) is None
     )
     assert "vm-late" not in term.cluster.machines
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,7 +11,16 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.cluster import ClusterState, JobState, Machine, commands_for_heartbeat, stop_commands
+from driftcleat.cluster import (
+    ClusterState,
+    JobState,
+    Machine,
+    apply_heartbeat,
+    commands_for_heartbeat,
+    needs_reconciliation,
+    stop_commands,
+    user_job_status,
+)
 from driftcleat.scheduler import PendingRequest, ScaleOutRequest, Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.records import (
@@ -259,7 +268,7 @@
     """An equal report that need not be looked at: a look at every task finds nothing either."""
     offered = dict(machine.starts_sent)
     machine.in_sync = False
-    assert not cluster.has_uncommitted_exits(machine) and not cluster._may_prove_something(machine)
+    assert not cluster.has_uncommitted_exits(machine) and not needs_reconciliation(cluster, machine)
     assert commands_for_heartbeat(cluster, machine, heartbeat) == [] and machine.starts_sent == offered
     machine.in_sync = True
 
@@ -355,7 +364,7 @@
         leader = self.leader
         if leader.silent or leader.stepped_down or heartbeat.fencing_token > leader.term.cluster.fencing_token:
             return
-        machine = leader.term.cluster.apply_heartbeat(heartbeat, self.now)
+        machine = apply_heartbeat(leader.term.cluster, heartbeat, self.now)
         if machine is not None:
             commands_for_heartbeat(leader.term.cluster, machine, heartbeat)
 
@@ -367,7 +376,7 @@
         if heartbeat.fencing_token > cluster.fencing_token:
             leader.stepped_down = True
             return
-        machine = cluster.apply_heartbeat(heartbeat, self.now)
+        machine = apply_heartbeat(cluster, heartbeat, self.now)
         if machine is not None and machine.in_sync:
             check_steady(cluster, machine, heartbeat)
         commands = [] if machine is None else commands_for_heartbeat(cluster, machine, heartbeat)
@@ -713,5 +722,5 @@
             elif job.state is JobState.CANCELLED and job.placements:
                 out[job_id] = "cancelling"
             else:
-                out[job_id] = self.leader.term.cluster.job_status(job).state
+                out[job_id] = user_job_status(self.leader.term.cluster, job).state
         return out
