--- a/driftcleat/cluster/__init__.py
+++ b/driftcleat/cluster/__init__.py
@@ -14,12 +14,14 @@
     transition_job,
     transition_task,
 )
+from driftcleat.cluster.listener import ClusterListener
 from driftcleat.cluster.machines import Machine, MachineState, transition_machine
 from driftcleat.cluster.reconciliation import reconcile
 from driftcleat.cluster.state import ClusterState
 
 __all__ = [
     "Batch",
+    "ClusterListener",
     "ClusterState",
     "IllegalTransitionError",
     "Job",
--- a/driftcleat/cluster/heartbeat_intake.py
+++ b/driftcleat/cluster/heartbeat_intake.py
@@ -31,7 +31,7 @@
     if machine.state is MachineState.BOOTING:
         transition_machine(machine, MachineState.UP)
         machine.idle_since = now
-        cluster.on_up()
+        cluster.listener.machine_up()
     previous = machine.last_heartbeat
     machine.last_heartbeat, machine.last_heartbeat_at = heartbeat, now
     # Only a worker that has seen our token drops the answers of the leader before us: until then a
@@ -39,7 +39,7 @@
     machine.fence_acknowledged = heartbeat.fencing_token == cluster.fencing_token
     _read_tasks(cluster, machine, heartbeat, previous)
     if heartbeat.termination_notice_s is not None and machine.fence_acknowledged and machine.state is MachineState.UP:
-        cluster.on_notice(machine, heartbeat.termination_notice_s)
+        cluster.listener.termination_noticed(machine, heartbeat.termination_notice_s)
     return machine
 
 
@@ -108,7 +108,7 @@
                     and image not in machine.fetched_images
                 ):
                     machine.fetched_images.add(image)
-                    cluster.on_image(machine)
+                    cluster.listener.images_changed(machine)
     machine.reported_phases = reported
     cluster.orphaned_tasks.keep_only(machine.name, live)
     cluster.machines_to_reconcile.add(machine.name)
--- a/driftcleat/cluster/reconciliation.py
+++ b/driftcleat/cluster/reconciliation.py
@@ -114,7 +114,7 @@
             # Our sums and the worker's differ: let it report again before it gets more.
             machine.no_placement_until = max(machine.no_placement_until, now + NO_ROOM_PAUSE_S)
     log.debug("task %s/%d left %s: %s", job.id, index, machine.name, why)
-    cluster.on_exit(machine, job, why)
+    cluster.listener.task_exited(machine, job, why)
 
 
 def _count_failure(cluster: ClusterState, machine: Machine, job: Job, now: float, blame: bool) -> None:
--- a/driftcleat/cluster/state.py
+++ b/driftcleat/cluster/state.py
@@ -4,11 +4,10 @@
 batch is made visible by `commit`, and `commands` says what a worker is told.
 """
 
-from collections.abc import Callable
-
 from driftcleat.cluster.dependencies import DependencyGraph
 from driftcleat.cluster.job_dependencies import JobDependencies
 from driftcleat.cluster.jobs import Job, JobState, TaskPlacement
+from driftcleat.cluster.listener import ClusterListener, NullListener
 from driftcleat.cluster.machines import Machine, MachineState, transition_machine
 from driftcleat.cluster.orphaned_tasks import OrphanedTasks
 from driftcleat.cluster.usage import ResourceUsage
@@ -51,10 +50,7 @@
         self.unconfirmed_placements: dict[str, dict[tuple[str, int], TaskPlacement]] = {}
         # Images that machines had under earlier leaders, until they report.
         self.image_hints: dict[str, list[tuple[str, float]]] = {}
-        self.on_exit: Callable[[Machine, Job, str], None] = lambda machine, job, why: None
-        self.on_image: Callable[[Machine], None] = lambda machine: None
-        self.on_up: Callable[[], None] = lambda: None
-        self.on_notice: Callable[[Machine, float], None] = lambda machine, notice_s: None
+        self.listener: ClusterListener = NullListener()
         for job in jobs.values():
             usage = self.team_usage.setdefault(job.spec.team, ResourceUsage())
             for index, placement in job.placements.items():
@@ -72,6 +68,10 @@
         self.unconfirmed_cancellations: set[str] = set()
         self.started_at = now
 
+    def subscribe(self, listener: ClusterListener) -> None:
+        """Send all further events to a listener; it replaces the one before."""
+        self.listener = listener
+
     def record_external_end(self, job_id: str, state: JobState, now: float) -> None:
         """A job that ours need, and that is homed elsewhere, has ended, or is certain to end as cancelled."""
         self.job_dependencies.record_external_end(job_id, state, now)
--- /dev/null
+++ b/driftcleat/scheduler/cluster_events.py
@@ -0,0 +1,44 @@
+"""What the scheduler does about events of the cluster state."""
+
+from driftcleat.cluster import Job, Machine, MachineState
+from driftcleat.scheduler.context import Counters
+from driftcleat.scheduler.drains import MachineDrainer
+from driftcleat.scheduler.garbage_collection import GarbageCollector
+from driftcleat.scheduler.pacing import RoundPacing
+
+# A machine that failed tasks of so many jobs is drained.
+FAILED_JOBS_BEFORE_DRAIN = 2
+
+
+class ClusterEventHandler:
+    """Counts exits, requests placement rounds, records cached images and drains machines; a `ClusterListener`."""
+
+    def __init__(
+        self,
+        counters: Counters,
+        pacing: RoundPacing,
+        garbage_collector: GarbageCollector,
+        drainer: MachineDrainer,
+    ) -> None:
+        self._counters = counters
+        self._pacing = pacing
+        self._garbage_collector = garbage_collector
+        self._drainer = drainer
+
+    def task_exited(self, machine: Machine, job: Job, reason: str) -> None:
+        """Count the exit, and drain a machine that fails tasks of several jobs."""
+        self._counters.exits[reason] = self._counters.exits.get(reason, 0) + 1
+        if len(machine.failed_jobs) >= FAILED_JOBS_BEFORE_DRAIN and machine.state is MachineState.UP:
+            self._drainer.drain(machine, "it fails its tasks")
+
+    def machine_up(self) -> None:
+        """Let a placement round use the new machine."""
+        self._pacing.record_change()
+
+    def images_changed(self, machine: Machine) -> None:
+        """Keep the images for the next leader."""
+        self._garbage_collector.record_images(machine)
+
+    def termination_noticed(self, machine: Machine, notice_s: float) -> None:
+        """Drain the machine before the cloud takes it away."""
+        self._drainer.drain(machine, f"notice of {notice_s:.1f} s")
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -14,6 +14,7 @@
 from driftcleat.cluster import Batch, ClusterState, Job, JobState, Machine, MachineState, apply_batch, reconcile
 from driftcleat.scheduler.admission import Admission
 from driftcleat.scheduler.cancellations import Cancellations
+from driftcleat.scheduler.cluster_events import ClusterEventHandler
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.demand import DemandPlanner
 from driftcleat.scheduler.drains import MachineDrainer
@@ -35,8 +36,6 @@
 REPORTS_BEFORE_PLACING = 1.25
 # The store takes requests of 64 KiB; conditions and framing take the rest.
 BATCH_BYTES = 56 * 1024
-# A machine that failed tasks of so many jobs is drained.
-FAILED_JOBS_BEFORE_DRAIN = 2
 
 
 class Scheduler:
@@ -78,27 +77,15 @@
         self._placement = PlacementPass(context, self.queue, self.candidates, self.preemption, self.pacing)
         self.demand = DemandPlanner(context, self.queue, self.reachability, self.scale_out, self._arrivals)
         self._scale_in = ScaleInPlanner(context, self.candidates, self.reachability)
-        self._listen_to_cluster()
+        cluster.subscribe(ClusterEventHandler(self.counters, self.pacing, self.garbage_collector, self.drainer))
         self._note_known_jobs(now, wall())
 
-    def _listen_to_cluster(self) -> None:
-        cluster = self.cluster
-        cluster.on_exit = self._note_exit
-        cluster.on_up = self.pacing.record_change
-        cluster.on_image = self.garbage_collector.record_images
-        cluster.on_notice = lambda machine, notice_s: self.drainer.drain(machine, f"notice of {notice_s:.1f} s")
-
     def _note_known_jobs(self, now: float, wall: float) -> None:
         for job in self.cluster.jobs.values():
             self.layout.assign_tasks_per_record(job)
             if self.cluster.dependencies_met(job):
                 self._arrivals.record(job.spec, now - max(0.0, wall - job.submitted_at))
 
-    def _note_exit(self, machine: Machine, job: Job, why: str) -> None:
-        self.counters.exits[why] = self.counters.exits.get(why, 0) + 1
-        if len(machine.failed_jobs) >= FAILED_JOBS_BEFORE_DRAIN and machine.state is MachineState.UP:
-            self.drainer.drain(machine, "it fails its tasks")
-
     # -- the batch ----------------------------------------------------------------------------------------
 
     @property
