--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -11,12 +11,14 @@
 from driftcleat.capacity.arrivals import ArrivalRates
 from driftcleat.capacity.failure_detector import FailureDetector
 from driftcleat.capacity.sizing import CapacityPlan
-from driftcleat.cluster import Batch, ClusterState, Job, JobState, Machine, MachineState, reconcile
+from driftcleat.cluster import Batch, ClusterState, Job, JobState, Machine, MachineState
 from driftcleat.scheduler.admission import Admission
+from driftcleat.scheduler.batch_builder import BatchBuilder
 from driftcleat.scheduler.cancellations import Cancellations
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.demand import DemandPlanner
 from driftcleat.scheduler.drains import MachineDrainer
+from driftcleat.scheduler.fleet_summary import fleet_summary
 from driftcleat.scheduler.garbage_collection import GarbageCollector
 from driftcleat.scheduler.machine_candidates import MachineCandidates
 from driftcleat.scheduler.pacing import RoundPacing
@@ -33,8 +35,6 @@
 
 # Workers have this many report intervals to be heard by a new leader before anything is placed.
 REPORTS_BEFORE_PLACING = 1.25
-# The store takes requests of 64 KiB; conditions and framing take the rest.
-BATCH_BYTES = 56 * 1024
 # A machine that failed tasks of so many jobs is drained.
 FAILED_JOBS_BEFORE_DRAIN = 2
 
@@ -59,9 +59,8 @@
         self.clock, self.counters = clock, context.counters
         now = clock()
         wait_s = 0.0 if brand_new else platform.report_s * REPORTS_BEFORE_PLACING
-        # Machines to which stops are sent at once, and those that the batch under way gives tasks.
+        # Machines to which stops are sent at once.
         self.urgent_stops: set[str] = set()
-        self._in_flight: set[str] = set()
         self._arrivals = ArrivalRates(platform.report_s * tuning.window, platform.report_s)
         self.pacing = RoundPacing(platform, tuning, now + wait_s)
         self.admission = Admission(context, self._arrivals)
@@ -78,6 +77,16 @@
         self._placement = PlacementPass(context, self.queue, self.candidates, self.preemption, self.pacing)
         self.demand = DemandPlanner(context, self.queue, self.reachability, self.scale_out, self._arrivals)
         self._scale_in = ScaleInPlanner(context, self.candidates, self.reachability)
+        self._batch_builder = BatchBuilder(
+            context,
+            self.admission,
+            self.migration,
+            self.drainer,
+            self.scale_out,
+            self._placement,
+            self.garbage_collector,
+            self.pacing,
+        )
         self._listen_to_cluster()
         self._note_known_jobs(now, wall())
 
@@ -122,74 +131,8 @@
         )
 
     def build_batch(self, changes: float = INFINITE) -> Batch:
-        """Return the next batch; it may be empty. `changes` is what the store takes at once just now.
-
-        Users come first: a part of the changes a second stays free for them, and what only tidies up is left
-        for when there are changes to spare. Guards against submissions waiting behind hundreds of notes.
-        """
-        batch = self._build(changes, self.platform.txn_ops)
-        stuck = (
-            batch.is_empty
-            and not batch.on_commit
-            and bool(self.cluster.machines_to_reconcile or self.drainer.pending)
-        )
-        if stuck and not self.layout.version_2_active and self.platform.first_txn_ops > self.platform.txn_ops:
-            # A gang that the first data version keeps in more records than the lower limit allows to change at once.
-            # Guards against everything waiting behind it until the switch.
-            batch = self._build(changes, self.platform.first_txn_ops)
-        return batch
-
-    def _build(self, changes: float, txn_ops: int) -> Batch:
-        now = self.clock()
-        most = txn_ops - 1
-        batch = Batch(self.cluster.jobs, self.layout.chunk_of, most, BATCH_BYTES, self.layout.needs_migration)
-        # Only who knows that every controller is new hands such a job in.
-        self.migration.latch_requested = self.migration.latch_requested or self.admission.has_dependencies
-        if self.migration.latch_due:
-            self.migration.append_latch(batch)
-            return batch
-        self.admission.append_cancellations(batch)
-        self.admission.append_submissions(batch, now)
-        for_users = most - batch.operations_left
-        self.admission.append_dependent_cancellations(batch)
-        self.migration.append_to(batch)
-        spare = changes - 1 - for_users - self.platform.write_rps * self.tuning.reserve
-        moved = most - for_users - batch.operations_left
-        batch.operations_left = left = int(max(0, min(batch.operations_left, spare - moved)))
-        self._take_reports(batch, now)
-        self.drainer.append_stops(batch)
-        self.scale_out.append_to(batch)
-        if not for_users and batch.operations_left > 0 and self.pacing.due(now):
-            # Guards against rounds that look at every machine while the store takes no change: what they cost a small
-            # share of a processor is missing for reports.
-            self._placement.run(batch, now)
-        tidy = spare - moved - (left - batch.operations_left) - self.platform.write_rps * self.tuning.tidy
-        batch.operations_left = int(max(0, min(batch.operations_left, tidy)))
-        self.garbage_collector.append_to(batch)
-        self.migration.prioritise(batch.awaiting_migration)
-        self._note_under_way(batch)
-        return batch
-
-    def _take_reports(self, batch: Batch, now: float) -> None:
-        """Put what reports prove into a batch, for as long as a round may take."""
-        for name in list(self.cluster.machines_to_reconcile):
-            machine = self.cluster.machines.get(name)
-            waiting = set(batch.awaiting_migration)
-            if machine is not None and not reconcile(self.cluster, machine, batch, now):
-                if self.clock() - now > self.pacing.budget_s:
-                    return
-            elif batch.awaiting_migration == waiting:
-                self.cluster.machines_to_reconcile.discard(name)
-
-    def _note_under_way(self, batch: Batch) -> None:
-        self._in_flight = {
-            placement.machine for _, _, _, placement in batch.task_transitions if placement is not None
-        }
-        self.cluster.attempts_being_released = {
-            (job_id, index, old.attempt)
-            for job_id, index, old, new in batch.task_transitions
-            if old is not None and new is None
-        }
+        """Return the next batch; it may be empty. `changes` is what the store takes at once just now."""
+        return self._batch_builder.build(changes)
 
     def discard_batch(self, batch: Batch) -> None:
         """A batch is certainly not carried out, and will not be sent again: what it took waits for the next one."""
@@ -204,7 +147,7 @@
         self.cluster.attempts_being_released.clear()
         self.cluster.unconfirmed_cancellations.clear()
         self.drainer.pending = True
-        self._in_flight = set()
+        self._batch_builder.in_flight = set()
         self.pacing.record_change()
 
     def apply_commit(self, batch: Batch, revision: int, garbage: list[str]) -> None:
@@ -231,7 +174,7 @@
                 self.urgent_stops.add(new.machine)
         self.garbage_collector.obsolete_keys.extend(garbage)
         self.drainer.record_commit()
-        self._in_flight = set()
+        self._batch_builder.in_flight = set()
         self.counters.batches += 1
         for call in batch.on_commit:
             call()
@@ -268,11 +211,13 @@
         self, plan: CapacityPlan, now: float, failures: FailureDetector | None = None
     ) -> list[Machine]:
         """Return machines that are to be returned."""
-        return self._scale_in.select(plan, self._in_flight, now, failures or self.reachability.detect_failures(now))
+        return self._scale_in.select(
+            plan, self._batch_builder.in_flight, now, failures or self.reachability.detect_failures(now)
+        )
 
     def consolidation_candidate(self, now: float) -> Machine | None:
         """Return a machine that is worth draining, since its few replicas fit elsewhere."""
-        return self._scale_in.consolidation_candidate(self._in_flight, now)
+        return self._scale_in.consolidation_candidate(self._batch_builder.in_flight, now)
 
     def find_or_register_machine(self, name: str, now: float) -> Machine:
         """Return a machine by name, also one that only the records know."""
@@ -281,19 +226,4 @@
 
     def summary(self) -> str:
         """Return machines by type and use, and queued tasks by class, for the log."""
-        rows: dict[str, list[int]] = {}
-        for machine in self.cluster.machines.values():
-            name = f"{machine.type.name if machine.type else '?'}{'*' if machine.spot else ''}"
-            row = rows.setdefault(name, [0, 0, 0, 0])
-            row[0] += 1
-            row[1] += machine.state is MachineState.BOOTING
-            row[2] += not machine.tasks
-            row[3] += round(machine.type.gpus - machine.used_gpus) if machine.type else 0
-        queued: dict[str, int] = {}
-        for job in self.cluster.jobs.values():
-            queued[job.spec.job_class] = queued.get(job.spec.job_class, 0) + job.tasks_queued
-        text = ", ".join(
-            f"{name}: {row[0]} ({row[1]} booting, {row[2]} empty, {row[3]} free gpus)"
-            for name, row in sorted(rows.items())
-        )
-        return f"{text}; queued {queued}"
+        return fleet_summary(self.cluster)
