--- a/driftcleat/cloud/manager.py
+++ b/driftcleat/cloud/manager.py
@@ -92,7 +92,7 @@
                 machine.type = types.get(machine.last_heartbeat.machine_type)
         if not self.types_stored and len(wire.encode(tuple(types.values()))) <= self.platform.value_bytes:
             self.types_stored = True
-            scheduler.garbage_collector.pending_puts[MACHINE_TYPES_KEY] = tuple(types.values())
+            scheduler.garbage_collector.put_later(MACHINE_TYPES_KEY, tuple(types.values()))
         scheduler.pacing.record_change()
         self._active_term.wake_committer()
 
@@ -136,7 +136,7 @@
                     unaware.append(machine)
         if unaware and not self.announcing:
             self._background.spawn(self._announce_token(scheduler, unaware))
-        scheduler.reachability.listed = names
+        scheduler.reachability.record_listed(names)
         for machine in scheduler.reachability.no_longer_listed(now):
             self._return_machine(scheduler, machine, "not listed any more")
         if now - scheduler.cluster.started_at > self.platform.lease_s + self.platform.list_lag_s * 2:
--- a/driftcleat/controller/commit_pipeline.py
+++ b/driftcleat/controller/commit_pipeline.py
@@ -100,7 +100,7 @@
             revision = await self._commit(scheduler, batch, encoded)
         except RequestRejectedError as error:
             # Refused for its size: limits have fallen, which they do only once every controller is new.
-            scheduler.migration.latch_requested = True
+            scheduler.migration.request_latch()
             await self._drop(scheduler, batch, error)
             return
         except TermEndedError:
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -194,10 +194,18 @@
 
     async def _recover(self, token: int) -> None:
         """Begin a term: its picture is made of the records."""
-        found = await recover(token, self.store, self.platform, self.tuning, self.rng, self.clock, self.wall)
+        found = await recover(
+            token,
+            self.store,
+            self.platform,
+            self.tuning,
+            self.rng,
+            self.clock,
+            self.wall,
+            overload_pause_s=lambda: self.overload.pause_s,
+        )
         self.commit_pipeline.start_term(found.marker_mod_revision)
         self.active_term.scheduler = scheduler = found.scheduler
-        scheduler.pacing.overload_pause_s = lambda: self.overload.pause_s
         self.peer_api.note_version(self.platform.label, DATA_VERSION)
         self.fleet_manager.start_term(found.machine_types_stored)
         log.info(
--- a/driftcleat/controller/recovery.py
+++ b/driftcleat/controller/recovery.py
@@ -58,6 +58,7 @@
     rng: random.Random,
     clock: Callable[[], float],
     wall: Callable[[], float],
+    overload_pause_s: Callable[[], float],
 ) -> RecoveredTerm:
     """Read all records; from now on the picture in memory is the truth's copy."""
     version = await store.get(DATA_VERSION_KEY)
@@ -80,11 +81,21 @@
     cluster = ClusterState(
         token, jobs, {machine_type.name: machine_type for machine_type in known}, clock(), platform.lease_s, ended
     )
-    scheduler = Scheduler(platform, tuning, cluster, layout, rng, clock, wall, brand_new=mark is None)
+    scheduler = Scheduler(
+        platform,
+        tuning,
+        cluster,
+        layout,
+        rng,
+        clock,
+        wall,
+        brand_new=mark is None,
+        overload_pause_s=overload_pause_s,
+    )
     for key_value in machines:
         name = key_value.key[len(MACHINE_IMAGES_PREFIX) :]
         scheduler.garbage_collector.restore_images(name, wire.decode(bytes(key_value.value), MachineImagesRecord))
-    scheduler.garbage_collector.obsolete_keys.extend(orphans)
+    scheduler.garbage_collector.delete_later(orphans)
     for key_value in rentals:
         name = key_value.key[len(SCALE_OUTS_PREFIX) :]
         scheduler.scale_out.restore(ScaleOutRequest(name, wire.decode(bytes(key_value.value), ScaleOutRecord)))
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -81,7 +81,7 @@
         if scheduler is None or scheduler.migration.latch_requested:
             return
         if all(self._versions.get(peer.label, 1) >= DATA_VERSION for peer in self._platform.peers):
-            scheduler.migration.latch_requested = True
+            scheduler.migration.request_latch()
             self._active_term.wake_committer()
 
     def _pong(self) -> messages.Pong:
--- a/driftcleat/scheduler/batch_builder.py
+++ b/driftcleat/scheduler/batch_builder.py
@@ -66,7 +66,8 @@
         most = txn_ops - 1
         batch = Batch(self._cluster.jobs, self._layout.chunk_of, most, BATCH_BYTES, self._layout.needs_migration)
         # Only who knows that every controller is new hands such a job in.
-        self._migration.latch_requested = self._migration.latch_requested or self._admission.has_dependencies
+        if not self._migration.latch_requested and self._admission.has_dependencies:
+            self._migration.request_latch()
         if self._migration.latch_due:
             self._migration.append_latch(batch)
             return batch
--- a/driftcleat/scheduler/pacing.py
+++ b/driftcleat/scheduler/pacing.py
@@ -1,52 +1,74 @@
-"""When the next placement round is due."""
+"""Pacing of placement rounds: when the next one is due, and how long it may take."""
 
 from collections.abc import Callable
 
 from driftcleat.settings import Platform, Tuning
 
+# The time of a round that is paid back with a pause is capped at this many round budgets.
+MAX_CHARGED_BUDGETS = 2
+
+
+def no_overload() -> float:
+    """Return the pause of a controller that is never overloaded, in seconds."""
+    return 0.0
+
 
 class RoundPacing:
-    """A round is due once something changed that it could use, and after the pause that the last round has earned."""
+    """Decides when a placement round is due.
+
+    A round is due once something has changed that it could use, and once the pause is over that follows from the
+    processor time of the round before. All moments are times of the scheduler's monotonic clock, in seconds.
+    """
+
+    def __init__(
+        self,
+        platform: Platform,
+        tuning: Tuning,
+        placement_starts_at: float,
+        overload_pause_s: Callable[[], float] = no_overload,
+    ) -> None:
+        """Request the first round, for `placement_starts_at`.
 
-    def __init__(self, platform: Platform, tuning: Tuning, place_from: float) -> None:
-        self.platform, self.tuning = platform, tuning
+        `overload_pause_s` returns by how much to extend each pause while heartbeats are handled late.
+        """
+        self._platform = platform
+        self._tuning = tuning
         # Before this moment workers have not reported yet, and nothing is placed.
-        self.placement_starts_at = place_from
+        self.placement_starts_at = placement_starts_at
+        self.overload_pause_s = overload_pause_s
         self.requested = True
-        self._again_at = 0.0
-        self._not_before = 0.0
-        # What each round gives way by while reports are late; set by whoever measures it.
-        self.overload_pause_s: Callable[[], float] = lambda: 0.0
+        self._requested_for = 0.0
+        self._pause_until = 0.0
 
     @property
     def budget_s(self) -> float:
         """Return the seconds that one round may take."""
-        return self.platform.report_s * self.tuning.budget
+        return self._platform.report_s * self._tuning.budget
 
     def record_change(self) -> None:
-        """Something came or went: a round may find more than the last one did."""
+        """Request a round at once: capacity or work came or went, so it may place more than the last one did."""
         self.requested = True
-        self._again_at = 0.0
+        self._requested_for = 0.0
 
     def request_round(self) -> None:
-        """The round under way leaves something to the next one."""
+        """Request another round: the current one leaves something to it."""
         self.requested = True
 
     def request_round_at(self, moment: float) -> None:
-        """The next round is worth its while from a moment on, should nothing change before."""
+        """Request a round for a later moment, should nothing change before."""
         self.requested = True
-        self._again_at = moment
+        self._requested_for = moment
 
     def due(self, now: float) -> bool:
-        """Tell whether a round is to be played now."""
-        return self.requested and now >= max(self.placement_starts_at, self._again_at, self._not_before)
+        """Return whether a round is to run now."""
+        return self.requested and now >= max(self.placement_starts_at, self._requested_for, self._pause_until)
 
     def begin(self) -> None:
-        """A round begins and looks at all that has changed."""
+        """Start a round: it looks at everything that has changed, so no request is open."""
         self.requested = False
 
     def end(self, began_at: float, now: float) -> None:
-        """A round has ended: one that cost much is followed by a pause in which reports and users are served."""
-        spent = min(now - began_at, 2 * self.budget_s)
-        pause_s = spent / (self.platform.core_share * self.tuning.share) + self.overload_pause_s()
-        self._not_before = began_at + pause_s
+        """End a round, and pause in proportion to its time: heartbeats and users are served meanwhile."""
+        spent_s = min(now - began_at, MAX_CHARGED_BUDGETS * self.budget_s)
+        pause_s = spent_s / (self._platform.core_share * self._tuning.share) + self.overload_pause_s()
+        self._pause_until = began_at + pause_s
--- a/driftcleat/scheduler/reachability.py
+++ b/driftcleat/scheduler/reachability.py
@@ -19,10 +19,14 @@
     def __init__(self, context: SchedulerContext) -> None:
         self._platform, self._tuning, self._cluster = context.platform, context.tuning, context.cluster
         # The machines that the cloud's newest list names; None before the first.
-        self.listed: set[str] | None = None
+        self._listed: set[str] | None = None
         # Until when a zone counts as partitioned (under its name), or silent machines as correlated (under none).
         self._remembered: dict[str | None, float] = {}
 
+    def record_listed(self, names: set[str]) -> None:
+        """Record the names of all machines in the cloud's newest list."""
+        self._listed = names
+
     def is_running(self, machine: Machine) -> bool:
         """Whether a machine is up as far as its reports or the cloud's list have told."""
         return machine.state in (MachineState.UP, MachineState.DRAINING) or (
@@ -86,7 +90,7 @@
             name
             for name, placements in self._cluster.unconfirmed_placements.items()
             if silent_s > max(failures.tolerated_s(placement.zone) for placement in placements.values())
-            or (self.listed is not None and name not in self.listed and silent_s > self._list_covers_s)
+            or (self._listed is not None and name not in self._listed and silent_s > self._list_covers_s)
         }
 
     @property
@@ -100,7 +104,7 @@
         Guards against a wave of spot machines taken without notice: silent together, and never listed as failed,
         their work waited as long as for machines that were cut off.
         """
-        listed = self.listed
+        listed = self._listed
         if listed is None:
             return []
         return [
--- a/driftcleat/scheduler/record_migration.py
+++ b/driftcleat/scheduler/record_migration.py
@@ -35,16 +35,28 @@
         self._cluster, self._layout = context.cluster, context.layout
         self._garbage_collector, self._pacing = garbage_collector, pacing
         # Whether every controller is known to write data version 2, so that it may begin.
-        self.latch_requested = False
+        self._latch_requested = False
         self.jobs_to_migrate = {job.id for job in self._cluster.jobs.values() if self._layout.needs_migration(job)}
         self._move: JobMigration | None = None
         # Jobs that something waits for until their records are moved.
         self._urgent: dict[str, None] = {}
 
+    @property
+    def latch_requested(self) -> bool:
+        """Whether the latch was requested in this term, whether or not it is stored yet."""
+        return self._latch_requested
+
+    def request_latch(self) -> None:
+        """Have the next batch begin data version 2, unless it is in force already.
+
+        Only for callers who know that every controller can write it: there is no way back.
+        """
+        self._latch_requested = True
+
     @property
     def latch_due(self) -> bool:
         """Whether data version 2 is to begin with the next batch."""
-        return self.latch_requested and not self._layout.version_2_active
+        return self._latch_requested and not self._layout.version_2_active
 
     @property
     def pending(self) -> bool:
@@ -117,16 +129,14 @@
         split = self._layout.preferred_tasks_per_record(job)
         self._move = JobMigration(job.id, split)
         # An earlier leader may have left some of the very keys: they are no garbage from now on.
-        prefix = chunk_key(job.id, 0, split)[:-1]
-        garbage = self._garbage_collector.obsolete_keys
-        garbage[:] = [key for key in garbage if not key.startswith(prefix)]
+        self._garbage_collector.cancel_deletes(chunk_key(job.id, 0, split)[:-1])
         return self._move
 
     def _end_later(self, job: Job) -> Callable[[], None]:
         old = [chunk_key(job.id, chunk, job.tasks_per_record) for chunk in job.chunk_mod_revisions]
 
         def ended() -> None:
-            self._garbage_collector.obsolete_keys.extend(old)
+            self._garbage_collector.delete_later(old)
             self._move = None
             self.jobs_to_migrate.discard(job.id)
             self._pacing.record_change()
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -21,7 +21,7 @@
 from driftcleat.scheduler.fleet_summary import fleet_summary
 from driftcleat.scheduler.garbage_collection import GarbageCollector
 from driftcleat.scheduler.machine_candidates import MachineCandidates
-from driftcleat.scheduler.pacing import RoundPacing
+from driftcleat.scheduler.pacing import RoundPacing, no_overload
 from driftcleat.scheduler.placement_pass import PlacementPass
 from driftcleat.scheduler.preemption import Preemption
 from driftcleat.scheduler.queue import JobQueue
@@ -52,8 +52,13 @@
         clock: Callable[[], float],
         wall: Callable[[], float],
         brand_new: bool = False,
+        overload_pause_s: Callable[[], float] = no_overload,
     ) -> None:
-        """`brand_new`: the store never held a batch, so there are no workers yet whose reports to wait for."""
+        """Assemble the parts of a term.
+
+        `brand_new`: the store never held a batch, so there are no workers yet whose heartbeats to wait for.
+        `overload_pause_s`: returns by how much rounds are delayed while heartbeats are handled late, in seconds.
+        """
         context = SchedulerContext(platform, tuning, cluster, layout, rng, clock, wall)
         self.platform, self.tuning, self.cluster, self.layout = platform, tuning, cluster, layout
         self.clock, self.counters = clock, context.counters
@@ -62,7 +67,7 @@
         # Machines to which stops are sent at once.
         self.urgent_stops: set[str] = set()
         self._arrivals = ArrivalRates(platform.report_s * tuning.window, platform.report_s)
-        self.pacing = RoundPacing(platform, tuning, now + wait_s)
+        self.pacing = RoundPacing(platform, tuning, now + wait_s, overload_pause_s)
         self.admission = Admission(context, self._arrivals)
         self.queue = JobQueue(platform, tuning, cluster)
         self.drainer = MachineDrainer(context)
@@ -172,7 +177,7 @@
                 self.pacing.record_change()
             elif new.stop_grace_s is not None and old is not None:
                 self.urgent_stops.add(new.machine)
-        self.garbage_collector.obsolete_keys.extend(garbage)
+        self.garbage_collector.delete_later(garbage)
         self.drainer.record_commit()
         self._batch_builder.in_flight = set()
         self.counters.batches += 1
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -394,7 +394,7 @@
     now = [0.0]
     scheduler = make_term(now)
     for number in range(4):
-        scheduler.garbage_collector.pending_puts[f"driftcleat/machines/vm-{number}"] = number
+        scheduler.garbage_collector.put_later(f"driftcleat/machines/vm-{number}", number)
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
     few = scheduler.platform.write_rps * scheduler.tuning.reserve
     batch = scheduler.build_batch(few)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -308,7 +308,8 @@
     """Guards against a wave of spot machines taken without notice: silent together and never listed as failed."""
     now = [1000.0]
     term = fleet_term(now, 20)
-    term.reachability.listed = {name for name in term.cluster.machines if not name.startswith("vm-north")}
+    listed = {name for name in term.cluster.machines if not name.startswith("vm-north")}
+    term.reachability.record_listed(listed)
     assert term.reachability.no_longer_listed(now[0]) == [], "heard just now"
     now[0] += SITE.report_s * 3 + 0.1
     assert term.reachability.no_longer_listed(now[0]) == [], "a list may be twice its lag late, and these are new"
@@ -327,7 +328,7 @@
         "vm-taken": {("req-000009", 0): place},
         "vm-south-0x": {("req-000009", 1): place},
     }
-    term.reachability.listed.add("vm-south-0x")
+    term.reachability.record_listed(listed | {"vm-south-0x"})
     for machine in term.cluster.machines.values():
         machine.last_heartbeat_at = now[0] if machine.zone == "south" else now[0] - SITE.lease_s
     assert term.reachability.never_reported(now[0]) == {"vm-taken"}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -211,7 +211,7 @@
     world.run(25.0)
     scheduler = world.elect("b").term
     world.run(6.0)
-    scheduler.migration.latch_requested = True
+    scheduler.migration.request_latch()
     world.step()
     world.store.lower()
     assert scheduler.layout.version_2_active and len(scheduler.migration.jobs_to_migrate) > 1
@@ -275,7 +275,7 @@
             world.leader.silent = rng.random() < 0.7
             world.elect(rng.choice("abc"), old=not new and rng.random() < 0.5)
         if new:
-            world.leader.term.migration.latch_requested = True
+            world.leader.term.migration.request_latch()
         if switched_at is None and DATA_VERSION_KEY in world.store.data:
             switched_at = step
         if switched_at is not None and step >= switched_at + fall_after:
--- a/tests/world.py
+++ b/tests/world.py
@@ -405,7 +405,7 @@
             lambda: self.now,
             lambda: self.now,
         )
-        scheduler.garbage_collector.obsolete_keys.extend(orphans)
+        scheduler.garbage_collector.delete_later(orphans)
         for key_value in self.store.items(SCALE_OUTS_PREFIX):
             name = key_value.key[len(SCALE_OUTS_PREFIX) :]
             scheduler.scale_out.restore(ScaleOutRequest(name, wire.decode(bytes(key_value.value), ScaleOutRecord)))
