--- a/driftcleat/scheduler/cancellations.py
+++ b/driftcleat/scheduler/cancellations.py
@@ -1,22 +1,29 @@
-"""What is still to be done about cancelled jobs whose tasks may be on machines."""
+"""Cancelled jobs whose tasks may still be on machines: stopping them, and fencing the machines that do not react."""
 
 from driftcleat.cluster import Batch, JobState
 from driftcleat.scheduler.context import SchedulerContext
 
+# The clocks of two controllers, ours and the one that stored the cancellation, may both be off.
+CLOCKS_INVOLVED = 2
+
 
 class Cancellations:
-    """Cancelled jobs, until every one of their tasks is proven gone."""
+    """Follows cancelled jobs until every one of their tasks is proven gone."""
 
-    def __init__(self, context: SchedulerContext, urgent: set[str]) -> None:
-        self._platform, self._tuning = context.platform, context.tuning
-        self._cluster, self._wall = context.cluster, context.wall
-        # Machines to which stops are sent at once; shared with the term.
-        self._urgent = urgent
+    def __init__(self, context: SchedulerContext) -> None:
+        self._platform = context.platform
+        self._tuning = context.tuning
+        self._cluster = context.cluster
+        self._wall = context.wall
+        self._urgent_stops = context.urgent_stops
 
     def jobs_still_placed(self, older_than_s: float = 0.0) -> dict[str, set[str]]:
-        """Return the jobs cancelled longer ago than this whose tasks may still be on machines, and which machines."""
+        """Return the machines that may still hold tasks of a cancelled job, by job id.
+
+        Only jobs that were cancelled at least `older_than_s` ago are looked at.
+        """
         wall = self._wall()
-        out: dict[str, set[str]] = {}
+        machines_by_job: dict[str, set[str]] = {}
         for job_id in self._cluster.cancelled_jobs:
             job = self._cluster.jobs[job_id]
             if wall - job.cancelled_at < older_than_s:
@@ -27,22 +34,22 @@
                 if self._cluster.may_be_on_machine((job.id, index), placement)
             }
             if machines:
-                out[job.id] = machines
-        return out
+                machines_by_job[job.id] = machines
+        return machines_by_job
 
     def machines_to_fence(self) -> set[str]:
-        """Return machines that still may hold a cancelled task and must be gone before its time is up."""
-        # Another controller's clock noted the cancellation: both may be off.
-        wait_s = max(0.0, self._platform.cancel_s * self._tuning.fence - 2 * self._platform.clock_off_s)
+        """Return machines that may still hold a cancelled task, and must be deleted before the deadline for it."""
+        wait_s = max(0.0, self._platform.cancel_s * self._tuning.fence - CLOCKS_INVOLVED * self._platform.clock_off_s)
         return set().union(*self.jobs_still_placed(wait_s).values())
 
     def stop_unconfirmed(self, batch: Batch) -> bool:
         """Stop the tasks of jobs whose cancellation is in a batch of unknown outcome; False if that is done already.
 
-        The one exception to the change rule, and only while the store is away. Guards against a transaction that was
-        carried out without our knowing: another controller reads the record and tells the user, the store is then
-        down for longer than a cancellation has, and we keep the leases of those very tasks. Their user has asked for
-        it, so nothing of worth is lost if the record says otherwise in the end; the tasks then queue again.
+        The one exception to the rule that a change takes effect only after its commit, and only while the store is
+        unreachable. Guards against a transaction that was committed without our knowing: another controller reads
+        the record and confirms the cancellation to the user, the store is then down for longer than a cancellation
+        may take, and we keep the leases of those very tasks alive. The user has asked for the stop, so nothing of
+        worth is lost if the transaction turns out not to be committed; the tasks are then queued again.
         """
         unconfirmed = {job_id for job_id in batch.changed_jobs if batch.jobs[job_id].state is JobState.CANCELLED}
         if unconfirmed <= self._cluster.unconfirmed_cancellations:
@@ -52,5 +59,5 @@
             job = self._cluster.jobs.get(job_id)
             if job is not None:
                 self._cluster.mark_out_of_sync(job)
-                self._urgent.update(placement.machine for placement in job.placements.values())
+                self._urgent_stops.update(placement.machine for placement in job.placements.values())
         return True
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -1,8 +1,7 @@
-"""One term of leadership without any I/O: what waits to be decided, and the next batch of decisions.
+"""The scheduler of one leader term, without any I/O: what is pending, and the next batch of decisions.
 
-The controller feeds it (submissions, cancellations, reports, lists), asks for the next batch, has the
-store take it, and makes it visible. A batch is built in the order: cancellations, submissions, what
-reports prove, stops, rental requests, placement, clearing away.
+The controller feeds it (users' requests, heartbeats, machine lists), asks for the next batch, commits it to the store
+and has it applied. Only the leader has a scheduler; a new term begins with a new one, made from the stored records.
 """
 
 import random
@@ -20,6 +19,7 @@
 from driftcleat.scheduler.drains import MachineDrainer
 from driftcleat.scheduler.fleet_summary import fleet_summary
 from driftcleat.scheduler.garbage_collection import GarbageCollector
+from driftcleat.scheduler.in_flight import InFlightChanges
 from driftcleat.scheduler.machine_candidates import MachineCandidates
 from driftcleat.scheduler.pacing import RoundPacing, no_overload
 from driftcleat.scheduler.placement_pass import PlacementPass
@@ -33,14 +33,14 @@
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.records import RecordLayout
 
-# Workers have this many report intervals to be heard by a new leader before anything is placed.
-REPORTS_BEFORE_PLACING = 1.25
-# A machine that failed tasks of so many jobs is drained.
+# So many report intervals after the start of a term nothing is placed: workers report to the new leader first.
+REPORT_INTERVALS_BEFORE_PLACING = 1.25
+# A machine on which tasks of so many jobs failed is drained.
 FAILED_JOBS_BEFORE_DRAIN = 2
 
 
 class Scheduler:
-    """The decisions of one term."""
+    """Takes all decisions of one leader term; its parts hold what is pending of each kind."""
 
     def __init__(
         self,
@@ -56,17 +56,22 @@
     ) -> None:
         """Assemble the parts of a term.
 
+        `clock` is monotonic and shared with `cluster`; `wall` returns the time of day; both in seconds.
         `brand_new`: the store never held a batch, so there are no workers yet whose heartbeats to wait for.
         `overload_pause_s`: returns by how much rounds are delayed while heartbeats are handled late, in seconds.
         """
         context = SchedulerContext(platform, tuning, cluster, layout, rng, clock, wall)
-        self.platform, self.tuning, self.cluster, self.layout = platform, tuning, cluster, layout
-        self.clock, self.counters = clock, context.counters
+        self.platform = platform
+        self.tuning = tuning
+        self.cluster = cluster
+        self.layout = layout
+        self._clock = clock
+        self.counters = context.counters
+        self.urgent_stops = context.urgent_stops
         now = clock()
-        wait_s = 0.0 if brand_new else platform.report_s * REPORTS_BEFORE_PLACING
-        # Machines to which stops are sent at once.
-        self.urgent_stops: set[str] = set()
+        wait_s = 0.0 if brand_new else platform.report_s * REPORT_INTERVALS_BEFORE_PLACING
         self._arrivals = ArrivalRates(platform.report_s * tuning.window, platform.report_s)
+        self._in_flight = InFlightChanges(cluster)
         self.pacing = RoundPacing(platform, tuning, now + wait_s, overload_pause_s)
         self.admission = Admission(context, self._arrivals)
         self.queue = JobQueue(platform, tuning, cluster)
@@ -75,7 +80,7 @@
         self.migration = RecordMigration(context, self.garbage_collector, self.pacing)
         self.scale_out = ScaleOut(context)
         self.reachability = Reachability(context)
-        self.cancellations = Cancellations(context, self.urgent_stops)
+        self.cancellations = Cancellations(context)
         reservations = Reservations()
         self.candidates = MachineCandidates(context, reservations)
         self.preemption = Preemption(context, self.candidates, reservations, self.drainer, self.pacing)
@@ -91,9 +96,10 @@
             self._placement,
             self.garbage_collector,
             self.pacing,
+            self._in_flight,
         )
         self._listen_to_cluster()
-        self._note_known_jobs(now, wall())
+        self._record_recovered_jobs(now, wall())
 
     def _listen_to_cluster(self) -> None:
         cluster = self.cluster
@@ -102,7 +108,8 @@
         cluster.on_image = self.garbage_collector.record_images
         cluster.on_notice = lambda machine, notice_s: self.drainer.drain(machine, f"notice of {notice_s:.1f} s")
 
-    def _note_known_jobs(self, now: float, wall: float) -> None:
+    def _record_recovered_jobs(self, now: float, wall: float) -> None:
+        """Count the jobs that were recovered from records as arrivals, as of when they were submitted."""
         for job in self.cluster.jobs.values():
             self.layout.assign_tasks_per_record(job)
             if self.cluster.dependencies_met(job):
@@ -111,18 +118,18 @@
     def _note_exit(self, machine: Machine, job: Job, why: str) -> None:
         self.counters.exits[why] = self.counters.exits.get(why, 0) + 1
         if len(machine.failed_jobs) >= FAILED_JOBS_BEFORE_DRAIN and machine.state is MachineState.UP:
-            self.drainer.drain(machine, "it fails its tasks")
+            self.drainer.drain(machine, "tasks of several jobs failed")
 
-    # -- the batch ----------------------------------------------------------------------------------------
+    # -- the life of a batch ------------------------------------------------------------------------------
 
     @property
     def target_batch_operations(self) -> float:
-        """Return how many changes the store should take before a batch without users is built."""
+        """Return how many operations the store's write rate should allow before a batch without users is built."""
         return self.platform.write_rps * self.tuning.reserve + self.platform.txn_ops / 2
 
     @property
     def has_work(self) -> bool:
-        """Whether a batch built now may hold something."""
+        """Return whether a batch built now may hold something."""
         return bool(
             self.admission.has_waiting
             or self.cluster.machines_to_reconcile
@@ -132,103 +139,116 @@
             or self.cluster.dependencies.pending_cancellations
             or self.migration.latch_due
             or self.migration.pending
-            or self.pacing.due(self.clock())
+            or self.pacing.due(self._clock())
         )
 
-    def build_batch(self, changes: float = INFINITE) -> Batch:
-        """Return the next batch; it may be empty. `changes` is what the store takes at once just now."""
-        return self._batch_builder.build(changes)
+    def build_batch(self, available_operations: float = INFINITE) -> Batch:
+        """Return the next batch; it may be empty.
+
+        `available_operations`: how many operations the store's write rate allows at this moment. A batch that is not
+        empty must end in `apply_commit` or `discard_batch` before the next one is built.
+        """
+        return self._batch_builder.build(available_operations)
 
     def discard_batch(self, batch: Batch) -> None:
-        """A batch is certainly not carried out, and will not be sent again: what it took waits for the next one."""
-        for call in reversed(batch.on_discard):
-            call()
+        """Undo a batch that is certainly not committed and will not be sent again: its changes are pending again."""
+        for undo in reversed(batch.on_discard):
+            undo()
         self.migration.record_discard()
         self.cluster.machines_to_reconcile.update(
             name
             for name, machine in self.cluster.machines.items()
             if machine.last_heartbeat is not None or machine.state is MachineState.TERMINATED
         )
-        self.cluster.attempts_being_released.clear()
-        self.cluster.unconfirmed_cancellations.clear()
+        self._in_flight.clear()
         self.drainer.pending = True
-        self._batch_builder.in_flight = set()
         self.pacing.record_change()
 
-    def apply_commit(self, batch: Batch, revision: int, garbage: list[str]) -> None:
-        """Make a batch visible that the store has taken."""
-        now = self.clock()
+    def apply_commit(self, batch: Batch, revision: int, obsolete_keys: list[str]) -> None:
+        """Apply a committed batch to the cluster state, and run what was to follow its commit.
+
+        `revision` is the transaction's mod revision; `obsolete_keys` are chunk records of jobs that ended with it.
+        """
+        now = self._clock()
         self.migration.record_commit(revision)
         for job_id in batch.changed_jobs:
-            self._note_changed(batch.jobs[job_id])
+            self._record_job_change(batch.jobs[job_id])
         self.cluster.apply_batch(batch, revision, now)
         self.queue.invalidate()
+        self._record_ready_jobs(now)
+        self._in_flight.clear()
+        if batch.created:
+            # A job is placed in a later batch than its own, and nothing else may come to request that round.
+            self.pacing.record_change()
+        self._record_task_transitions(batch)
+        self.garbage_collector.delete_later(obsolete_keys)
+        self.drainer.record_commit()
+        self.counters.batches += 1
+        for follow_up in batch.on_commit:
+            follow_up()
+
+    def _record_job_change(self, job: Job) -> None:
+        """Keep the final state of a job that ended; send the stops of one that was cancelled at once."""
+        if job.state in (JobState.DONE, JobState.TERMINATED):
+            self.admission.record_ended(job)
+            self.preemption.release(job.id)
+        elif job.state is JobState.CANCELLED:
+            self.urgent_stops.update(placement.machine for placement in job.placements.values())
+
+    def _record_ready_jobs(self, now: float) -> None:
+        """Count jobs whose last dependency is met by this commit as arrivals."""
         for job_id, ready_at in self.cluster.ready_at.items():
             if ready_at == now:
                 self._arrivals.record(self.cluster.jobs[job_id].spec, now)
                 self.pacing.record_change()
-        self.cluster.unconfirmed_cancellations.clear()
-        self.cluster.attempts_being_released.clear()
-        if batch.created:
-            # A job is placed in the batch after its own: nothing else may come to ask for that round.
-            self.pacing.record_change()
+
+    def _record_task_transitions(self, batch: Batch) -> None:
+        """Request a round for capacity that was released, and send stops at once."""
         for _, _, old, new in batch.task_transitions:
             if new is None:
                 self.pacing.record_change()
             elif new.stop_grace_s is not None and old is not None:
                 self.urgent_stops.add(new.machine)
-        self.garbage_collector.delete_later(garbage)
-        self.drainer.record_commit()
-        self._batch_builder.in_flight = set()
-        self.counters.batches += 1
-        for call in batch.on_commit:
-            call()
 
     def record_external_end(self, job_id: str, state: JobState) -> None:
-        """A job that ours need, and that another scheduler has, is done or cancelled: what waited for it may go on.
+        """Record that a dependency of our jobs, which another scheduler owns, is done or cancelled.
 
-        Guards against a job that stays out of the queue, which is kept until the next commit: seen in a random walk.
+        Guards against a dependent that stays out of the queue, which is otherwise kept until the next commit: seen in
+        a random walk.
         """
-        self.cluster.record_external_end(job_id, state, self.clock())
+        self.cluster.record_external_end(job_id, state, self._clock())
         self.queue.invalidate()
         self.pacing.record_change()
 
-    def _note_changed(self, job: Job) -> None:
-        """A job changes with a commit: remember how it ended, or send its stops at once."""
-        if job.state in (JobState.DONE, JobState.TERMINATED):
-            self.admission.record_ended(job)
-            self.preemption.release(job.id)
-        elif job.state is JobState.CANCELLED:
-            self.urgent_stops.update(placement.machine for placement in job.placements.values())
-
     # -- the fleet ----------------------------------------------------------------------------------------
 
     def plan_scale_out(
         self, now: float, failures: FailureDetector | None = None, most_rented: int = MAX_MACHINES_PER_REQUEST
     ) -> CapacityPlan:
-        """Return what to rent for queued and expected work, and which machines that work would use.
+        """Return what to scale out for queued and expected work, and which machines that work would use.
 
-        `silence`: what `reachability` has just said, if it was asked; `most_rented`: machines that one plan rents.
+        `failures`: what `reachability` has just detected, if it was asked; `most_rented`: the most machines that one
+        plan asks for.
         """
         return self.demand.plan(now, failures or self.reachability.detect_failures(now), most_rented)
 
     def select_scale_in(
         self, plan: CapacityPlan, now: float, failures: FailureDetector | None = None
     ) -> list[Machine]:
-        """Return machines that are to be returned."""
+        """Return the machines to scale in: unneeded by the plan, or given up as lost."""
         return self._scale_in.select(
-            plan, self._batch_builder.in_flight, now, failures or self.reachability.detect_failures(now)
+            plan, self._in_flight.machines, now, failures or self.reachability.detect_failures(now)
         )
 
     def consolidation_candidate(self, now: float) -> Machine | None:
-        """Return a machine that is worth draining, since its few replicas fit elsewhere."""
-        return self._scale_in.consolidation_candidate(self._batch_builder.in_flight, now)
+        """Return a machine that is worth draining, since its few replicas fit elsewhere; None if there is none."""
+        return self._scale_in.consolidation_candidate(self._in_flight.machines, now)
 
     def find_or_register_machine(self, name: str, now: float) -> Machine:
-        """Return a machine by name, also one that only the records know."""
+        """Return a machine by name; one that is known from placements in records only is registered first."""
         zone = next((placement.zone for placement in self.cluster.unconfirmed_placements.get(name, {}).values()), "")
         return self.cluster.machines.get(name) or self.cluster.register_machine(name, "", zone, False, "", now)
 
     def summary(self) -> str:
-        """Return machines by type and use, and queued tasks by class, for the log."""
+        """Return machines by type and queued tasks by job class, for the log."""
         return fleet_summary(self.cluster)
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -177,6 +177,6 @@
     """Guards against a look at every machine for a batch that can hold no place."""
     scheduler, _ = fleet(10)
     accept(scheduler, job(1, hands=1, accelerators=0.0, cores=1.0, imageGb=0.0))
-    assert scheduler.build_batch(changes=0.0).is_empty and scheduler.counters.rounds == 0
+    assert scheduler.build_batch(available_operations=0.0).is_empty and scheduler.counters.rounds == 0
     assert scheduler.has_work, "the round is still due"
     assert not scheduler.build_batch().is_empty and scheduler.counters.rounds == 1
