--- a/driftcleat/placement/placement_round.py
+++ b/driftcleat/placement/placement_round.py
@@ -2,11 +2,10 @@
 
 import random
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
 
 from driftcleat.cluster.jobs import Job
-from driftcleat.placement.candidates import Candidate, fits, spread_limit
-from driftcleat.placement.victims import Victim
+from driftcleat.placement.candidates import Candidate, spread_limit
+from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.wire.users import JobSpec
 
 UNBOUNDED = 1_000_000
@@ -16,32 +15,6 @@
 TaskShape = tuple[float, float, float, tuple[str, ...] | None, str | None, bool, bool, bool]
 
 
-@dataclass(slots=True)
-class QuotaHeadroom:
-    """What a team may still take; infinite where it has no limit."""
-
-    cpus: float
-    gpus: float
-
-    def fits(self, spec: JobSpec, tasks: int) -> bool:
-        """Tell whether that many tasks stay within the limit."""
-        return spec.cpus * tasks <= self.cpus + 1e-6 and spec.gpus * tasks <= self.gpus + 1e-6
-
-    def consume(self, spec: JobSpec, tasks: int) -> None:
-        """Use up what tasks need."""
-        self.cpus -= spec.cpus * tasks
-        self.gpus -= spec.gpus * tasks
-
-
-@dataclass(frozen=True, slots=True)
-class PreemptionPlan:
-    """Stop these tasks (maybe none), so that a task finds room on a machine."""
-
-    candidate: Candidate
-    victims: tuple[Victim, ...]
-    cost: float
-
-
 class PlacementRound:
     """Places tasks on candidates until the time budget is used up."""
 
@@ -211,24 +184,3 @@
             candidate.gpus - spec.gpus,
             candidate.cpus - spec.cpus,
         )
-
-
-def plan_preemption(spec: JobSpec, candidate: Candidate, victims: list[Victim]) -> PreemptionPlan | None:
-    """Return the cheapest set of these tasks whose stop makes room for one task; empty if there is room already."""
-    if (
-        spec.id in candidate.failed_jobs
-        or candidate.reserved_for not in (None, spec.id)
-        or not candidate.allows(spec)
-    ):
-        return None
-    cpus, gpus, memory_gb = candidate.cpus, candidate.gpus, candidate.memory_gb
-    chosen: list[Victim] = []
-    cost = 0.0
-    for victim in sorted(victims, key=lambda victim: victim.cost):
-        if fits(spec, cpus, gpus, memory_gb):
-            break
-        other = victim.job.spec
-        cpus, gpus, memory_gb = cpus + other.cpus, gpus + other.gpus, memory_gb + other.memory_gb
-        chosen.append(victim)
-        cost += victim.cost
-    return PreemptionPlan(candidate, tuple(chosen), cost) if fits(spec, cpus, gpus, memory_gb) else None
--- a/driftcleat/scheduler/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -8,7 +8,7 @@
 from driftcleat.capacity.sizing import ALIKE_DIGITS, CandidatePool, CapacityPlan, Demand, plan_fleet
 from driftcleat.cluster import Job, JobState, Machine, MachineState
 from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate, capacity, fits, latency_sensitive
-from driftcleat.placement.placement_round import QuotaHeadroom
+from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.estimates import fetch_s
 from driftcleat.scheduler.queue import JobQueue
--- a/driftcleat/scheduler/preemption.py
+++ b/driftcleat/scheduler/preemption.py
@@ -6,7 +6,9 @@
 
 from driftcleat.cluster import Batch, Job, Machine
 from driftcleat.placement.candidates import allowed, fits, spread_limit
-from driftcleat.placement.placement_round import UNBOUNDED, PreemptionPlan, QuotaHeadroom, plan_preemption
+from driftcleat.placement.placement_round import UNBOUNDED
+from driftcleat.placement.preemption_plan import PreemptionPlan, plan_preemption
+from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.placement.victims import PreemptibleTasks
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.drains import MachineDrainer
--- a/driftcleat/scheduler/queue.py
+++ b/driftcleat/scheduler/queue.py
@@ -4,7 +4,7 @@
 
 from driftcleat.cluster import ClusterState, Job, JobState
 from driftcleat.placement.fair_share import FairShareOrder
-from driftcleat.placement.placement_round import QuotaHeadroom
+from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler.context import INFINITE
 from driftcleat.settings import Platform, Tuning
 from driftcleat.wire.users import JobSpec
--- a/driftcleat/scheduler/round_state.py
+++ b/driftcleat/scheduler/round_state.py
@@ -5,7 +5,8 @@
 from driftcleat.cluster import Machine
 from driftcleat.placement.candidates import Candidate
 from driftcleat.placement.fair_share import FairShareOrder
-from driftcleat.placement.placement_round import PlacementRound, QuotaHeadroom
+from driftcleat.placement.placement_round import PlacementRound
+from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.placement.victims import PreemptibleTasks
 
 
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -8,7 +8,8 @@
 from driftcleat.capacity.sizing import CandidatePool, Demand, plan_fleet
 from driftcleat.cluster import ClusterState, Job, MachineState, commands_for_heartbeat
 from driftcleat.placement.candidates import Candidate, allowed, capacity, fits, spread_limit
-from driftcleat.placement.placement_round import PlacementRound, QuotaHeadroom
+from driftcleat.placement.placement_round import PlacementRound
+from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler import PendingRequest
 from driftcleat.store.records import ScaleOutRecord
 from driftcleat.wire.cloud import MachineType
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -23,7 +23,8 @@
 from driftcleat.leadership.lease import LeaseClock
 from driftcleat.placement.candidates import Candidate, allowed, fits
 from driftcleat.placement.fair_share import FairShareOrder
-from driftcleat.placement.placement_round import PlacementRound, QuotaHeadroom
+from driftcleat.placement.placement_round import PlacementRound
+from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler import PendingRequest, Scheduler, never_fits
 from driftcleat.settings import Tuning
 from driftcleat.store.client import TokenBucket
