--- a/driftcleat/capacity/sizing.py
+++ b/driftcleat/capacity/sizing.py
@@ -153,7 +153,7 @@
             kind = (candidate.machine_type, candidate.spot)
             cost = costs.get(kind)
             if cost is None:
-                cost = costs[kind] = candidate.slow_cost(spec)
+                cost = costs[kind] = candidate.fetch_weighted_cost(spec)
             fitting.append(
                 (not candidate.busy, cost, candidate.controllers_elsewhere, candidate.gpus, candidate.cpus, key)
             )
--- a/driftcleat/placement/__init__.py
+++ b/driftcleat/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: a pure function from jobs, candidate machines and limits to places. It changes nothing itself."""
+"""Placement: assigns tasks to candidate machines within quotas. Pure: it does no I/O and changes no cluster state."""
 
 from driftcleat.placement.candidates import Candidate, allowed, fits
 from driftcleat.placement.placement_round import PlacementRound
--- a/driftcleat/placement/candidates.py
+++ b/driftcleat/placement/candidates.py
@@ -1,19 +1,31 @@
-"""Candidates: what is free on a machine, and whether a task may and can go there."""
+"""Candidates: the free resources of a machine, and whether a task may be placed there and fits."""
 
 from collections.abc import Container
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from driftcleat.wire.users import JobKind, JobSpec, Priority
 
 # Sums of decimal amounts differ in their last digits; no real request is this small.
 ROUNDING_TOLERANCE = 1e-6
-# How much a faster fetch counts against a lower price, for replicas that are waited for.
+# The power of the fetch rate by which the cost of a latency-sensitive replica is divided.
 FETCH_SPEED_WEIGHT = 2
 
 
+class Resources(NamedTuple):
+    """Amounts of processors, GPUs and memory."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+
+
 @dataclass(slots=True)
 class Candidate:
-    """Free amounts of one machine."""
+    """One machine as placement sees it: `cpus`, `gpus` and `memory_gb` are free.
+
+    Resources are plain fields, not a `Resources` each: one candidate is made for each machine in each round.
+    """
 
     name: str
     machine_type: str
@@ -23,43 +35,46 @@
     gpus: float
     memory_gb: float
     cached_images: Container[str] = field(default_factory=frozenset)
-    # Images that are being fetched, or will be for what this round places here: fetches share the rate.
+    # Images being fetched, or to be fetched for what this round places here: fetches share the rate.
     fetching_images: set[str] = field(default_factory=set)
     failed_jobs: Container[str] = field(default_factory=frozenset)
     busy: bool = False
+    # Per hour.
     price: float = 0.0
-    total_resources: tuple[float, float, float] = (0.0, 0.0, 0.0)
+    total_cpus: float = 0.0
+    total_gpus: float = 0.0
+    total_memory_gb: float = 0.0
     fetch_gb_per_s: float = 1.0
-    # How many controllers are in other zones: a zone that is cut off keeps its work if the leader is inside.
+    # The number of controllers in other zones: a partitioned zone keeps its work if the leader is inside.
     controllers_elsewhere: int = 0
-    # The only job that may use what is free here, while capacity for its other tasks comes free.
+    # The only job that may use the free resources, while resources for its other tasks are being freed.
     reserved_for: str | None = None
 
     def fits(self, spec: JobSpec) -> bool:
-        """Tell whether a task fits into what is free."""
+        """Tell whether a task fits into the free resources."""
         return fits(spec, self.cpus, self.gpus, self.memory_gb)
 
     def allows(self, spec: JobSpec) -> bool:
-        """Tell whether a job allows this machine's type, zone and kind."""
+        """Tell whether a job allows this machine's type, its zone, and spot if it is one."""
         return allowed(spec, self.machine_type, self.zone, self.spot)
 
-    def capacity(self, spec: JobSpec, most: int) -> int:
-        """Return how many tasks fit into what is free, up to `most`."""
-        return capacity(spec, self.cpus, self.gpus, self.memory_gb, most)
+    def capacity(self, spec: JobSpec, max_tasks: int) -> int:
+        """Return how many tasks fit into the free resources, up to `max_tasks`."""
+        return capacity(spec, self.cpus, self.gpus, self.memory_gb, max_tasks)
 
     def share_cost(self, spec: JobSpec) -> float:
-        """Return the part of the machine's price that a task takes, by what it takes most of."""
-        return self.price * share(spec, *self.total_resources)
+        """Return the part of the machine's price that a task's dominant resource takes, per hour."""
+        return self.price * share(spec, self.total_cpus, self.total_gpus, self.total_memory_gb)
 
-    def slow_cost(self, spec: JobSpec) -> float:
-        """Return `share_cost`, for a replica that must come up soon weighed by how slowly images come here.
+    def fetch_weighted_cost(self, spec: JobSpec) -> float:
+        """Return `share_cost`; for a latency-sensitive replica, the higher the slower this machine fetches images.
 
-        Guards against replicas that waited half as long again for their image to save a fifth of the price.
+        Guards against replicas whose start was delayed by half as much again, to save a fifth of the price.
         """
         return self.share_cost(spec) / (self.fetch_gb_per_s**FETCH_SPEED_WEIGHT if latency_sensitive(spec) else 1.0)
 
     def allocate(self, spec: JobSpec, tasks: int = 1) -> None:
-        """Use up what tasks need."""
+        """Take the resources of that many tasks; the image counts as being fetched unless it is cached."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
         self.memory_gb -= spec.memory_gb * tasks
@@ -68,25 +83,25 @@
             self.fetching_images.add(spec.image)
 
     def fetch_rank(self, image: str) -> int:
-        """0: the image is there or on its way; otherwise one more than the fetches it would share with."""
+        """Return 0 if the image is cached or on its way, else one more than the fetches it would share with."""
         if image in self.fetching_images or image in self.cached_images:
             return 0
         return 1 + len(self.fetching_images)
 
     def release(self, spec: JobSpec, tasks: int = 1) -> None:
-        """Undo `take`."""
+        """Give the resources of that many tasks back; the machine still counts as busy, and as fetching."""
         self.cpus += spec.cpus * tasks
         self.gpus += spec.gpus * tasks
         self.memory_gb += spec.memory_gb * tasks
 
 
 def latency_sensitive(spec: JobSpec) -> bool:
-    """Tell whether a job's users wait for it at once: a service of the highest rank."""
+    """Tell whether a job's start is urgent to its users: a service of the highest priority."""
     return spec.kind is JobKind.SERVICE and spec.priority is Priority.CRITICAL
 
 
 def allowed(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
-    """Tell whether a job allows this type, zone and kind of machine."""
+    """Tell whether a job allows machines of this type in this zone, spot or on-demand."""
     return (
         (spec.machine_types is None or type_name in spec.machine_types)
         and (spec.zone is None or zone == spec.zone)
@@ -95,7 +110,7 @@
 
 
 def fits(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> bool:
-    """Tell whether a task fits into these amounts."""
+    """Tell whether a task fits into these resources."""
     return (
         spec.cpus <= cpus + ROUNDING_TOLERANCE
         and spec.gpus <= gpus + ROUNDING_TOLERANCE
@@ -104,23 +119,23 @@
 
 
 def share(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> float:
-    """Return the part of these amounts that a task takes, by what it takes most of."""
+    """Return the part of these resources that a task takes, by its dominant resource."""
     return max(
         (
-            need / whole
-            for need, whole in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb))
+            needed / whole
+            for needed, whole in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb))
             if whole > 0
         ),
         default=0.0,
     )
 
 
-def capacity(spec: JobSpec, cpus: float, gpus: float, memory_gb: float, most: int) -> int:
-    """Return how many tasks fit into these amounts, up to `most`."""
-    count = most
-    for need, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
-        if need > 0:
-            count = int(min(count, (free + ROUNDING_TOLERANCE) / need))
+def capacity(spec: JobSpec, cpus: float, gpus: float, memory_gb: float, max_tasks: int) -> int:
+    """Return how many tasks fit into these resources, up to `max_tasks`."""
+    count = max_tasks
+    for needed, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
+        if needed > 0:
+            count = int(min(count, (free + ROUNDING_TOLERANCE) / needed))
     return max(0, count)
 
 
--- a/driftcleat/placement/placement_round.py
+++ b/driftcleat/placement/placement_round.py
@@ -1,7 +1,8 @@
-"""One placement round: guarantees first, then rank; best fit among a sample that widens until one fits."""
+"""One placement round: each task goes to the best fit among a sample of candidates, which widens until one fits."""
 
 import random
 from collections.abc import Callable, Iterable
+from typing import NamedTuple
 
 from driftcleat.cluster.jobs import Job
 from driftcleat.placement.candidates import Candidate, spread_limit
@@ -10,57 +11,85 @@
 
 UNBOUNDED = 1_000_000
 
-# What one task costs on machines of a type, ordinary or spot, with its image or without.
-PlaceCosts = dict[tuple[str, bool, bool], float]
-TaskShape = tuple[float, float, float, tuple[str, ...] | None, str | None, bool, bool, bool]
+# The cost of one task by machine type, spot or on-demand, and whether its image must be fetched. The keys are plain
+# tuples: one is made for each scored candidate, and a named tuple takes several times as long to create.
+CostsByMachineKind = dict[tuple[str, bool, bool], float]
+# A plain tuple for the same reason; `PlacementRound._score` names its parts.
+Score = tuple[float, ...]
+
+
+class TaskShape(NamedTuple):
+    """What decides whether any candidate can take a task: tasks of one shape fit alike."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+    machine_types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
+    spread: bool
+    single_zone: bool
+
+
+class TaskAssignment(NamedTuple):
+    """The candidate that one task of a job was assigned to."""
+
+    task_index: int
+    candidate: Candidate
 
 
 class PlacementRound:
-    """Places tasks on candidates until the time budget is used up."""
+    """Assigns tasks to candidates, and uses the candidates' free resources up."""
 
     def __init__(
         self,
         candidates: Iterable[Candidate],
         sample: int,
         rng: random.Random,
-        blocked: Callable[[str, int], bool] = lambda job, index: False,
+        is_blocked: Callable[[str, int], bool] = lambda job_id, index: False,
     ) -> None:
-        self.candidates = [candidate for candidate in candidates]
+        """Shuffle the candidates; `is_blocked` tells for a job id and a task index that the task must not start."""
+        self.candidates = list(candidates)
         rng.shuffle(self.candidates)
-        self.sample, self.rng, self.is_blocked = max(1, sample), rng, blocked
+        self.sample = max(1, sample)
+        self.rng = rng
+        self.is_blocked = is_blocked
         self.unplaceable: set[TaskShape] = set()
-        self.max_fetch_rank = UNBOUNDED
 
     def place(
-        self, job: Job, quota: QuotaHeadroom, most: int, max_fetch_rank: int = UNBOUNDED
-    ) -> list[tuple[int, Candidate]]:
-        """Return places for queued tasks of a job; candidates and limits are used up by them.
+        self, job: Job, quota: QuotaHeadroom, max_tasks: int, max_fetch_rank: int = UNBOUNDED
+    ) -> list[TaskAssignment]:
+        """Return assignments for queued tasks of a job; candidates and quota are used up by them.
 
-        `max_fetch_rank` is the highest `Candidate.fetch_rank` that will do: 0 wants the image to be there, 1 wants
-        no other fetch to share with.
+        `max_fetch_rank` is the highest `Candidate.fetch_rank` that is acceptable: 0 requires the image to be cached
+        or on its way, 1 requires that no other fetch shares the rate.
         """
-        self.max_fetch_rank = max_fetch_rank
         if job.is_gang:
-            return self._place_gang(job, quota)
-        return self._place_some(job, quota, min(most, job.tasks_queued))
+            return self._place_gang(job, quota, max_fetch_rank)
+        return self._place_independent(job, quota, min(max_tasks, job.tasks_queued), max_fetch_rank)
 
-    def _place_some(self, job: Job, quota: QuotaHeadroom, most: int) -> list[tuple[int, Candidate]]:
+    def _place_independent(
+        self, job: Job, quota: QuotaHeadroom, max_tasks: int, max_fetch_rank: int
+    ) -> list[TaskAssignment]:
+        """Assign the tasks of an array or service one by one, as many as there is room for."""
         spec = job.spec
         counts = job.placements_by_zone()
-        per_zone = spread_limit(spec)
+        max_per_zone = spread_limit(spec)
         zone = next(iter(counts), None) if spec.single_zone else None
-        placed: list[tuple[int, Candidate]] = []
+        assignments: list[TaskAssignment] = []
         candidate: Candidate | None = None
         index = -1
-        while len(placed) < most and quota.fits(spec, 1):
+        while len(assignments) < max_tasks and quota.fits(spec, 1):
             index = job.next_queued_task(index)
             if index < 0:
                 break
             if self.is_blocked(job.id, index):
                 continue
-            if candidate is None or not self._usable(spec, candidate) or counts.get(candidate.zone, 0) >= per_zone:
+            if candidate is None or not candidate.fits(spec) or counts.get(candidate.zone, 0) >= max_per_zone:
                 # The candidate found last is filled up first: it was the best, and is better now that it fetches.
-                candidate = self.find_best(spec, zone, lambda candidate: counts.get(candidate.zone, 0) < per_zone)
+                candidate = self.find_best(
+                    spec, zone, lambda candidate: counts.get(candidate.zone, 0) < max_per_zone, max_fetch_rank
+                )
             if candidate is None:
                 break
             candidate.allocate(spec)
@@ -68,18 +97,14 @@
             counts[candidate.zone] = counts.get(candidate.zone, 0) + 1
             if spec.single_zone:
                 zone = candidate.zone
-            placed.append((index, candidate))
-        return placed
+            assignments.append(TaskAssignment(index, candidate))
+        return assignments
 
-    @staticmethod
-    def _usable(spec: JobSpec, candidate: Candidate) -> bool:
-        return candidate.fits(spec)
-
-    def _place_gang(self, job: Job, quota: QuotaHeadroom) -> list[tuple[int, Candidate]]:
-        """All queued tasks at once or none; only when no task of an older attempt is left anywhere."""
+    def _place_gang(self, job: Job, quota: QuotaHeadroom, max_fetch_rank: int) -> list[TaskAssignment]:
+        """Assign all queued tasks at once or none; only when no task of an older attempt is left anywhere."""
         spec = job.spec
-        need = job.tasks_queued
-        if job.placements or not quota.fits(spec, need):
+        tasks = job.tasks_queued
+        if job.placements or not quota.fits(spec, tasks):
             return []
         indices: list[int] = []
         index = job.next_queued_task(-1)
@@ -88,99 +113,132 @@
                 return []
             indices.append(index)
             index = job.next_queued_task(index)
-        zones: list[str | None] = [None]
-        if spec.single_zone:
-            free: dict[str, int] = {}
-            for candidate in self.candidates:
-                if candidate.fits(spec) and candidate.reserved_for in (None, spec.id) and candidate.allows(spec):
-                    free[candidate.zone] = free.get(candidate.zone, 0) + candidate.capacity(spec, need)
-            free = {name: count for name, count in free.items() if count >= need}
-            away = {candidate.zone: candidate.controllers_elsewhere for candidate in self.candidates}
-            zones = [*sorted(free, key=lambda name: (away[name], -free[name], name))]
+        zones = self._gang_zones(spec, tasks) if spec.single_zone else [None]
         for zone in zones:
-            chosen = self._gang_in(spec, zone, need)
+            chosen = self._place_gang_in_zone(spec, zone, tasks, max_fetch_rank)
             if chosen is not None:
-                quota.consume(spec, need)
-                return list(zip(indices, chosen, strict=True))
+                quota.consume(spec, tasks)
+                return [TaskAssignment(index, candidate) for index, candidate in zip(indices, chosen, strict=True)]
         return []
 
-    def _gang_in(self, spec: JobSpec, zone: str | None, need: int) -> list[Candidate] | None:
+    def _gang_zones(self, spec: JobSpec, tasks: int) -> list[str | None]:
+        """Return the zones with room for all tasks: most controllers first, then most room, then by name."""
+        room: dict[str, int] = {}
+        for candidate in self.candidates:
+            if candidate.fits(spec) and candidate.reserved_for in (None, spec.id) and candidate.allows(spec):
+                room[candidate.zone] = room.get(candidate.zone, 0) + candidate.capacity(spec, tasks)
+        controllers_elsewhere = {candidate.zone: candidate.controllers_elsewhere for candidate in self.candidates}
+        sufficient = (zone for zone, count in room.items() if count >= tasks)
+        return [*sorted(sufficient, key=lambda zone: (controllers_elsewhere[zone], -room[zone], zone))]
+
+    def _place_gang_in_zone(
+        self, spec: JobSpec, zone: str | None, tasks: int, max_fetch_rank: int
+    ) -> list[Candidate] | None:
+        """Return a candidate for each task, in one zone or in any (None); None, and nothing used up, if one lacks."""
         chosen: list[Candidate] = []
         counts: dict[str, int] = {}
-        per_zone = spread_limit(spec)
-        while len(chosen) < need:
-            candidate = self.find_best(spec, zone, lambda candidate: counts.get(candidate.zone, 0) < per_zone)
+        max_per_zone = spread_limit(spec)
+        while len(chosen) < tasks:
+            candidate = self.find_best(
+                spec, zone, lambda candidate: counts.get(candidate.zone, 0) < max_per_zone, max_fetch_rank
+            )
             if candidate is None:
                 for used in chosen:
                     used.release(spec)
                 return None
             # Fill the machine before looking further: consecutive tasks make short records.
-            while len(chosen) < need and candidate.fits(spec) and counts.get(candidate.zone, 0) < per_zone:
+            while len(chosen) < tasks and candidate.fits(spec) and counts.get(candidate.zone, 0) < max_per_zone:
                 candidate.allocate(spec)
                 counts[candidate.zone] = counts.get(candidate.zone, 0) + 1
                 chosen.append(candidate)
         return chosen
 
-    def find_best(self, spec: JobSpec, zone: str | None, also: Callable[[Candidate], bool]) -> Candidate | None:
-        """Return the best fit among the first sample of candidates of which any fits."""
-        shape = (
-            spec.cpus,
-            spec.gpus,
-            spec.memory_gb,
-            spec.machine_types,
-            zone or spec.zone,
-            spec.spot,
-            spec.spread,
-            spec.single_zone,
-        )
+    def find_best(
+        self,
+        spec: JobSpec,
+        zone: str | None,
+        spread_permits: Callable[[Candidate], bool],
+        max_fetch_rank: int = UNBOUNDED,
+    ) -> Candidate | None:
+        """Return the best fit among the first sample of feasible candidates, from a random start on.
+
+        Nothing is reserved: the caller allocates. A shape that no candidate can take is remembered, and is not looked
+        for again in this round.
+        """
+        shape = _task_shape(spec, zone)
         if shape in self.unplaceable:
             return None
-        start = self.rng.randrange(len(self.candidates)) if self.candidates else 0
+        candidates = self.candidates
+        count = len(candidates)
+        start = self.rng.randrange(count) if count else 0
         best: Candidate | None = None
-        best_score: tuple[float, ...] = ()
-        costs: PlaceCosts = {}
-        seen = 0
-        refused = False
-        for offset in range(len(self.candidates)):
-            candidate = self.candidates[(start + offset) % len(self.candidates)]
-            if not candidate.fits(spec):
+        best_score: Score = ()
+        costs: CostsByMachineKind = {}
+        scored = 0
+        rejected_for_job = False
+        for offset in range(count):
+            candidate = candidates[(start + offset) % count]
+            # Resources first, and not in `_filter`: in a full cluster most of thousands of candidates end here.
+            if not candidate.fits(spec) or not _filter(spec, zone, candidate):
                 continue
-            if not candidate.allows(spec) or (zone is not None and candidate.zone != zone):
+            if not _filter_for_job(spec, candidate, max_fetch_rank) or not spread_permits(candidate):
+                rejected_for_job = True
                 continue
-            if (
-                spec.id in candidate.failed_jobs
-                or candidate.reserved_for not in (None, spec.id)
-                or not also(candidate)
-                or (candidate.fetch_rank(spec.image) > self.max_fetch_rank)
-            ):
-                refused = True
-                continue
-            score = self._score(spec, candidate, costs)
+            score = _score(spec, candidate, costs)
             if best is None or score < best_score:
-                best, best_score = candidate, score
-            seen += 1
-            if seen >= self.sample:
+                best = candidate
+                best_score = score
+            scored += 1
+            if scored >= self.sample:
                 break
-        if best is None and not refused:
+        if best is None and not rejected_for_job:
             self.unplaceable.add(shape)
         return best
 
-    @staticmethod
-    def _score(spec: JobSpec, candidate: Candidate, costs: PlaceCosts) -> tuple[float, ...]:
-        """Lower is better: image there already, what the place is worth, zone, machine in use, what is left over.
 
-        `costs` keeps what the task costs on each kind of machine: worked out once for hundreds of machines alike.
-        """
-        rank = candidate.fetch_rank(spec.image)
-        kind = (candidate.machine_type, candidate.spot, rank > 0)
-        cost = costs.get(kind)
-        if cost is None:
-            cost = costs[kind] = candidate.slow_cost(spec) if rank else candidate.share_cost(spec)
-        return (
-            float(rank),
-            cost,
-            float(candidate.controllers_elsewhere),
-            0.0 if candidate.busy else 1.0,
-            candidate.gpus - spec.gpus,
-            candidate.cpus - spec.cpus,
-        )
+def _task_shape(spec: JobSpec, zone: str | None) -> TaskShape:
+    return TaskShape(
+        spec.cpus,
+        spec.gpus,
+        spec.memory_gb,
+        spec.machine_types,
+        zone or spec.zone,
+        spec.spot,
+        spec.spread,
+        spec.single_zone,
+    )
+
+
+def _filter(spec: JobSpec, zone: str | None, candidate: Candidate) -> bool:
+    """Tell whether the constraints on machine type, zone and spot permit a candidate: part of the task's shape."""
+    return candidate.allows(spec) and (zone is None or candidate.zone == zone)
+
+
+def _filter_for_job(spec: JobSpec, candidate: Candidate, max_fetch_rank: int) -> bool:
+    """Tell whether a candidate that can take the shape may take it for this job: others of the shape may differ."""
+    return (
+        spec.id not in candidate.failed_jobs
+        and candidate.reserved_for in (None, spec.id)
+        and candidate.fetch_rank(spec.image) <= max_fetch_rank
+    )
+
+
+def _score(spec: JobSpec, candidate: Candidate, costs: CostsByMachineKind) -> Score:
+    """Return a candidate's score, lower is better.
+
+    In order: fetch rank, cost of the resources, controllers in other zones, whether the machine is idle, GPUs left
+    over, processors left over. `costs` keeps the cost on each kind of machine: worked out once for hundreds alike.
+    """
+    fetch_rank = candidate.fetch_rank(spec.image)
+    kind = (candidate.machine_type, candidate.spot, fetch_rank > 0)
+    cost = costs.get(kind)
+    if cost is None:
+        cost = costs[kind] = candidate.fetch_weighted_cost(spec) if fetch_rank else candidate.share_cost(spec)
+    return (
+        float(fetch_rank),
+        cost,
+        float(candidate.controllers_elsewhere),
+        0.0 if candidate.busy else 1.0,
+        candidate.gpus - spec.gpus,
+        candidate.cpus - spec.cpus,
+    )
--- a/driftcleat/placement/preemption_plan.py
+++ b/driftcleat/placement/preemption_plan.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreemptionPlan:
-    """Stop these tasks (maybe none), so that a task finds room on a machine."""
+    """The tasks (maybe none) to preempt on one machine so that another task fits there, and what that loses."""
 
     candidate: Candidate
     victims: tuple[Victim, ...]
@@ -17,21 +17,28 @@
 
 
 def plan_preemption(spec: JobSpec, candidate: Candidate, victims: list[Victim]) -> PreemptionPlan | None:
-    """Return the cheapest set of these tasks whose stop makes room for one task; empty if there is room already."""
+    """Return a plan for one task of a job that preempts victims, cheapest first, until the task fits.
+
+    It has no victims if the task fits already; None if it does not fit with all of them gone, or may not go there.
+    """
     if (
         spec.id in candidate.failed_jobs
         or candidate.reserved_for not in (None, spec.id)
         or not candidate.allows(spec)
     ):
         return None
-    cpus, gpus, memory_gb = candidate.cpus, candidate.gpus, candidate.memory_gb
+    cpus = candidate.cpus
+    gpus = candidate.gpus
+    memory_gb = candidate.memory_gb
     chosen: list[Victim] = []
     cost = 0.0
     for victim in sorted(victims, key=lambda victim: victim.cost):
         if fits(spec, cpus, gpus, memory_gb):
             break
-        other = victim.job.spec
-        cpus, gpus, memory_gb = cpus + other.cpus, gpus + other.gpus, memory_gb + other.memory_gb
+        freed = victim.job.spec
+        cpus += freed.cpus
+        gpus += freed.gpus
+        memory_gb += freed.memory_gb
         chosen.append(victim)
         cost += victim.cost
     return PreemptionPlan(candidate, tuple(chosen), cost) if fits(spec, cpus, gpus, memory_gb) else None
--- a/driftcleat/placement/quota.py
+++ b/driftcleat/placement/quota.py
@@ -1,22 +1,26 @@
-"""Quota: what a team may still use."""
+"""Quota headroom: the resources that a team may still use."""
 
 from dataclasses import dataclass
 
+from driftcleat.placement.candidates import ROUNDING_TOLERANCE
 from driftcleat.wire.users import JobSpec
 
 
 @dataclass(slots=True)
 class QuotaHeadroom:
-    """What a team may still take; infinite where it has no limit."""
+    """What a team may still use; infinite where it has no upper limit."""
 
     cpus: float
     gpus: float
 
     def fits(self, spec: JobSpec, tasks: int) -> bool:
         """Tell whether that many tasks stay within the limit."""
-        return spec.cpus * tasks <= self.cpus + 1e-6 and spec.gpus * tasks <= self.gpus + 1e-6
+        return (
+            spec.cpus * tasks <= self.cpus + ROUNDING_TOLERANCE
+            and spec.gpus * tasks <= self.gpus + ROUNDING_TOLERANCE
+        )
 
     def consume(self, spec: JobSpec, tasks: int) -> None:
-        """Use up what tasks need."""
+        """Use up the resources of that many tasks."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
--- a/driftcleat/placement/victims.py
+++ b/driftcleat/placement/victims.py
@@ -1,75 +1,93 @@
-"""Which tasks a job may have stopped: found once in a round, and only if some job finds no room."""
+"""Preemptible tasks: found once in a round, and only if some job finds no room."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from driftcleat.cluster.jobs import Job, JobState
 from driftcleat.cluster.machines import Machine, TaskKey
 from driftcleat.placement.fair_share import FairShareOrder
 
 
-@dataclass(frozen=True, slots=True)
-class Victim:
-    """A task that could be stopped: what it frees and what stopping it loses."""
+class Victim(NamedTuple):
+    """A task that may be preempted, and the estimated cost of what is lost with it."""
 
     job: Job
-    index: int
+    task_index: int
     cost: float
 
 
+@dataclass(frozen=True, slots=True)
+class MachineTasks:
+    """The preemptible tasks of one machine, with what rules out most preemptors without a look at each task."""
+
+    machine: Machine
+    tasks: list[tuple[Job, int]]
+    # The level of the least urgent priority among them: a higher level is less urgent.
+    lowest_priority_level: int
+    any_beyond_guarantee: bool
+
+
 class PreemptibleTasks:
-    """The tasks of one round's machines that could be stopped at all, and who may displace them."""
+    """The tasks on one round's machines that could be preempted at all, and who may preempt them."""
 
     def __init__(
         self,
         machines: Iterable[Machine],
         job_of: Callable[[str], Job | None],
         order: FairShareOrder,
-        loss: Callable[[Job, Machine, TaskKey], float],
+        preemption_cost: Callable[[Job, Machine, TaskKey], float],
     ) -> None:
-        self.order, self.loss = order, loss
-        # By machine: the lowest rank among them, whether one has no guarantee, and the tasks.
-        self._found: dict[str, tuple[int, bool, list[tuple[Job, int]]]] = {}
-        self._machines: dict[str, Machine] = {}
+        self.order = order
+        self.preemption_cost = preemption_cost
+        self._by_machine: dict[str, MachineTasks] = {}
         for machine in machines:
-            tasks: list[tuple[Job, int]] = []
-            lowest, beyond = -1, False
-            for (job_id, index), placement in machine.tasks.items():
-                job = job_of(job_id)
-                if (
-                    job is None
-                    or job.state is not JobState.ACTIVE
-                    or placement.stop_grace_s is not None
-                    or (job.is_gang and job.spec.tasks > 1)
-                ):
-                    continue
-                tasks.append((job, index))
-                lowest = max(lowest, job.priority_level)
-                beyond = beyond or job.id not in order.guaranteed
-            if tasks:
-                self._found[machine.name] = (lowest, beyond, tasks)
-                self._machines[machine.name] = machine
+            found = _preemptible_tasks(machine, job_of, order)
+            if found is not None:
+                self._by_machine[machine.name] = found
 
     def machines(self, job: Job) -> list[Machine]:
-        """Return the machines on which this job may displace something."""
-        level, guaranteed = job.priority_level, job.id in self.order.guaranteed
+        """Return the machines on which this job may preempt something."""
+        level = job.priority_level
+        guaranteed = job.id in self.order.guaranteed
         return [
-            self._machines[name]
-            for name, (lowest, beyond, _) in self._found.items()
-            if lowest > level or (guaranteed and beyond)
+            found.machine
+            for found in self._by_machine.values()
+            if found.lowest_priority_level > level or (guaranteed and found.any_beyond_guarantee)
         ]
 
-    def on(self, machine: Machine, job: Job) -> list[Victim]:
-        """Return what this job may displace on a machine."""
-        found = self._found.get(machine.name)
+    def victims(self, machine: Machine, job: Job) -> list[Victim]:
+        """Return the tasks on a machine that this job may preempt."""
+        found = self._by_machine.get(machine.name)
         if found is None:
             return []
         return [
-            Victim(other, index, self.loss(other, machine, (other.id, index)))
-            for other, index in found[2]
+            Victim(other, index, self.preemption_cost(other, machine, (other.id, index)))
+            for other, index in found.tasks
             if self.order.may_preempt(job, other)
         ]
 
     def exclude(self, machine: Machine) -> None:
-        """Something is stopped there for a job: nobody else displaces there in this round."""
-        self._found.pop(machine.name, None)
+        """Protect a machine, on which tasks were preempted for a job, from further preemption in this round."""
+        self._by_machine.pop(machine.name, None)
+
+
+def _preemptible_tasks(
+    machine: Machine, job_of: Callable[[str], Job | None], order: FairShareOrder
+) -> MachineTasks | None:
+    tasks: list[tuple[Job, int]] = []
+    lowest = -1
+    beyond_guarantee = False
+    for (job_id, index), placement in machine.tasks.items():
+        job = job_of(job_id)
+        if (
+            job is None
+            or job.state is not JobState.ACTIVE
+            or placement.stop_grace_s is not None
+            or (job.is_gang and job.spec.tasks > 1)
+        ):
+            continue
+        tasks.append((job, index))
+        lowest = max(lowest, job.priority_level)
+        beyond_guarantee = beyond_guarantee or job.id not in order.guaranteed
+    return MachineTasks(machine, tasks, lowest, beyond_guarantee) if tasks else None
--- a/driftcleat/scheduler/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -11,6 +11,7 @@
 from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.estimates import fetch_s
+from driftcleat.scheduler.machine_candidates import NO_IMAGES, machine_candidate
 from driftcleat.scheduler.queue import JobQueue
 from driftcleat.scheduler.reachability import Reachability
 from driftcleat.scheduler.scale_out import ScaleOut, ScaleOutRequest
@@ -234,18 +235,4 @@
 
 def _sizing_candidate(machine: Machine, machine_type: MachineType, platform: Platform) -> Candidate:
     """Return a machine without its images: sizing does not look at them."""
-    return Candidate(
-        machine.name,
-        machine_type.name,
-        machine.zone,
-        machine.spot,
-        machine_type.cpus - machine.used_cpus,
-        machine_type.gpus - machine.used_gpus,
-        machine_type.memory_gb - machine.used_memory_gb,
-        failed_jobs=machine.failed_jobs,
-        busy=bool(machine.tasks),
-        price=machine_type.spot_price if machine.spot else machine_type.price,
-        total_resources=(machine_type.cpus, machine_type.gpus, machine_type.memory_gb),
-        fetch_gb_per_s=machine_type.fetch_gb_per_s,
-        controllers_elsewhere=platform.away(machine.zone),
-    )
+    return machine_candidate(machine, machine_type, platform.away(machine.zone), NO_IMAGES, set())
--- a/driftcleat/scheduler/machine_candidates.py
+++ b/driftcleat/scheduler/machine_candidates.py
@@ -1,33 +1,36 @@
-"""Machines as candidates for placement: which of them take tasks, and what is free on them."""
+"""Machines as placement candidates: which of them take tasks, and which resources are free on them."""
 
-from collections.abc import Mapping
+from collections.abc import Container
 
-from driftcleat.cluster import Job, Machine, MachineState
-from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate
+from driftcleat.cluster import Machine, MachineState
+from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate, Resources
 from driftcleat.scheduler.context import SchedulerContext
 from driftcleat.scheduler.reservations import Reservations
+from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.workers import TaskPhase
 
-# Reports that a machine may miss until it is given no more tasks.
+# Report intervals without a heartbeat after which a machine is given no more tasks.
 FRESH_REPORTS = 2.0
 
-Amounts = tuple[float, float, float]
+NOTHING = Resources(0.0, 0.0, 0.0)
+NO_IMAGES: Container[str] = frozenset()
 
 
 class MachineCandidates:
-    """Makes candidates of machines."""
+    """Makes placement candidates of machines."""
 
     def __init__(self, context: SchedulerContext, reservations: Reservations) -> None:
-        self._platform, self._cluster = context.platform, context.cluster
+        self._platform = context.platform
+        self._cluster = context.cluster
         self._reservations = reservations
-        # By zone how many controllers are elsewhere: asked for each machine in each round.
-        self._away = {zone: self._platform.away(zone) for zone in self._platform.zones}
+        # By zone: needed for each machine in each round.
+        self._controllers_elsewhere = {zone: self._platform.away(zone) for zone in self._platform.zones}
 
     def takes_tasks(self, machine: Machine, now: float) -> bool:
-        """Whether a machine may be given tasks: up, heard of lately, and it acknowledges our answers.
+        """Tell whether a machine may be given tasks: it is up, was heard lately, and acknowledges our responses.
 
-        Guards against placing on a machine of which only an old copy of a report arrived, or whose reports
-        arrive while our answers do not reach it.
+        Guards against placing on a machine of which only an old copy of a heartbeat arrived, or whose heartbeats
+        arrive while our responses do not reach it.
         """
         return (
             machine.state is MachineState.UP
@@ -38,10 +41,10 @@
             and machine.last_heartbeat_at >= now - self._platform.report_s * FRESH_REPORTS
         )
 
-    def all(self, now: float, least: Amounts = (0.0, 0.0, 0.0)) -> list[Candidate]:
-        """Return the machines that take tasks and have at least this much free."""
-        cpus, gpus, memory_gb = (need - ROUNDING_TOLERANCE for need in least)
-        out = []
+    def all(self, now: float, at_least: Resources = NOTHING) -> list[Candidate]:
+        """Return the machines that take tasks and have at least these resources free."""
+        cpus, gpus, memory_gb = (needed - ROUNDING_TOLERANCE for needed in at_least)
+        candidates = []
         for machine in self._cluster.machines.values():
             machine_type = machine.type
             if (
@@ -51,28 +54,41 @@
                 and machine_type.memory_gb - machine.used_memory_gb >= memory_gb
                 and self.takes_tasks(machine, now)
             ):
-                out.append(self.of(machine, now))
-        return out
+                candidates.append(self.of(machine, machine_type, now))
+        return candidates
 
-    def of(self, machine: Machine, now: float) -> Candidate:
-        """Return one machine as a candidate."""
-        candidate = _candidate(machine, self._cluster.jobs)
-        away = self._away.get(machine.zone)
-        candidate.controllers_elsewhere = self._platform.away(machine.zone) if away is None else away
+    def of(self, machine: Machine, machine_type: MachineType, now: float) -> Candidate:
+        """Return one machine as a candidate, with its images and its reservation."""
+        fetching_images: set[str] = set()
+        if machine.tasks:
+            jobs = self._cluster.jobs
+            phases = machine.task_phases
+            fetching_images = {
+                jobs[key[0]].spec.image
+                for key in machine.tasks
+                if key[0] in jobs and phases.get(key, TaskPhase.FETCHING) == TaskPhase.FETCHING
+            }
+        controllers_elsewhere = self._controllers_elsewhere.get(machine.zone)
+        if controllers_elsewhere is None:
+            controllers_elsewhere = self._platform.away(machine.zone)
+        candidate = machine_candidate(
+            machine, machine_type, controllers_elsewhere, machine.cached_images, fetching_images
+        )
         candidate.reserved_for = self._reservations.holder(machine.name, now)
         return candidate
 
 
-def _candidate(machine: Machine, jobs: Mapping[str, Job]) -> Candidate:
-    machine_type = machine.type
-    assert machine_type is not None
-    fetching: set[str] = set()
-    if machine.tasks:
-        fetching = {
-            jobs[job_id].spec.image
-            for job_id, index in machine.tasks
-            if job_id in jobs and machine.task_phases.get((job_id, index), TaskPhase.FETCHING) == TaskPhase.FETCHING
-        }
+def machine_candidate(
+    machine: Machine,
+    machine_type: MachineType,
+    controllers_elsewhere: int,
+    cached_images: Container[str],
+    fetching_images: set[str],
+) -> Candidate:
+    """Return a machine as a candidate that is reserved for no job.
+
+    Positional, in the order of the fields: one is made for each machine in each round.
+    """
     return Candidate(
         machine.name,
         machine_type.name,
@@ -81,11 +97,14 @@
         machine_type.cpus - machine.used_cpus,
         machine_type.gpus - machine.used_gpus,
         machine_type.memory_gb - machine.used_memory_gb,
-        machine.cached_images,
-        fetching,
+        cached_images,
+        fetching_images,
         machine.failed_jobs,
         bool(machine.tasks),
         machine_type.spot_price if machine.spot else machine_type.price,
-        (machine_type.cpus, machine_type.gpus, machine_type.memory_gb),
+        machine_type.cpus,
+        machine_type.gpus,
+        machine_type.memory_gb,
         machine_type.fetch_gb_per_s,
+        controllers_elsewhere,
     )
--- a/driftcleat/scheduler/placement_pass.py
+++ b/driftcleat/scheduler/placement_pass.py
@@ -3,10 +3,10 @@
 import logging
 
 from driftcleat.cluster import Batch, Job, JobState, MachineState, TaskPlacement, TaskState
-from driftcleat.placement.candidates import Candidate, allowed, fits
-from driftcleat.placement.placement_round import UNBOUNDED, PlacementRound
+from driftcleat.placement.candidates import Resources, allowed, fits
+from driftcleat.placement.placement_round import UNBOUNDED, PlacementRound, TaskAssignment
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
-from driftcleat.scheduler.machine_candidates import Amounts, MachineCandidates
+from driftcleat.scheduler.machine_candidates import MachineCandidates
 from driftcleat.scheduler.pacing import RoundPacing
 from driftcleat.scheduler.preemption import Preemption
 from driftcleat.scheduler.queue import JobQueue
@@ -62,7 +62,7 @@
             self._rng,
             lambda job_id, index: (job_id, index) in self._cluster.orphaned_tasks,
         )
-        state = RoundState(work, waiting.order, now)
+        state = RoundState(work, self._candidates, waiting.order, now)
         queued = self._from_where_it_stopped(waiting.jobs)
         self._pacing.begin()
         deadline = self._clock() + self._pacing.budget_s
@@ -121,14 +121,14 @@
         self._pacing.record_change()
 
     def _place_one(self, batch: Batch, job: Job, state: RoundState) -> None:
-        quota = state.limits.setdefault(job.spec.team, self._queue.quota_headroom(job.spec.team))
+        quota = state.quotas.setdefault(job.spec.team, self._queue.quota_headroom(job.spec.team))
         most = self._batch_most(batch, job)
         if job.is_gang and job.tasks_queued > most:
             self._pacing.request_round()
             return
-        if self._preemption.make_room_by_image(batch, job, state, quota):
+        if self._preemption.preempt_where_image_is_cached(batch, job, state, quota):
             return
-        placed = state.work.place(job, quota, most, self._max_fetch_rank(job, state.now))
+        placed = state.placement_round.place(job, quota, most, self._max_fetch_rank(job, state.now))
         if not placed:
             if job.tasks_queued and quota.fits(job.spec, job.tasks_queued if job.is_gang else 1):
                 self._preemption.preempt_for(batch, job, state)
@@ -140,7 +140,7 @@
             return
         self._move(batch, job, placed)
 
-    def _move(self, batch: Batch, job: Job, placed: list[tuple[int, Candidate]]) -> None:
+    def _move(self, batch: Batch, job: Job, placed: list[TaskAssignment]) -> None:
         attempt = batch.next_attempt(job.id)
         for index, candidate in placed:
             batch.transition_task(
@@ -160,9 +160,7 @@
         if job.is_gang or len(placed) == job.tasks_queued:
             self._preemption.release(job.id)
 
-    def _within_records(
-        self, batch: Batch, job: Job, placed: list[tuple[int, Candidate]]
-    ) -> list[tuple[int, Candidate]]:
+    def _within_records(self, batch: Batch, job: Job, placed: list[TaskAssignment]) -> list[TaskAssignment]:
         """Return as many of an array's or service's new places as the records that may still change can take."""
         chunks: set[int] = set()
         for count, (index, _) in enumerate(placed):
@@ -206,10 +204,10 @@
         return self._wall() - job.submitted_at if ready_at is None else self._clock() - ready_at
 
 
-def _least(jobs: list[Job]) -> Amounts:
+def _least(jobs: list[Job]) -> Resources:
     """Return the least that any of these jobs' tasks takes of each amount."""
     specs = [job.spec for job in jobs]
-    return (
+    return Resources(
         min((spec.cpus for spec in specs), default=INFINITE),
         min((spec.gpus for spec in specs), default=INFINITE),
         min((spec.memory_gb for spec in specs), default=INFINITE),
--- /dev/null
+++ b/driftcleat/scheduler/preemption_planning.py
@@ -0,0 +1,78 @@
+"""Preemption planning: what would have to be preempted where for one task of a job, and what that would cost."""
+
+from dataclasses import replace
+
+from driftcleat.cluster import Batch, Job, Machine
+from driftcleat.cluster.machines import TaskKey
+from driftcleat.placement.preemption_plan import PreemptionPlan, plan_preemption
+from driftcleat.placement.victims import PreemptibleTasks
+from driftcleat.scheduler.context import SchedulerContext
+from driftcleat.scheduler.estimates import fetch_s, size
+from driftcleat.scheduler.machine_candidates import MachineCandidates
+from driftcleat.scheduler.round_state import RoundState
+from driftcleat.wire.users import JobKind
+from driftcleat.wire.workers import TaskPhase
+
+# The seconds of a replica that its preemption is reckoned to lose: more than any fetch and restart.
+REPLICA_LOSS_S = 1e4
+# Report intervals until a task that was preempted runs elsewhere.
+REPORTS_UNTIL_RESTART = 2
+
+
+class PreemptionPlanner:
+    """Plans preemptions within one placement round, and estimates their costs."""
+
+    def __init__(self, context: SchedulerContext, candidates: MachineCandidates) -> None:
+        self._platform = context.platform
+        self._tuning = context.tuning
+        self._cluster = context.cluster
+        self._candidates = candidates
+
+    def preemptible(self, batch: Batch, state: RoundState) -> PreemptibleTasks:
+        """Return the preemptible tasks of a round; they are looked for once."""
+        if state.preemptible is None:
+            machines = (
+                machine
+                for machine in self._cluster.machines.values()
+                if machine.tasks and self._candidates.takes_tasks(machine, state.now)
+            )
+            state.preemptible = PreemptibleTasks(machines, batch.job, state.order, self._preemption_cost)
+        return state.preemptible
+
+    def plans(self, batch: Batch, job: Job, state: RoundState, machines: list[Machine]) -> list[PreemptionPlan]:
+        """Return a plan for one task on each of these machines where that is possible, the cheapest first.
+
+        A fetch that would follow counts as a cost. Guards against preempting work on a machine that must then fetch
+        the image, beside a machine that has it.
+        """
+        spec = job.spec
+        preemptible = self.preemptible(batch, state)
+        plans: list[PreemptionPlan] = []
+        for machine in machines:
+            machine_type = machine.type
+            if machine_type is None:
+                continue
+            candidate = state.candidate(machine, machine_type)
+            plan = plan_preemption(spec, candidate, preemptible.victims(machine, job))
+            if plan is not None:
+                is_cached = spec.image in machine.fetched_images
+                fetch_cost = 0.0 if is_cached else fetch_s(spec, machine_type) * size(spec)
+                plans.append(replace(plan, cost=plan.cost + fetch_cost * self._tuning.evict))
+        return sorted(plans, key=lambda plan: (plan.cost, plan.candidate.name))
+
+    def _preemption_cost(self, job: Job, machine: Machine, key: TaskKey) -> float:
+        """Estimate what preempting a task loses: seconds, weighed by the size of the task.
+
+        A fetch under way is lost whole; what a running task has fetched may be, if it is restarted elsewhere.
+        """
+        spec = job.spec
+        weight = size(spec)
+        if spec.kind is JobKind.SERVICE:
+            return weight * REPLICA_LOSS_S
+        image_fetch_s = fetch_s(spec, machine.type) if machine.type is not None else spec.image_gb
+        restart_s = self._platform.report_s * REPORTS_UNTIL_RESTART
+        if machine.task_phases.get(key, TaskPhase.FETCHING) == TaskPhase.FETCHING:
+            return weight * (restart_s + image_fetch_s)
+        refetch_s = restart_s + image_fetch_s * self._tuning.refetch
+        lost_run_s = spec.checkpoint_duration_s if spec.checkpoint_interval_s > 0 else spec.estimated_run_s
+        return weight * (refetch_s + lost_run_s)
--- a/driftcleat/scheduler/round_state.py
+++ b/driftcleat/scheduler/round_state.py
@@ -1,28 +1,38 @@
 """What one placement round has found out so far."""
 
-from collections.abc import Callable
-
 from driftcleat.cluster import Machine
 from driftcleat.placement.candidates import Candidate
 from driftcleat.placement.fair_share import FairShareOrder
 from driftcleat.placement.placement_round import PlacementRound
 from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.placement.victims import PreemptibleTasks
+from driftcleat.scheduler.machine_candidates import MachineCandidates
+from driftcleat.wire.cloud import MachineType
 
 
 class RoundState:
-    """The candidates as this round leaves them, what teams may still take, and who could be stopped."""
+    """The candidates as this round leaves them, the teams' quota headroom, and the preemptible tasks."""
 
-    def __init__(self, work: PlacementRound, order: FairShareOrder, now: float) -> None:
-        self.work, self.order, self.now = work, order, now
-        self.limits: dict[str, QuotaHeadroom] = {}
+    def __init__(
+        self,
+        placement_round: PlacementRound,
+        machine_candidates: MachineCandidates,
+        order: FairShareOrder,
+        now: float,
+    ) -> None:
+        self.placement_round = placement_round
+        self.order = order
+        self.now = now
+        self.quotas: dict[str, QuotaHeadroom] = {}
         # Worked out when it is first needed.
-        self.victims: PreemptibleTasks | None = None
-        self._candidates = {candidate.name: candidate for candidate in work.candidates}
+        self.preemptible: PreemptibleTasks | None = None
+        self._machine_candidates = machine_candidates
+        self._candidates = {candidate.name: candidate for candidate in placement_round.candidates}
 
-    def candidate(self, make: Callable[[Machine, float], Candidate], machine: Machine) -> Candidate:
-        """Return a machine as this round leaves it."""
+    def candidate(self, machine: Machine, machine_type: MachineType) -> Candidate:
+        """Return a machine as this round leaves it, also one with too little free to be among the candidates."""
         candidate = self._candidates.get(machine.name)
         if candidate is None:
-            candidate = self._candidates[machine.name] = make(machine, self.now)
+            candidate = self._machine_candidates.of(machine, machine_type, self.now)
+            self._candidates[machine.name] = candidate
         return candidate
--- a/driftcleat/scheduler/scale_in.py
+++ b/driftcleat/scheduler/scale_in.py
@@ -5,7 +5,7 @@
 from driftcleat.capacity.failure_detector import FailureDetector
 from driftcleat.capacity.sizing import CapacityPlan
 from driftcleat.cluster import JobState, Machine, MachineState
-from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate, spread_limit
+from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate, Resources, spread_limit
 from driftcleat.scheduler.context import SchedulerContext
 from driftcleat.scheduler.machine_candidates import MachineCandidates
 from driftcleat.scheduler.reachability import Reachability
@@ -13,7 +13,7 @@
 from driftcleat.wire.workers import TaskPhase
 
 # What has less free than this is no candidate for the work of others.
-SOME_GPUS = (0.0, ROUNDING_TOLERANCE * 2, 0.0)
+SOME_GPUS = Resources(0.0, ROUNDING_TOLERANCE * 2, 0.0)
 # If more of the machines do not acknowledge us, and more than a few, it is most likely we who are too slow.
 UNRESPONSIVE_SHARE = 3
 UNRESPONSIVE_FEW = 2
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -318,7 +318,7 @@
 def plain_fill(demand: Demand, rooms: list[Candidate]) -> int:
     """The slow plain model: room by room, in the same order of preference."""
     spec, taken = demand.spec, 0
-    for room in sorted(rooms, key=lambda room: (not room.busy, room.slow_cost(spec), room.gpus, room.cpus)):
+    for room in sorted(rooms, key=lambda room: (not room.busy, room.fetch_weighted_cost(spec), room.gpus, room.cpus)):
         zone_left = demand.tasks - taken
         if demand.per_zone is not None:
             zone_left = min(zone_left, demand.per_zone - demand.zones.get(room.zone, 0))
@@ -352,7 +352,9 @@
                 machine_type.memory_gb * share,
                 busy=share < 1.0,
                 price=machine_type.price,
-                total_resources=(machine_type.cpus, machine_type.gpus, machine_type.memory_gb),
+                total_cpus=machine_type.cpus,
+                total_gpus=machine_type.gpus,
+                total_memory_gb=machine_type.memory_gb,
             )
         )
     plain = [
@@ -366,7 +368,9 @@
             room.memory_gb,
             busy=room.busy,
             price=room.price,
-            total_resources=room.total_resources,
+            total_cpus=room.total_cpus,
+            total_gpus=room.total_gpus,
+            total_memory_gb=room.total_memory_gb,
         )
         for room in rooms
     ]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -231,7 +231,7 @@
 def test_nobody_looks_for_work_to_stop_where_an_image_is_that_no_machine_has(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a look at every task of thousands of machines in each round: a third of its time."""
     looks = Mock(side_effect=PreemptibleTasks)
-    monkeypatch.setattr("driftcleat.scheduler.preemption.PreemptibleTasks", looks)
+    monkeypatch.setattr("driftcleat.scheduler.preemption_planning.PreemptibleTasks", looks)
     scheduler, now = fleet(20)
     accept(scheduler, job(1, rig="daemon", hands=2, accelerators=0.0, imageGb=4.0, rank="critical"))
     commit_all(scheduler)
