--- a/driftcleat/scheduler/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -4,8 +4,10 @@
 from functools import partial
 
 from driftcleat.capacity.arrivals import ArrivalRates
+from driftcleat.capacity.candidate_pool import ALIKE_DIGITS, CandidatePool
+from driftcleat.capacity.demand import Demand
 from driftcleat.capacity.failure_detector import FailureDetector
-from driftcleat.capacity.sizing import ALIKE_DIGITS, CandidatePool, CapacityPlan, Demand, plan_fleet
+from driftcleat.capacity.sizing import CapacityPlan, plan_fleet
 from driftcleat.cluster import Job, JobState, Machine, MachineState
 from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate, capacity, fits, latency_sensitive
 from driftcleat.placement.quota import QuotaHeadroom
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -5,7 +5,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftcleat.capacity.sizing import CandidatePool, Demand, plan_fleet
+from driftcleat.capacity.candidate_pool import CandidatePool
+from driftcleat.capacity.demand import Demand
+from driftcleat.capacity.sizing import plan_fleet
 from driftcleat.cluster import ClusterState, Job, MachineState, commands_for_heartbeat
 from driftcleat.placement.candidates import Candidate, allowed, capacity, fits, spread_limit
 from driftcleat.placement.placement_round import PlacementRound
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,8 @@
 from hypothesis import strategies as st
 
 from driftcleat.capacity.arrivals import ArrivalRates
-from driftcleat.capacity.sizing import CapacityPlan, Demand, plan_fleet
+from driftcleat.capacity.demand import Demand
+from driftcleat.capacity.sizing import CapacityPlan, plan_fleet
 from driftcleat.cluster import (
     ClusterState,
     IllegalTransitionError,
