--- a/driftcleat/placement/__init__.py
+++ b/driftcleat/placement/__init__.py
@@ -1,6 +1,7 @@
-"""Placement: a pure function from jobs, candidate machines and limits to places. It changes nothing itself."""
+"""Placement: assigns tasks to candidate machines within quotas. Pure: it does no I/O and changes no cluster state."""
 
 from driftcleat.placement.candidates import Candidate, allowed, fits
-from driftcleat.placement.placement_round import PlacementRound, PreemptionPlan
+from driftcleat.placement.placement_round import PlacementRound
+from driftcleat.placement.preemption_plan import PreemptionPlan
 
 __all__ = ["Candidate", "PlacementRound", "PreemptionPlan", "allowed", "fits"]
--- /dev/null
+++ b/driftcleat/placement/preemption_plan.py
@@ -0,0 +1,44 @@
+"""Preemption plans: which tasks to stop on one machine so that another task fits there."""
+
+from dataclasses import dataclass
+
+from driftcleat.placement.candidates import Candidate, fits
+from driftcleat.placement.victims import Victim
+from driftcleat.wire.users import JobSpec
+
+
+@dataclass(frozen=True, slots=True)
+class PreemptionPlan:
+    """The tasks (maybe none) to preempt on one machine so that another task fits there, and what that loses."""
+
+    candidate: Candidate
+    victims: tuple[Victim, ...]
+    cost: float
+
+
+def plan_preemption(spec: JobSpec, candidate: Candidate, victims: list[Victim]) -> PreemptionPlan | None:
+    """Return a plan for one task of a job that preempts victims, cheapest first, until the task fits.
+
+    It has no victims if the task fits already; None if it does not fit with all of them gone, or may not go there.
+    """
+    if (
+        spec.id in candidate.failed_jobs
+        or candidate.reserved_for not in (None, spec.id)
+        or not candidate.allows(spec)
+    ):
+        return None
+    cpus = candidate.cpus
+    gpus = candidate.gpus
+    memory_gb = candidate.memory_gb
+    chosen: list[Victim] = []
+    cost = 0.0
+    for victim in sorted(victims, key=lambda victim: victim.cost):
+        if fits(spec, cpus, gpus, memory_gb):
+            break
+        freed = victim.job.spec
+        cpus += freed.cpus
+        gpus += freed.gpus
+        memory_gb += freed.memory_gb
+        chosen.append(victim)
+        cost += victim.cost
+    return PreemptionPlan(candidate, tuple(chosen), cost) if fits(spec, cpus, gpus, memory_gb) else None
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -5,10 +5,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from driftcleat.capacity.sizing import CandidatePool, Demand, plan_fleet
+from driftcleat.capacity.candidate_pool import CandidatePool
+from driftcleat.capacity.demand import Demand
+from driftcleat.capacity.sizing import plan_fleet
 from driftcleat.cluster import ClusterState, Job, MachineState, apply_heartbeat, commands_for_heartbeat
 from driftcleat.placement.candidates import Candidate, allowed, capacity, fits, spread_limit
-from driftcleat.placement.placement_round import PlacementRound, QuotaHeadroom
+from driftcleat.placement.placement_round import PlacementRound
+from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler import PendingRequest
 from driftcleat.store.records import ScaleOutRecord
 from driftcleat.wire.cloud import MachineType
@@ -317,7 +320,7 @@
 def plain_fill(demand: Demand, rooms: list[Candidate]) -> int:
     """The slow plain model: room by room, in the same order of preference."""
     spec, taken = demand.spec, 0
-    for room in sorted(rooms, key=lambda room: (not room.busy, room.slow_cost(spec), room.gpus, room.cpus)):
+    for room in sorted(rooms, key=lambda room: (not room.busy, room.fetch_weighted_cost(spec), room.gpus, room.cpus)):
         zone_left = demand.tasks - taken
         if demand.per_zone is not None:
             zone_left = min(zone_left, demand.per_zone - demand.zones.get(room.zone, 0))
@@ -351,7 +354,9 @@
                 machine_type.memory_gb * share,
                 busy=share < 1.0,
                 price=machine_type.price,
-                total_resources=(machine_type.cpus, machine_type.gpus, machine_type.memory_gb),
+                total_cpus=machine_type.cpus,
+                total_gpus=machine_type.gpus,
+                total_memory_gb=machine_type.memory_gb,
             )
         )
     plain = [
@@ -365,7 +370,9 @@
             room.memory_gb,
             busy=room.busy,
             price=room.price,
-            total_resources=room.total_resources,
+            total_cpus=room.total_cpus,
+            total_gpus=room.total_gpus,
+            total_memory_gb=room.total_memory_gb,
         )
         for room in rooms
     ]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,8 @@
 from hypothesis import strategies as st
 
 from driftcleat.capacity.arrivals import ArrivalRates
-from driftcleat.capacity.sizing import CapacityPlan, Demand, plan_fleet
+from driftcleat.capacity.demand import Demand
+from driftcleat.capacity.sizing import CapacityPlan, plan_fleet
 from driftcleat.cluster import (
     ClusterState,
     IllegalTransitionError,
@@ -24,7 +25,8 @@
 from driftcleat.leadership.lease import LeaseClock
 from driftcleat.placement.candidates import Candidate, allowed, fits
 from driftcleat.placement.fair_share import FairShareOrder
-from driftcleat.placement.placement_round import PlacementRound, QuotaHeadroom
+from driftcleat.placement.placement_round import PlacementRound
+from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler import PendingRequest, Scheduler, never_fits
 from driftcleat.settings import Tuning
 from driftcleat.store.encoding import encode_batch
