--- /dev/null
+++ b/tests/test_status.py
@@ -0,0 +1,120 @@
+"""The JSON of `/metrics` and `/status`: operators' programs read its keys, so the whole list stands here."""
+
+import json
+from typing import Any
+
+import pytest
+
+from .samples import raw_job
+from .simulation import LABELS, Simulation
+
+# What every controller says, in this order.
+EVERY_CONTROLLER = [
+    "controller",
+    "role",
+    "leader",
+    "term",
+    "holds",
+    "lease_left_s",
+    "build",
+    "batch",
+    "users",
+    "reports",
+    "loop_delay",
+    "parts_s",
+    "requests_shed",
+    "bad_reports",
+    "stale_reports",
+    "bad_peer_messages",
+    "bad_store_answers",
+    "bad_cloud_answers",
+    "connections",
+    "connections_most",
+    "connections_closed",
+    "connections_refused",
+]
+# What a leader says after that.
+LEADER_ONLY = [
+    "data_version",
+    "records_to_move",
+    "jobs_waiting_for_others",
+    "machines",
+    "classes",
+    "waiting_submissions",
+    "waiting_cancellations",
+    "open_rentals",
+    "batches",
+    "rounds",
+    "rounds_cut",
+    "placed",
+    "preempted",
+    "rented",
+    "returned",
+    "exits",
+]
+TIMING = ["count", "p50_ms", "p95_ms", "p99_ms", "p100_ms"]
+
+
+async def shown(sim: Simulation, label: str, path: str = "/status") -> dict[str, Any]:
+    """Return what a controller shows to operators."""
+    answer = await sim.controllers[label].handle_back("GET", path, b"")
+    assert answer.status == 200
+    status: dict[str, Any] = json.loads(answer.body)
+    return status
+
+
+@pytest.mark.parametrize("path", ["/status", "/metrics"])
+def test_a_leader_shows_exactly_these_keys_in_this_order(path: str) -> None:
+    async def story(sim: Simulation) -> None:
+        sim.hand_in(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
+        await sim.until(lambda: len(sim.on_machines()) == 2)
+        await sim.rest(4.0)
+        status = await shown(sim, str(sim.lead()), path)
+        assert list(status) == EVERY_CONTROLLER + LEADER_ONLY
+        for timing in ("build", "batch", "users", "reports", "loop_delay"):
+            assert list(status[timing]) == TIMING
+        assert list(status["parts_s"]) == ["build", "commit", "encode", "orders", "reports", "sizing"]
+        assert [list(row) for row in status["classes"].values()] == [["jobs", "queued", "placed"]]
+
+    Simulation(5).play(story)
+
+
+def test_a_follower_shows_exactly_these_keys_in_this_order() -> None:
+    async def story(sim: Simulation) -> None:
+        follower = next(label for label in LABELS if label != sim.lead())
+        status = await shown(sim, follower)
+        assert list(status) == EVERY_CONTROLLER
+        assert status["role"] == "follower" and status["holds"] is False and status["lease_left_s"] == 0.0
+
+    Simulation(5).play(story)
+
+
+def test_a_status_says_what_the_owners_of_its_figures_know() -> None:
+    async def story(sim: Simulation) -> None:
+        sim.hand_in(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
+        await sim.until(lambda: len(sim.on_machines()) == 2)
+        await sim.rest(4.0)
+        label = str(sim.lead())
+        controller = sim.controllers[label]
+        scheduler = controller.scheduler
+        assert scheduler is not None
+        await controller.handle_front("POST", "/agent/beat", b"{")
+        await controller.answer_peer(b"{")
+        await controller.handle_front("GET", "/v1/jobs/req-000001", b"")
+        status = await shown(sim, label)
+        assert status["controller"] == status["leader"] == label
+        assert status["role"] == "leading" and status["holds"] is True
+        assert status["term"] == controller.election.fencing_token
+        assert 0 < status["lease_left_s"] < controller.election.ttl_s
+        assert status["bad_reports"] == 1 and status["bad_peer_messages"] == 1
+        assert status["bad_store_answers"] == status["bad_cloud_answers"] == 0
+        assert status["connections"] == 0 and status["connections_most"] == 1000
+        assert status["users"]["count"] > 0 and status["reports"]["count"] > 0 and status["batch"]["count"] > 0
+        assert status["data_version"] in (1, 2) and status["records_to_move"] == 0
+        assert status["machines"] == {"up": len(scheduler.cluster.machines)}
+        assert status["classes"] == {sim.specs["req-000001"].job_class: {"jobs": 1, "queued": 0, "placed": 2}}
+        assert status["batches"] == scheduler.counters.batches > 0
+        assert status["placed"] == scheduler.counters.placed == 2
+        assert status["rented"] == scheduler.counters.machines_created > 0
+
+    Simulation(5).play(story)
