--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -3,12 +3,14 @@
 import asyncio
 import logging
 from collections.abc import Callable
+from typing import Any
 
 from driftcleat import wire
 from driftcleat.api.answers import Answer
 from driftcleat.api.server import Reply
 from driftcleat.cluster import Machine, commands_for_heartbeat
 from driftcleat.leadership import ActiveTerm
+from driftcleat.net import ConnectionLimiter
 from driftcleat.runtime.metrics import Metrics
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
@@ -27,11 +29,11 @@
         active_term: ActiveTerm,
         metrics: Metrics,
         clock: Callable[[], float],
+        connections: ConnectionLimiter[Any],
     ) -> None:
         self._platform, self._tuning, self._active_term = platform, tuning, active_term
         self._metrics, self._clock = metrics, clock
-        # Whether there are more connections than are kept; set once the listener is there.
-        self.is_crowded: Callable[[], bool] = lambda: False
+        self._connections = connections
         # When a report was last taken in as a leader.
         self.last_heartbeat_at = float("-inf")
         # How many were.
@@ -75,7 +77,7 @@
         news = scheduler.cluster.has_uncommitted_exits(machine)
         if news or scheduler.has_work:
             self._active_term.wake_committer()
-            if news and not self.is_crowded():
+            if news and not self._connections.crowded:
                 return self._answer_after_news(scheduler, machine, heartbeat, started)
         return self._answer(scheduler, machine, heartbeat, started)
 
--- /dev/null
+++ b/driftcleat/controller/assembly.py
@@ -0,0 +1,150 @@
+"""Builds the parts of a controller: every part gets what it needs in its constructor, and is there afterwards."""
+
+import random
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+
+from driftcleat.api import HeartbeatApi, UserApi
+from driftcleat.cloud.manager import FleetManager
+from driftcleat.controller.commit_pipeline import CommitPipeline
+from driftcleat.controller.network import Network, NetworkFactory, ProcessNetwork
+from driftcleat.controller.overload import OverloadDetector
+from driftcleat.leadership import ActiveTerm, Election, PeerSurvey
+from driftcleat.net import SocketBudget
+from driftcleat.peers import PeerClient
+from driftcleat.peers.server import PeerApi
+from driftcleat.peers.survey import PeerSurveyor
+from driftcleat.runtime.background import Background
+from driftcleat.runtime.metrics import Metrics
+from driftcleat.settings import Platform, Tuning
+from driftcleat.store.client import StoreClient
+from driftcleat.workers.dispatch import StopDispatcher
+
+# Requests that a follower forwards to the leader at once, for each connection to it.
+FORWARDED_PER_CONNECTION = 4
+
+Clock = Callable[[], float]
+AskPeers = Callable[[], Awaitable[PeerSurvey]]
+# Arguments as of `Election`: platform, tuning, store, rng, clock, recover, on step-down, ask all peers, ask leader.
+ElectionFactory = Callable[
+    [
+        Platform,
+        Tuning,
+        StoreClient,
+        random.Random,
+        Clock,
+        Callable[[int], Awaitable[None]],
+        Callable[[], None],
+        AskPeers,
+        AskPeers,
+    ],
+    Election,
+]
+# Arguments as of `UserApi`: platform, tuning, store, peers, active term, clock, and the two limits on requests.
+UserApiFactory = Callable[[Platform, Tuning, StoreClient, PeerClient, ActiveTerm, Clock, int, int], UserApi]
+
+
+@dataclass(frozen=True, slots=True)
+class Factories:
+    """The parts in which a process with one controller, the engine of a share and a simulated controller differ."""
+
+    network: NetworkFactory = ProcessNetwork
+    election: ElectionFactory = Election
+    users: UserApiFactory = UserApi
+
+
+@dataclass(frozen=True, slots=True)
+class TermCallbacks:
+    """What the election has its controller do."""
+
+    # Begins the term with this fencing token.
+    recover: Callable[[int], Awaitable[None]]
+    # Ends it.
+    end_term: Callable[[], None]
+    ask_peers: AskPeers
+
+
+@dataclass(frozen=True, slots=True)
+class ControllerParts:
+    """The parts of one controller."""
+
+    network: Network
+    active_term: ActiveTerm
+    election: Election
+    surveyor: PeerSurveyor
+    users: UserApi
+    heartbeats: HeartbeatApi
+    peer_api: PeerApi
+    commit_pipeline: CommitPipeline
+    dispatcher: StopDispatcher
+    fleet_manager: FleetManager
+    overload: OverloadDetector
+    background: Background
+    metrics: Metrics
+
+
+def build_parts(
+    platform: Platform,
+    tuning: Tuning,
+    rng: random.Random,
+    clock: Clock,
+    network: Network,
+    callbacks: TermCallbacks,
+    factories: Factories,
+) -> ControllerParts:
+    """Build the parts of a controller on its network."""
+    clients = network.clients
+    metrics = Metrics()
+    background = Background()
+    active_term = ActiveTerm()
+    surveyor = PeerSurveyor(platform, clients.peers, active_term, clock)
+    # The active term answers with the election's state, and the election asks its leader through the surveyor.
+    active_term.election = factories.election(
+        platform,
+        tuning,
+        clients.store,
+        rng,
+        clock,
+        callbacks.recover,
+        callbacks.end_term,
+        callbacks.ask_peers,
+        surveyor.ask_leader,
+    )
+    users = _build_users(platform, tuning, clock, network, active_term, factories.users)
+    heartbeats = HeartbeatApi(platform, tuning, active_term, metrics, clock, network.front.limiter)
+    dispatcher = StopDispatcher(platform, tuning, clients.workers, active_term, background, clock)
+    return ControllerParts(
+        network=network,
+        active_term=active_term,
+        election=active_term.election,
+        surveyor=surveyor,
+        users=users,
+        heartbeats=heartbeats,
+        peer_api=PeerApi(platform, clients.store, users, active_term, metrics, clock),
+        commit_pipeline=CommitPipeline(platform, clients.store, active_term, metrics, clock),
+        dispatcher=dispatcher,
+        fleet_manager=FleetManager(
+            platform, tuning, clients.cloud, active_term, heartbeats, dispatcher, background, metrics, clock
+        ),
+        overload=OverloadDetector(platform.report_s),
+        background=background,
+        metrics=metrics,
+    )
+
+
+def _build_users(
+    platform: Platform,
+    tuning: Tuning,
+    clock: Clock,
+    network: Network,
+    active_term: ActiveTerm,
+    make_users: UserApiFactory,
+) -> UserApi:
+    """Build the users' interface; its limits follow from the sockets that users and other controllers may have."""
+    sockets = SocketBudget(platform.fd_limit, len(platform.peers))
+    max_in_progress = sockets.users
+    max_forwarded = sockets.peers.each * FORWARDED_PER_CONNECTION
+    clients = network.clients
+    return make_users(
+        platform, tuning, clients.store, clients.peers, active_term, clock, max_in_progress, max_forwarded
+    )
--- a/driftcleat/controller/clients.py
+++ b/driftcleat/controller/clients.py
@@ -1,44 +1,60 @@
-"""The clients of one process: each use has connections of its own, so what hangs in one takes none from another."""
+"""The clients of one process. Each use has connections of its own, so a request that hangs blocks no other use."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from driftcleat.cloud.client import CloudClient
 from driftcleat.net import HttpClient, SocketBudget
+from driftcleat.peers import PeerClient
 from driftcleat.settings import Platform
 from driftcleat.store.client import StoreClient, StoreLimits
 from driftcleat.workers import WorkerClient
 
-# A request to the store has this part of a report interval.
+# The timeout of a request to the state service, as a fraction of the heartbeat interval.
 STORE_TIMEOUT = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Clients:
-    """Clients of store, cloud and workers, connections to other controllers, and what is to be closed in the end."""
+class ControllerClients:
+    """What one controller, or the engine of one share, sends its requests with."""
+
+    store: StoreClient
+    cloud: CloudClient
+    workers: WorkerClient
+    peers: PeerClient
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessClients:
+    """The clients of a process: `peers` is the HTTP client under every `PeerClient`."""
 
     store: StoreClient
     cloud: CloudClient
     workers: WorkerClient
     peers: HttpClient
+    # All HTTP clients, in the order in which they are closed.
     connections: list[HttpClient]
 
+    def for_controller(self, platform: Platform) -> ControllerClients:
+        """Return the clients of the only controller of this process."""
+        return ControllerClients(self.store, self.cloud, self.workers, PeerClient(self.peers, platform))
+
 
 def store_limits(platform: Platform) -> StoreLimits:
-    """Return what the store takes of a process."""
+    """Return the limits on requests to the state service: rates per second, and the timeout in seconds."""
     return StoreLimits(platform.state_rps, platform.write_rps, platform.report_s * STORE_TIMEOUT)
 
 
-def connect(platform: Platform, sockets: SocketBudget, clock: Callable[[], float]) -> Clients:
-    """Make the clients of a process."""
+def make_clients(platform: Platform, sockets: SocketBudget, clock: Callable[[], float]) -> ProcessClients:
+    """Make the clients of a process; nothing is connected before the first request."""
     store, lease, cloud, peers, workers = connections = [
-        part.client(platform.lease_s)
-        for part in (sockets.store, sockets.lease, sockets.cloud, sockets.peers, sockets.workers)
+        allowance.client(platform.lease_s)
+        for allowance in (sockets.store, sockets.lease, sockets.cloud, sockets.peers, sockets.workers)
     ]
-    return Clients(
-        StoreClient(store, lease, platform.state, store_limits(platform), clock),
-        CloudClient(cloud, platform.cloud, platform.cloud_rps, platform.report_s, clock),
-        WorkerClient(workers, platform.report_s, sockets.workers.total),
-        peers,
-        connections,
+    return ProcessClients(
+        store=StoreClient(store, lease, platform.state, store_limits(platform), clock),
+        cloud=CloudClient(cloud, platform.cloud, platform.cloud_rps, platform.report_s, clock),
+        workers=WorkerClient(workers, platform.report_s, sockets.workers.total),
+        peers=peers,
+        connections=connections,
     )
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller: puts the parts together and runs their loops. All decisions are made in `term`."""
+"""One controller: its parts, the loops that run them, and its leader terms. The scheduler makes all decisions."""
 
 import asyncio
 import logging
@@ -7,43 +7,29 @@
 from collections.abc import Awaitable, Callable
 
 from driftcleat import wire
-from driftcleat.api import Answer, HeartbeatApi, Listener, UserApi, serve
+from driftcleat.api import Answer
 from driftcleat.api.server import Reply
-from driftcleat.cloud.manager import FleetManager
-from driftcleat.controller.clients import connect
-from driftcleat.controller.commit_pipeline import CommitPipeline
-from driftcleat.controller.overload import OverloadDetector
+from driftcleat.controller.assembly import Factories, TermCallbacks, build_parts
+from driftcleat.controller.network import HEARTBEAT_PATH
 from driftcleat.controller.recovery import recover
-from driftcleat.leadership import ActiveTerm, Election, PeerSurvey
-from driftcleat.net import HttpClient, SocketBudget
-from driftcleat.peers import PeerClient
-from driftcleat.peers.server import PeerApi
-from driftcleat.peers.survey import PeerSurveyor
-from driftcleat.runtime.background import Background, run_for_ever
-from driftcleat.runtime.metrics import Metrics
+from driftcleat.leadership import PeerSurvey
+from driftcleat.runtime.background import run_for_ever
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.records import DATA_VERSION
-from driftcleat.workers.dispatch import StopDispatcher
 
 log = logging.getLogger(__name__)
 
-# What a process takes at the least (measured), in MB.
-LEAST_MEMORY_MB = 64
-# Where workers send their reports.
-REPORTS = "/agent/beat"
-# The largest message between controllers.
-MOST_PEER_BODY = 256 * 1024
-# The pause after a loop that failed, of the report interval.
-FAILURE_PAUSE = 1 / 10
-# Requests that a follower passes on to the leader at once, for each connection to it.
-PASSED_ON_A_CONNECTION = 4
+# The least memory that a process needs (measured), in MB.
+MIN_MEMORY_MB = 64
+# The pause before a loop that failed runs again, as a fraction of the heartbeat interval.
+LOOP_RESTART_PAUSE = 1 / 10
 # The pause between two looks at the event loop's delay, of the report interval.
 DELAY_PAUSE = 1 / 10
 
 
 class Controller:
-    """One controller process."""
+    """One controller process, or the engine of one share in a process with several."""
 
     def __init__(
         self,
@@ -52,87 +38,56 @@
         rng: random.Random | None = None,
         clock: Callable[[], float] = time.monotonic,
         wall: Callable[[], float] = time.time,
+        factories: Factories | None = None,
     ) -> None:
-        self.platform, self.tuning, self.clock, self.wall = platform, tuning, clock, wall
+        self.platform = platform
+        self.tuning = tuning
+        self.clock = clock
+        self.wall = wall
         self.rng = rng if rng is not None else random.Random()
-        self.metrics = Metrics()
-        self.background = Background()
-        self.active_term = ActiveTerm()
-        self.overload = OverloadDetector(platform.report_s)
+        factories = factories if factories is not None else Factories()
+        network = factories.network(platform, clock, self.reply_front, self.handle_back)
+        callbacks = TermCallbacks(self._recover, self._end_term, self._ask_peers)
+        parts = build_parts(platform, tuning, self.rng, clock, network, callbacks, factories)
+        self._network = network
+        self.front = network.front
+        self.store = network.clients.store
+        self.cloud = network.clients.cloud
+        self.workers = network.clients.workers
+        self.peers = network.clients.peers
+        self.active_term = parts.active_term
+        self.election = parts.election
+        self.surveyor = parts.surveyor
+        self.users = parts.users
+        self.heartbeats = parts.heartbeats
+        self.peer_api = parts.peer_api
+        self.commit_pipeline = parts.commit_pipeline
+        self.dispatcher = parts.dispatcher
+        self.fleet_manager = parts.fleet_manager
+        self.overload = parts.overload
+        self.background = parts.background
+        self.metrics = parts.metrics
         self._leader_reached_at = float("-inf")
+        self._is_serving = False
 
     async def run(self) -> None:
         """Serve for ever."""
         platform = self.platform
-        sockets = SocketBudget(platform.fd_limit, len(platform.peers))
-        clients = self.connect(sockets)
-        self._assemble(sockets)
-        servers = await self.listen(sockets)
-        if platform.memory_mb < LEAST_MEMORY_MB:
-            log.warning(
-                "deployment.resources.memory_mb is %g: about %d are needed", platform.memory_mb, LEAST_MEMORY_MB
-            )
-        log.info("controller %s listens on %s and %s", platform.label, platform.bind, platform.back)
-        pause_s = platform.report_s * FAILURE_PAUSE
-        try:
+        async with self._network.serve():
+            self._is_serving = True
+            if platform.memory_mb < MIN_MEMORY_MB:
+                log.warning(
+                    "deployment.resources.memory_mb is %g: at least %d are needed", platform.memory_mb, MIN_MEMORY_MB
+                )
+            log.info("controller %s: listening on %s and %s", platform.label, platform.bind, platform.back)
+            pause_s = platform.report_s * LOOP_RESTART_PAUSE
+            # Not a TaskGroup: a loop that is cancelled ends the process here, a group would go on without it.
             await asyncio.gather(*(run_for_ever(loop, pause_s) for loop in self._loops()))
-        finally:
-            for server in servers:
-                await server.cleanup()
-            for client in clients:
-                await client.close()
-
-    def connect(self, sockets: SocketBudget) -> list[HttpClient]:
-        """Make the clients; return what is to be closed in the end."""
-        clients = connect(self.platform, sockets, self.clock)
-        self.store, self.cloud, self.workers = clients.store, clients.cloud, clients.workers
-        self.peers = PeerClient(clients.peers, self.platform)
-        return clients.connections
-
-    def _assemble(self, sockets: SocketBudget) -> None:
-        """Make the parts that need the clients."""
-        platform, tuning, active_term, clock = self.platform, self.tuning, self.active_term, self.clock
-        self.users = UserApi(
-            platform,
-            tuning,
-            self.store,
-            self.peers,
-            active_term,
-            clock,
-            most_in_progress=sockets.users,
-            most_passed_on=sockets.peers.each * PASSED_ON_A_CONNECTION,
-        )
-        self.heartbeats = HeartbeatApi(platform, tuning, active_term, self.metrics, clock)
-        self.surveyor = PeerSurveyor(platform, self.peers, active_term, clock)
-        self.election = active_term.election = self.make_election()
-        self.peer_api = PeerApi(platform, self.store, self.users, active_term, self.metrics, clock)
-        self.commit_pipeline = CommitPipeline(platform, self.store, active_term, self.metrics, clock)
-        self.dispatcher = StopDispatcher(platform, tuning, self.workers, active_term, self.background, clock)
-        self.fleet_manager = FleetManager(
-            platform,
-            tuning,
-            self.cloud,
-            active_term,
-            self.heartbeats,
-            self.dispatcher,
-            self.background,
-            self.metrics,
-            clock,
-        )
 
-    def make_election(self) -> Election:
-        """Return this controller's part in the election."""
-        return Election(
-            self.platform,
-            self.tuning,
-            self.store,
-            self.rng,
-            self.clock,
-            self._recover,
-            self._end_term,
-            self._ask_peers,
-            self.surveyor.ask_leader,
-        )
+    @property
+    def is_serving(self) -> bool:
+        """Whether this controller was started: its listeners are open, its loops run."""
+        return self._is_serving
 
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
         return [
@@ -168,13 +123,6 @@
         machines = self.active_term.scheduler.cluster.machines.values()
         return sum(machine.last_heartbeat is not None and machine.last_heartbeat_at > since for machine in machines)
 
-    async def listen(self, sockets: SocketBudget) -> list[Listener]:
-        """Open the addresses that are served."""
-        self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=REPORTS)
-        back = await serve(self.platform.back, self.handle_back, sockets.back, MOST_PEER_BODY)
-        self.heartbeats.is_crowded = lambda: self.front.limiter.crowded
-        return [back, self.front]
-
     # -- terms --------------------------------------------------------------------------------------------
 
     @property
@@ -220,13 +168,13 @@
 
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
         """Answer a request at `bind`; reports, the most of them, at once if possible."""
-        if path == REPORTS and method == "POST":
+        if path == HEARTBEAT_PATH and method == "POST":
             return self.heartbeats.handle(body)
         return self.handle_front(method, path, body)
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
         """Answer a request at `bind`."""
-        if path == REPORTS:
+        if path == HEARTBEAT_PATH:
             if method != "POST":
                 return Answer.error(405, "only POST is allowed here")
             reply = self.heartbeats.handle(body)
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -42,10 +42,6 @@
         # The data versions that the other controllers have said they can write.
         self._versions: dict[str, int] = {}
 
-    def use(self, users: UserApi) -> None:
-        """Have users' requests that are passed on answered by this interface from now on."""
-        self._users = users
-
     async def answer(self, body: bytes) -> Answer:
         """Answer one message."""
         try:
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -5,16 +5,17 @@
 import logging
 import random
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING
+from functools import partial
+from typing import TYPE_CHECKING, Any
 
 from driftcleat import wire
-from driftcleat.api.server import Listener
-from driftcleat.api.users import FINAL
+from driftcleat.api.server import Handler
+from driftcleat.api.users import FINAL, UserApi
 from driftcleat.cluster import JobState
-from driftcleat.controller.clients import store_limits
+from driftcleat.controller.assembly import Factories
+from driftcleat.controller.clients import ControllerClients, store_limits
 from driftcleat.controller.controller import Controller
-from driftcleat.leadership import Election
-from driftcleat.net import HttpClient, SocketBudget
+from driftcleat.controller.network import SharedNetwork
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.sharing.allotments import Amount, allotted, guarantee_share, is_divided
@@ -54,48 +55,17 @@
     ) -> None:
         # Its own table of teams: the parts of the limits change while a term lasts.
         own = dataclasses.replace(platform, teams=dict(platform.teams))
-        super().__init__(own, tuning, rng, host.clock, host.wall)
-        self.host, self.share = host, share
+        factories = Factories(
+            network=partial(_share_network, host, share),
+            election=partial(ShareElection, share, host.view, host.process_lease),
+            users=partial(_share_users, host, share),
+        )
+        super().__init__(own, tuning, rng, host.clock, host.wall, factories)
+        self.host = host
+        self.share = share
         self._full_teams = platform.teams
         self._pins: dict[str, Pin] = {}
 
-    def connect(self, sockets: SocketBudget) -> list[HttpClient]:
-        """Use the host's clients."""
-        host = self.host
-        self.store = ShareStore(host.store, self.share, host.process_lease, store_limits(self.platform))
-        self.cloud = ShareCloud(host.cloud, self.share, host.view, host.registry, self.platform, self.clock)
-        self.peers = host.make_peers(self.share)
-        self.workers = host.workers
-        return []
-
-    async def listen(self, sockets: SocketBudget) -> list[Listener]:
-        """Use the host's listeners."""
-        self.front = self.host.front
-        self.heartbeats.is_crowded = lambda: self.host.front.limiter.crowded
-        return []
-
-    def make_election(self) -> Election:
-        """Return this controller's part in the share's election."""
-        return ShareElection(
-            self.share,
-            self.host.view,
-            self.host.process_lease,
-            self.platform,
-            self.tuning,
-            self.store,
-            self.rng,
-            self.clock,
-            self._recover,
-            self._end_term,
-            self._ask_peers,
-            self.surveyor.ask_leader,
-        )
-
-    def _assemble(self, sockets: SocketBudget) -> None:
-        super()._assemble(sockets)
-        self.users = ShareUserApi.beside(self.users, self.share, self.host)
-        self.peer_api.use(self.users)
-
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
         return [*super()._loops(), self._watch_needs]
 
@@ -225,6 +195,24 @@
         return JobState(state) if state in FINAL else None
 
 
+def _share_network(
+    host: "SharingHost", share: int, platform: Platform, clock: Callable[[], float], *_: Handler
+) -> SharedNetwork:
+    """Return the host's network as one share uses it; the host passes on the requests that concern the share."""
+    clients = ControllerClients(
+        store=ShareStore(host.store, share, host.process_lease, store_limits(platform)),
+        cloud=ShareCloud(host.cloud, share, host.view, host.registry, platform, clock),
+        workers=host.workers,
+        peers=host.make_peers(share),
+    )
+    return SharedNetwork(clients, host.front)
+
+
+def _share_users(host: "SharingHost", share: int, *arguments: Any) -> ShareUserApi:
+    """Return the users' interface of one share, in place of the one that these arguments are for."""
+    return ShareUserApi.beside(UserApi(*arguments), share, host)
+
+
 def _needs_elsewhere(scheduler: Scheduler) -> set[str]:
     needs = (
         set().union(*scheduler.cluster.dependencies.unmet_dependencies.values())
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -14,8 +14,9 @@
 from driftcleat import wire
 from driftcleat.api import Answer, Listener, serve
 from driftcleat.api.server import Reply
-from driftcleat.controller.clients import connect
-from driftcleat.controller.controller import FAILURE_PAUSE, MOST_PEER_BODY, REPORTS
+from driftcleat.controller.clients import make_clients
+from driftcleat.controller.controller import LOOP_RESTART_PAUSE
+from driftcleat.controller.network import HEARTBEAT_PATH, MAX_PEER_BODY
 from driftcleat.leadership import Election
 from driftcleat.net import HttpClient, SocketBudget
 from driftcleat.peers import PeerClient
@@ -80,7 +81,7 @@
         self._assemble()
         servers = await self.listen(sockets)
         log.info("controller %s shares machines, up to %d shares", self.platform.label, self.settings.shares)
-        pause_s = self.platform.report_s * FAILURE_PAUSE
+        pause_s = self.platform.report_s * LOOP_RESTART_PAUSE
         loops: Sequence[Callable[[], Awaitable[None]]] = [
             self.view.run,
             self.transfers.run,
@@ -104,7 +105,7 @@
 
     def connect(self, sockets: SocketBudget) -> list[HttpClient]:
         """Make the clients; return what is to be closed in the end."""
-        clients = connect(self.platform, sockets, self.clock)
+        clients = make_clients(self.platform, sockets, self.clock)
         self.store, self.cloud, self.workers = clients.store, clients.cloud, clients.workers
         self._peer_client = clients.peers
         return clients.connections
@@ -230,13 +231,13 @@
 
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
         """Open the addresses that are served."""
-        self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=REPORTS)
-        back = await serve(self.platform.back, self.handle_back, sockets.back, MOST_PEER_BODY)
+        self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=HEARTBEAT_PATH)
+        back = await serve(self.platform.back, self.handle_back, sockets.back, MAX_PEER_BODY)
         return [back, self.front]
 
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
         """Answer a request at `bind`; reports go to the engine of their machine's share."""
-        if path != REPORTS or method != "POST":
+        if path != HEARTBEAT_PATH or method != "POST":
             return self.handle_front(method, path, body)
         try:
             machine = wire.decode(body, ReportingMachine).name
@@ -264,11 +265,11 @@
 
     def is_set_up(self, share: int) -> bool:
         """Whether the engine of a share serves."""
-        return share in self.engines and hasattr(self.engines[share], "front")
+        return share in self.engines and self.engines[share].is_serving
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
         """Answer a request at `bind`."""
-        if path == REPORTS:
+        if path == HEARTBEAT_PATH:
             reply = self.reply_front(method, path, body) if method == "POST" else None
             if reply is None:
                 return Answer.error(405, "only POST is allowed here")
--- a/tests/sharing_simulation.py
+++ b/tests/sharing_simulation.py
@@ -7,8 +7,7 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.controller.clients import store_limits
-from driftcleat.net import ConnectionLimiter, SocketBudget
+from driftcleat.net import SocketBudget
 from driftcleat.settings import Platform, Tuning
 from driftcleat.sharing.allotments import Allotment, limit_of
 from driftcleat.sharing.host import SharingHost
@@ -16,7 +15,7 @@
 from driftcleat.sharing.settings import SharingSettings
 from driftcleat.store.records import LEADER_KEY, ROOT_PREFIX
 
-from .simulation import LABELS, Simulation, _Cloud, _Peers, _Store, _Workers
+from .simulation import LABELS, Simulation, _Peers, belong_to, simulated_clients, simulated_front
 from .standins import WatchingStore
 from .world import PlainWorker, RuleBrokenError, Running
 
@@ -32,26 +31,21 @@
         self.simulation = simulation
 
     def connect(self, sockets: SocketBudget) -> list[Any]:
-        none: Any = SimpleNamespace()
-        platform = self.platform
-        self.store = self._named(_Store(none, none, "", store_limits(platform), self.clock))
-        self.cloud = self._named(_Cloud(none, "", platform.cloud_rps, platform.report_s, self.clock))
-        self.workers = self._named(_Workers(none, platform.report_s, 64))
+        clients = simulated_clients(self.simulation, self.platform, self.clock)
+        self.store, self.cloud, self.workers = clients.store, clients.cloud, clients.workers
         return []
 
-    def _named(self, client: Any) -> Any:
-        client.simulation, client.label = self.simulation, self.platform.label
-        return client
-
     def make_peers(self, share: int) -> Any:
         return self.make_sharing_client("/peer" if share == 0 else f"/peer/{share}")
 
     def make_sharing_client(self, path: str) -> Any:
         none: Any = SimpleNamespace()
-        return self._named(_Peers(none, self.platform, path))
+        client = _Peers(none, self.platform, path)
+        belong_to(client, self.simulation, self.platform)
+        return client
 
     async def listen(self, sockets: SocketBudget) -> list[Any]:
-        self.front = SimpleNamespace(limiter=ConnectionLimiter(1000, lambda guest: None))  # type: ignore[assignment]
+        self.front = simulated_front()
         return []
 
 
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -15,10 +15,12 @@
 
 from driftcleat import wire
 from driftcleat.cloud.client import CloudClient
-from driftcleat.controller.clients import store_limits
+from driftcleat.controller.assembly import Factories
+from driftcleat.controller.clients import ControllerClients, store_limits
 from driftcleat.controller.controller import Controller
+from driftcleat.controller.network import SharedNetwork
 from driftcleat.leadership import Role
-from driftcleat.net import ConnectionLimiter, HttpAnswer, HttpError, SocketBudget
+from driftcleat.net import ConnectionLimiter, HttpAnswer, HttpError
 from driftcleat.peers import PeerClient
 from driftcleat.placement.candidates import allowed, fits
 from driftcleat.settings import Tuning
@@ -122,27 +124,38 @@
         return HttpAnswer(*await asyncio.wait_for(self.simulation.to_worker(self.label, addr, body), timeout_s))
 
 
+def simulated_clients(simulation: "Simulation", platform: Platform, clock: Callable[[], float]) -> ControllerClients:
+    """Return clients whose messages are handed to the simulation."""
+    none: Any = SimpleNamespace()
+    clients = ControllerClients(
+        store=_Store(none, none, "", store_limits(platform), clock),
+        cloud=_Cloud(none, "", platform.cloud_rps, platform.report_s, clock),
+        workers=_Workers(none, platform.report_s, 64),
+        peers=_Peers(none, platform),
+    )
+    for client in (clients.store, clients.cloud, clients.workers, clients.peers):
+        belong_to(client, simulation, platform)
+    return clients
+
+
+def belong_to(client: Any, simulation: "Simulation", platform: Platform) -> None:
+    """Have a client hand its messages to the simulation, as those of this controller."""
+    client.simulation = simulation
+    client.label = platform.label
+
+
+def simulated_front() -> Any:
+    """Return what a controller needs to see of a listener."""
+    return SimpleNamespace(limiter=ConnectionLimiter(1000, lambda guest: None))
+
+
 class SimulatedController(Controller):
     """The real controller without sockets."""
 
     def __init__(self, simulation: "Simulation", platform: Platform, rng: random.Random) -> None:
         loop = asyncio.get_running_loop()
-        super().__init__(platform, Tuning(), rng, loop.time, loop.time)
-        self.simulation = simulation
-
-    def connect(self, sockets: SocketBudget) -> list[Any]:
-        platform, none, label = self.platform, SimpleNamespace(), self.platform.label
-        self.store = _Store(none, none, "", store_limits(platform), self.clock)  # type: ignore[arg-type]
-        self.cloud = _Cloud(none, "", platform.cloud_rps, platform.report_s, self.clock)  # type: ignore[arg-type]
-        self.peers = _Peers(none, platform)  # type: ignore[arg-type]
-        self.workers = _Workers(none, platform.report_s, 64)  # type: ignore[arg-type]
-        for client in (self.store, self.cloud, self.peers, self.workers):
-            client.simulation, client.label = self.simulation, label
-        return []
-
-    async def listen(self, sockets: SocketBudget) -> list[Any]:
-        self.front = SimpleNamespace(limiter=ConnectionLimiter(1000, lambda guest: None))  # type: ignore[assignment]
-        return []
+        network = SharedNetwork(simulated_clients(simulation, platform, loop.time), simulated_front())
+        super().__init__(platform, Tuning(), rng, loop.time, loop.time, Factories(network=lambda *_: network))
 
 
 def as_production_says(body: bytes) -> bytes:
@@ -309,17 +322,13 @@
     def lead(self) -> str | None:
         """Return who leads for certain."""
         return next(
-            (
-                label
-                for label in sorted(self.processes)
-                if hasattr(self.controllers[label], "election") and self.controllers[label].may_decide
-            ),
+            (label for label in sorted(self.processes) if self.controllers[label].may_decide),
             None,
         )
 
     def up(self, label: str) -> bool:
         """Whether a controller's process runs and is set up."""
-        return label in self.processes and hasattr(self.controllers[label], "front")
+        return label in self.processes and self.controllers[label].is_serving
 
     def role(self, label: str) -> Role:
         """Return a controller's role."""
