--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -7,6 +7,7 @@
 from driftcleat.api import HeartbeatApi, UserApi
 from driftcleat.cloud.manager import FleetManager
 from driftcleat.controller.commit_pipeline import CommitPipeline
+from driftcleat.controller.loop_delay import LoopDelayMonitor
 from driftcleat.controller.network import Network, NetworkFactory, ProcessNetwork
 from driftcleat.controller.overload import OverloadDetector
 from driftcleat.leadership import ActiveTerm, Election, PeerSurvey
@@ -79,6 +80,7 @@
     dispatcher: StopDispatcher
     fleet_manager: FleetManager
     overload: OverloadDetector
+    loop_delay: LoopDelayMonitor
     background: Background
     metrics: Metrics
 
@@ -96,6 +98,7 @@
     clients = network.clients
     metrics = Metrics()
     background = Background()
+    overload = OverloadDetector(platform.report_s)
     active_term = ActiveTerm()
     surveyor = PeerSurveyor(platform, clients.peers, active_term, clock)
     # The active term answers with the election's state, and the election asks its leader through the surveyor.
@@ -126,7 +129,8 @@
         fleet_manager=FleetManager(
             platform, tuning, clients.cloud, active_term, heartbeats, dispatcher, background, metrics, clock
         ),
-        overload=OverloadDetector(platform.report_s),
+        overload=overload,
+        loop_delay=LoopDelayMonitor(platform, active_term, heartbeats, overload, metrics, clock),
         background=background,
         metrics=metrics,
     )
--- /dev/null
+++ b/driftcleat/controller/loop_delay.py
@@ -0,0 +1,65 @@
+"""Measures how late the event loop runs what is due, and whether the leader gets fewer heartbeats for it."""
+
+import asyncio
+from collections.abc import Callable
+
+from driftcleat.api import HeartbeatApi
+from driftcleat.controller.overload import OverloadDetector
+from driftcleat.leadership import ActiveTerm
+from driftcleat.runtime.metrics import Metrics
+from driftcleat.settings import Platform
+
+# The pause between two measurements, as a fraction of the heartbeat interval.
+MEASUREMENT_PAUSE = 1 / 10
+
+
+class LoopDelayMonitor:
+    """Records the event loop's delay, and tells the overload detector once in each heartbeat interval."""
+
+    def __init__(
+        self,
+        platform: Platform,
+        active_term: ActiveTerm,
+        heartbeats: HeartbeatApi,
+        overload: OverloadDetector,
+        metrics: Metrics,
+        clock: Callable[[], float],
+    ) -> None:
+        self._heartbeat_interval_s = platform.report_s
+        self._worker_lease_s = platform.lease_s
+        self._active_term = active_term
+        self._heartbeats = heartbeats
+        self._overload = overload
+        self._metrics = metrics
+        self._clock = clock
+
+    async def run(self) -> None:
+        """Measure for ever."""
+        interval_s = self._heartbeat_interval_s
+        while True:
+            began_at = self._clock()
+            received_before = self._heartbeats.heartbeats_received
+            max_delay_s = 0.0
+            while self._clock() - began_at < interval_s:
+                max_delay_s = max(max_delay_s, await self._measure())
+            intervals = (self._clock() - began_at) / interval_s
+            received = round((self._heartbeats.heartbeats_received - received_before) / intervals)
+            self._overload.record_interval(received, self._machines_alive(), max_delay_s)
+
+    async def _measure(self) -> float:
+        """Pause once; return by how many seconds the pause was too long."""
+        pause_s = self._heartbeat_interval_s * MEASUREMENT_PAUSE
+        due_at = self._clock() + pause_s
+        await asyncio.sleep(pause_s)
+        delay_s = max(0.0, self._clock() - due_at)
+        self._metrics.loop_delay.record(delay_s)
+        return delay_s
+
+    def _machines_alive(self) -> int:
+        """Return how many machines have sent a heartbeat to this leader within their lease."""
+        scheduler = self._active_term.scheduler
+        if scheduler is None:
+            return 0
+        since = self._clock() - self._worker_lease_s
+        machines = scheduler.cluster.machines.values()
+        return sum(machine.last_heartbeat is not None and machine.last_heartbeat_at > since for machine in machines)
--- /dev/null
+++ b/driftcleat/controller/routes.py
@@ -0,0 +1,86 @@
+"""The HTTP routes of a controller: users and workers at `bind` (front), other controllers and operators at `back`."""
+
+from collections.abc import Callable
+
+from driftcleat import wire
+from driftcleat.api import Answer
+from driftcleat.api.server import Reply
+from driftcleat.controller.assembly import ControllerParts
+from driftcleat.controller.network import HEARTBEAT_PATH
+from driftcleat.controller.status import StatusReport
+from driftcleat.peers.client import PATH as PEER_PATH
+from driftcleat.settings import Platform, Tuning
+
+READY_PATH = "/ready"
+STATUS_PATHS = ("/metrics", "/status")
+
+
+class Routes:
+    """Hands each request to the part of the controller that answers it."""
+
+    def __init__(
+        self, platform: Platform, tuning: Tuning, clock: Callable[[], float], parts: ControllerParts
+    ) -> None:
+        self._clock = clock
+        self._election = parts.election
+        self._surveyor = parts.surveyor
+        self._users = parts.users
+        self._heartbeats = parts.heartbeats
+        self._peer_api = parts.peer_api
+        self._metrics = parts.metrics
+        self._status = StatusReport(platform.label, clock, parts)
+        # For how long a controller stays ready without having reached a leader.
+        self._ready_s = platform.lease_s * tuning.ready
+        self._leader_reached_at = float("-inf")
+
+    def reply_front(self, method: str, path: str, body: bytes) -> Reply:
+        """Answer a request at `bind`: heartbeats, which are most of them, without a task if possible."""
+        if path == HEARTBEAT_PATH and method == "POST":
+            return self._heartbeats.handle(body)
+        return self.handle_front(method, path, body)
+
+    async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
+        """Answer a request at `bind`."""
+        if path == HEARTBEAT_PATH:
+            if method != "POST":
+                return _method_not_allowed("POST")
+            reply = self._heartbeats.handle(body)
+            return reply if isinstance(reply, Answer) else await reply
+        if path == READY_PATH:
+            if method != "GET":
+                return _method_not_allowed("GET")
+            return Answer(200, b'{"ready":true}') if await self._is_ready() else self._users.unavailable("not ready")
+        started_at = self._clock()
+        answer = await self._users.handle(method, path, body)
+        self._metrics.user_request_latency.record(self._clock() - started_at)
+        return answer if answer is not None else _not_found()
+
+    async def _is_ready(self) -> bool:
+        """Whether this controller leads, or has reached the leader lately; a short failover does not change it.
+
+        Guards against a follower that the leader refuses, or that takes a dead controller for the leader: it would
+        draw its share of the users and could do nothing for them.
+        """
+        if self._election.may_answer_heartbeats or await self._surveyor.reaches_leader():
+            self._leader_reached_at = self._clock()
+        return self._clock() - self._leader_reached_at < self._ready_s
+
+    async def handle_back(self, method: str, path: str, body: bytes) -> Answer:
+        """Answer a request at `back`."""
+        if path == PEER_PATH:
+            return await self.answer_peer(body) if method == "POST" else _method_not_allowed("POST")
+        if path in STATUS_PATHS:
+            return Answer(200, wire.encode(self._status.read())) if method == "GET" else _method_not_allowed("GET")
+        return _not_found()
+
+    async def answer_peer(self, body: bytes) -> Answer:
+        """Answer another controller's message."""
+        return await self._peer_api.answer(body)
+
+
+def _method_not_allowed(allowed: str) -> Answer:
+    return Answer.error(405, f"only {allowed} is allowed here")
+
+
+def _not_found() -> Answer:
+    return Answer.error(404, "no such path")
--- /dev/null
+++ b/driftcleat/controller/status.py
@@ -0,0 +1,102 @@
+"""The JSON of `/status` and `/metrics`. Its keys and their order are an interface for operators."""
+
+from collections.abc import Callable
+from typing import Any
+
+from driftcleat.cluster import ClusterState
+from driftcleat.controller.assembly import ControllerParts
+from driftcleat.leadership import Election
+from driftcleat.net import ConnectionLimiter
+from driftcleat.scheduler import Scheduler
+
+
+class StatusReport:
+    """Gathers the status of one controller from the owners of its figures."""
+
+    def __init__(self, label: str, clock: Callable[[], float], parts: ControllerParts) -> None:
+        self._label = label
+        self._clock = clock
+        self._parts = parts
+
+    def read(self) -> dict[str, Any]:
+        """Return the status as it is now; a follower's lacks the figures of a leader term."""
+        parts = self._parts
+        clients = parts.network.clients
+        status = {
+            **self._leadership(parts.election),
+            **parts.metrics.durations(),
+            "requests_shed": parts.users.requests_shed,
+            **parts.metrics.rejected_messages(),
+            "bad_store_answers": clients.store.malformed_responses,
+            "bad_cloud_answers": clients.cloud.malformed_responses,
+            **_connections(parts.network.front.limiter),
+        }
+        scheduler = parts.active_term.scheduler
+        if scheduler is not None:
+            status |= _work(scheduler) | _counters(scheduler)
+        return status
+
+    def _leadership(self, election: Election) -> dict[str, Any]:
+        return {
+            "controller": self._label,
+            "role": election.role.value,
+            "leader": election.leader,
+            "term": election.leader_fencing_token,
+            "holds": self._parts.active_term.may_decide,
+            "lease_left_s": round(election.lease.remaining_s(self._clock()), 3),
+        }
+
+
+def _connections(limiter: ConnectionLimiter[Any]) -> dict[str, int]:
+    return {
+        "connections": len(limiter.open),
+        "connections_most": limiter.most,
+        "connections_closed": limiter.last_answers,
+        "connections_refused": limiter.turned_away,
+    }
+
+
+def _work(scheduler: Scheduler) -> dict[str, Any]:
+    """Return what the leader has to do, and on which machines."""
+    return {
+        "data_version": 2 if scheduler.layout.version_2_active else 1,
+        "records_to_move": len(scheduler.migration.jobs_to_migrate),
+        "jobs_waiting_for_others": len(scheduler.cluster.dependencies.unmet_dependencies),
+        "machines": _machines_by_state(scheduler.cluster),
+        "classes": _jobs_by_class(scheduler.cluster),
+        "waiting_submissions": scheduler.admission.waiting_submissions,
+        "waiting_cancellations": scheduler.admission.waiting_cancellations,
+        "open_rentals": len(scheduler.scale_out.open),
+    }
+
+
+def _counters(scheduler: Scheduler) -> dict[str, Any]:
+    """Return what the scheduler has counted in this term."""
+    counters = scheduler.counters
+    return {
+        "batches": counters.batches,
+        "rounds": counters.rounds,
+        "rounds_cut": counters.rounds_truncated,
+        "placed": counters.placed,
+        "preempted": counters.preempted,
+        "rented": counters.machines_created,
+        "returned": counters.machines_deleted,
+        "exits": counters.exits,
+    }
+
+
+def _machines_by_state(cluster: ClusterState) -> dict[str, int]:
+    machines: dict[str, int] = {}
+    for machine in cluster.machines.values():
+        machines[machine.state.value] = machines.get(machine.state.value, 0) + 1
+    return machines
+
+
+def _jobs_by_class(cluster: ClusterState) -> dict[str, dict[str, int]]:
+    classes: dict[str, dict[str, int]] = {}
+    for job in cluster.jobs.values():
+        row = classes.setdefault(job.spec.job_class, {"jobs": 0, "queued": 0, "placed": 0})
+        row["jobs"] += 1
+        row["queued"] += job.tasks_queued
+        row["placed"] += len(job.placements)
+    return classes
--- a/driftcleat/runtime/__init__.py
+++ b/driftcleat/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every part of a process uses: contained side tasks and loops, and metrics."""
+"""What every part of a process uses: background tasks and loops that no error ends, and metrics."""
