--- /dev/null
+++ b/tests/test_surfaces.py
@@ -0,0 +1,520 @@
+"""What others rely on, held as written text: settings, command line, JSON, store keys, messages, values of states.
+
+Each surface is described by a function and held in a file of `tests/surfaces`. The files were written by these same
+functions from the sources of 0.7.0, before the names in the code were changed: the functions name no struct and no
+attribute, so they describe both alike. A file changes only with an intended change of the interface; then
+`description(NAME)` gives its new text.
+"""
+
+import dataclasses
+import enum
+import importlib
+import json
+import os
+import pkgutil
+import re
+import subprocess
+import sys
+import tempfile
+import types
+import typing
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+import driftcleat
+from driftcleat import wire
+from driftcleat.settings import SettingsError
+from driftcleat.settings.operator import Tuning, load_tuning
+from driftcleat.settings.platform import parse_platform
+from driftcleat.sharing.settings import SharingSettings, load_sharing
+from driftcleat.wire.users import Priority
+
+from .samples import raw_job
+from .sharing_simulation import SharedSimulation
+from .simulation import LABELS, Simulation
+
+ROOT = Path(__file__).resolve().parent.parent
+FILES = ROOT / "tests" / "surfaces"
+
+# -- settings -------------------------------------------------------------------------------------------------------
+
+
+def _refusal(load: typing.Callable[[str], Any], path: Path, text: str) -> str:
+    """Return the text that refuses a settings file, or "accepted"."""
+    path.write_text(text)
+    try:
+        load(str(path))
+    except SettingsError as error:
+        return str(error).replace(str(path), path.name)
+    return "accepted"
+
+
+def _operator_keys() -> Iterator[str]:
+    """Say each operators' key with its older name, default and bounds, and what refuses a value beyond them."""
+    for entry in dataclasses.fields(Tuning):
+        about = entry.metadata
+        names = entry.name if about["alias"] is None else f"{entry.name} (once {about['alias']})"
+        bounds = f"{about['low']:g} to {about['high']:g}"
+        yield f"{about['section']}.{names} = {entry.default:g}, {bounds}: {about['help']}"
+
+
+def _operator_behaviour(folder: Path) -> Iterator[str]:
+    path = folder / "ops.ini"
+    for entry in dataclasses.fields(Tuning):
+        about = entry.metadata
+        for name in filter(None, (entry.name, about["alias"])):
+            for value in (about["low"], about["high"], about["high"] * 2 + 1, "many"):
+                said = _refusal(load_tuning, path, f"[{about['section']}]\n{name} = {value}\n")
+                yield f"{about['section']}.{name} = {value}: {said}"
+    for text in ("[fleet]\nsample = 3\n", "[other]\nsample = 3\n", "[DEFAULT]\nidle = 3\n", "idle = 3\n"):
+        yield f"{text!r}: {_refusal(load_tuning, path, text)}"
+
+
+def _sharing_behaviour(folder: Path) -> Iterator[str]:
+    path = folder / "sharing.ini"
+    for entry in dataclasses.fields(SharingSettings):
+        yield f"sharing.{entry.name} = {entry.default}"
+        for value in (-1, 0, 0.1, 1, 1.5, 33, 101, 10_001, "many"):
+            yield f"sharing.{entry.name} = {value}: " + _refusal(
+                load_sharing, path, f"[sharing]\n{entry.name} = {value}\n"
+            )
+    for text in ("", "[other]\n", "[sharing]\nother = 1\n"):
+        yield f"{text!r}: {_refusal(load_sharing, path, text)}"
+
+
+def operator_settings() -> Iterator[str]:
+    """Say the operators' INI files, that of sharing too."""
+    yield from _operator_keys()
+    with tempfile.TemporaryDirectory() as folder:
+        yield from _operator_behaviour(Path(folder))
+        yield from _sharing_behaviour(Path(folder))
+
+
+def full_settings() -> dict[str, Any]:
+    """Return platform settings with every name that is read, no value twice."""
+    return {
+        "label": "a",
+        "domain": "north",
+        "bind": "127.0.0.1:18001",
+        "back": "127.0.0.1:18002",
+        "known": [{"label": "b", "domain": "south", "address": "127.0.0.1:18003"}],
+        "external": {"cloud": "127.0.0.1:18004", "state": "127.0.0.1:18005"},
+        "deployment": {
+            "zones": ["east", "west"],
+            "clock_off_ms": 51.0,
+            "teams": [{"name": "red", "cpus": 52.0, "cpus_max": 53.0, "gpus": 54.0, "gpus_max": 55.0}],
+            "objectives": [{"kind": "wait", "class": "train", "within_s": 56.0, "share": 0.57}],
+            "workers": {"report_s": 2.0, "lease_s": 10.0, "gang_wait_s": 20.0, "gang_peer_s": 5.0, "cancel_s": 30.0},
+            "state": {
+                "rps": 200.0,
+                "write_rps": 50.0,
+                "value_kb": 8.0,
+                "txn_ops": 24,
+                "next": {"rps": 190.0, "write_rps": 45.0, "value_kb": 7.0, "txn_ops": 21},
+            },
+            "cloud": {"rps": 2.5, "list_lag_s": 5.5},
+            "resources": {"core_share": 0.3, "memory_mb": 129.0, "fd_limit": 500},
+        },
+    }
+
+
+def _paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+    """Return the path of each table and value within some settings, from the outermost in."""
+    if path:
+        yield path
+    entries = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    for key, inner in entries:
+        yield from _paths(inner, (*path, key))
+
+
+def _parsed(raw: Any) -> str:
+    """Return what settings are read as, or the text that refuses them."""
+    try:
+        # The values in their order, without the names that they have in the code.
+        return repr(dataclasses.astuple(parse_platform("site.toml", raw)))
+    except SettingsError as error:
+        return str(error)
+
+
+def platform_settings() -> Iterator[str]:
+    """Say what a platform's file is read as: whole, with each name missing, and with each value wrong."""
+    yield f"whole: {_parsed(full_settings())}"
+    for path in _paths(full_settings()):
+        for change in ("missing", "wrong"):
+            raw = full_settings()
+            table = raw
+            for key in path[:-1]:
+                table = table[key]
+            if change == "missing":
+                del table[path[-1]]
+            else:
+                table[path[-1]] = -1
+            yield f"{'.'.join(map(str, path))} {change}: {_parsed(raw)}"
+
+
+# -- command line ---------------------------------------------------------------------------------------------------
+
+CALLS = [
+    ["--help"],
+    ["-h"],
+    [],
+    ["--version"],
+    ["check", "--help"],
+    ["status", "--help"],
+    ["shares", "--help"],
+    ["check", "good.toml"],
+    ["check", "good.toml", "--ini", "good.ini", "--sharing", "sharing.ini"],
+    ["check", "bad.toml"],
+    ["check", "none.toml"],
+    ["check", "nonsense.toml"],
+    ["check", "good.toml", "--ini", "bad.ini"],
+    ["check", "good.toml", "--sharing", "bad.ini"],
+    ["check"],
+    ["--config", "bad.toml"],
+    ["--config", "good.toml", "--ini", "bad.ini"],
+    ["nonsense"],
+    ["status", "127.0.0.1:1"],
+    ["shares"],
+    ["shares", "127.0.0.1:1"],
+    ["shares", "move", "127.0.0.1:1", "1", "b"],
+]
+
+
+def _toml(value: Any) -> str:
+    if isinstance(value, dict):
+        return "{" + ", ".join(f"{key} = {_toml(inner)}" for key, inner in value.items()) + "}"
+    return "[" + ", ".join(map(_toml, value)) + "]" if isinstance(value, list) else json.dumps(value)
+
+
+def _lay_files(folder: Path) -> None:
+    good = "".join(f"{key} = {_toml(value)}\n" for key, value in full_settings().items())
+    files = {
+        "good.toml": good,
+        "bad.toml": good.replace("lease_s = 10.0", 'lease_s = "long"'),
+        "nonsense.toml": "label = \n",
+        "good.ini": "[placement]\nsample = 5\n",
+        "bad.ini": "[placement]\nsampel = 5\n",
+        "sharing.ini": "[sharing]\nshares = 2\n",
+    }
+    for name, text in files.items():
+        (folder / name).write_text(text)
+
+
+def command_line() -> Iterator[str]:
+    """Say what calls of `run.py` print, and their exit codes."""
+    environment = {"PATH": os.environ.get("PATH", ""), "COLUMNS": "100", "PYTHONDONTWRITEBYTECODE": "1"}
+    with tempfile.TemporaryDirectory() as name:
+        _lay_files(Path(name))
+        for call in CALLS:
+            done = subprocess.run(
+                [sys.executable, str(ROOT / "run.py"), *call],
+                cwd=name,
+                env=environment,
+                capture_output=True,
+                text=True,
+                check=False,
+            )
+            yield f"$ run.py {' '.join(call)}"
+            yield from (f"  {line}".rstrip() for line in _without_version(done.stdout).splitlines())
+            yield from (f"  ! {line}".rstrip() for line in done.stderr.splitlines())
+            yield f"  exit code {done.returncode}"
+
+
+def _without_version(text: str) -> str:
+    return text.replace(driftcleat.__version__, "VERSION")
+
+
+# -- JSON of the commands, paths ------------------------------------------------------------------------------------
+
+
+def _keys(value: Any, path: str = "") -> Iterator[str]:
+    """Return the keys of plain data in their order, with the types of their values."""
+    if isinstance(value, dict):
+        for key, inner in value.items():
+            yield from _keys(inner, f"{path}.{key}" if path else key)
+        if not value:
+            yield f"{path} {{}}"
+    elif isinstance(value, list):
+        yield from dict.fromkeys(line for inner in value for line in _keys(inner, f"{path}[]"))
+    else:
+        yield f"{path} {type(value).__name__}"
+
+
+REQUESTS = [
+    ("front", "GET", "/ready", b""),
+    ("front", "POST", "/ready", b""),
+    ("front", "POST", "/v1/jobs", b"{"),
+    ("front", "POST", "/v1/jobs", b'{"nameId": "req-000009"}'),
+    ("front", "GET", "/v1/jobs", b""),
+    ("front", "GET", "/v1/jobs/req-000001", b""),
+    ("front", "GET", "/v1/jobs/req-000999", b""),
+    ("front", "GET", "/v1/jobs/nonsense", b""),
+    ("front", "DELETE", "/v1/jobs/req-000001", b""),
+    ("front", "POST", "/v1/jobs/req-000999/cancel", b""),
+    ("front", "GET", "/v1/jobs/req-000001/cancel", b""),
+    ("front", "POST", "/v1/jobs/req-000002/cancel", b""),
+    ("front", "GET", "/agent/beat", b""),
+    ("front", "POST", "/agent/beat", b"{}"),
+    ("front", "GET", "/status", b""),
+    ("front", "GET", "/metrics", b""),
+    ("back", "GET", "/status", b""),
+    ("back", "GET", "/metrics", b""),
+    ("back", "POST", "/status", b""),
+    ("back", "POST", "/metrics", b""),
+    ("back", "GET", "/peer", b""),
+    ("back", "POST", "/peer", b'["shutdown"]'),
+    ("back", "POST", "/peer", b'["ping","z"]'),
+    ("back", "POST", "/peer", b'["ask","z",2]'),
+    ("back", "POST", "/peer", b'["forward","GET","/v1/jobs/req-000001",""]'),
+    ("back", "GET", "/shares", b""),
+    ("back", "POST", "/shares", b""),
+    ("back", "POST", "/shares/move", b"[1]"),
+    ("back", "POST", "/sharing", b"{}"),
+    ("back", "GET", "/nowhere", b""),
+]
+
+
+async def _answers(controller: Any) -> list[str]:
+    """Return what a controller answers to each request: status, Retry-After, keys; the text of errors."""
+    lines = []
+    for side, method, path, body in REQUESTS:
+        handle = controller.handle_front if side == "front" else controller.handle_back
+        answer = await handle(method, path, body)
+        lines.append(f"{side} {method} {path} {body.decode()}".rstrip())
+        lines.append(f"  {answer.status}, Retry-After {answer.retry_after_s}")
+        data = json.loads(answer.body) if answer.body else None
+        if isinstance(data, dict):
+            short = "error" in data or len(data) < 4
+            lines.extend([f"  {json.dumps(data)}"] if short else [f"  {line}" for line in _keys(data)])
+        else:
+            lines.append(f"  {_shape(data)}")
+    return lines
+
+
+def _shape(value: Any) -> str:
+    """Return plain data with the types in place of numbers, which depend on the moment."""
+    if isinstance(value, list):
+        return "[" + ", ".join(map(_shape, value)) + "]"
+    return type(value).__name__ if isinstance(value, (int, float)) and not isinstance(value, bool) else repr(value)
+
+
+async def _work(sim: Simulation) -> None:
+    """Have a site work: jobs done, running and queued."""
+    sim.hand_in(raw_job(1, voyageS=1.0))
+    sim.hand_in(raw_job(2, rig="daemon", hands=3, voyageS=0.0, crew="blue"))
+    await sim.rest(60.0)
+    await sim.until(lambda: len(sim.told) == 2)
+
+
+def answers() -> Iterator[str]:
+    """Say what leader and follower answer at each path, and a host that shares machines."""
+    sim, shared, found = Simulation(1), SharedSimulation(1), []
+
+    async def story(playing: Simulation) -> None:
+        await _work(playing)
+        leader = playing.lead()
+        follower = next(label for label in LABELS if label != leader)
+        for title, label in (("leader", str(leader)), ("follower", follower)):
+            found.append(f"== {title}")
+            found.extend(await _answers(playing.controllers[label]))
+
+    async def shared_story(playing: Simulation) -> None:
+        await shared.ready()
+        await _work(playing)
+        found.append("== coordinator of shares")
+        found.extend(await _answers(shared.controllers[str(shared.lead())]))
+
+    sim.play(story)
+    shared.play(shared_story)
+    yield from found
+
+
+# -- store ----------------------------------------------------------------------------------------------------------
+
+
+def _written(sim: Simulation, jobs: int) -> set[str]:
+    """Return the forms of all keys that a site writes, removes or compares, numbers as N."""
+    seen: set[str] = set()
+    carry_out = sim.state.txn
+
+    def txn(body: bytes) -> tuple[int, Any]:
+        raw = json.loads(body)
+        for row in raw["if"]:
+            seen.add(row["key"])
+        for change in raw["then"]:
+            seen.add(change["put"] if "put" in change else change["remove"])
+        return carry_out(body)
+
+    sim.state.txn = txn  # type: ignore[method-assign]
+
+    async def story(playing: Simulation) -> None:
+        if isinstance(playing, SharedSimulation):
+            await playing.ready()
+        for number in range(1, jobs + 1):
+            playing.hand_in(raw_job(number, hands=90, cores=0.1, accelerators=0.0, memGb=0.1, voyageS=5.0))
+        playing.hand_in(raw_job(jobs + 1, rig="daemon", hands=1, voyageS=0.0, cores=0.1, accelerators=0.0))
+        await playing.rest(90.0)
+
+    sim.play(story)
+    return {_key_form(key) for key in seen}
+
+
+def _key_form(key: str) -> str:
+    return re.sub(r"[0-9]+", "N", re.sub(r"rentals/.*", "rentals/REQUEST", key))
+
+
+def store_keys() -> Iterator[str]:
+    """Say the forms of the store's keys."""
+    limits: dict[str, Any] = {"next": {"value_kb": 2.0, "txn_ops": 4, "write_rps": 45.0}}
+    old = Simulation(3)
+    # Controllers that may be of an older version: the first data version stays.
+    old.old = set(LABELS)
+    yield "== data version 1"
+    yield from sorted(_written(old, 4))
+    yield "== data version 2"
+    yield from sorted(_written(Simulation(3, **limits), 4))
+    yield "== shares"
+    yield from sorted(_written(SharedSimulation(3, **limits), 9))
+
+
+# -- messages and records -------------------------------------------------------------------------------------------
+
+
+def _classes(kind: type) -> list[type]:
+    """Return all of our classes of a kind, wherever they are."""
+    for module in pkgutil.walk_packages(driftcleat.__path__, "driftcleat."):
+        importlib.import_module(module.name)
+    found: list[type] = []
+    left = [kind]
+    while left:
+        for inner in list[type](left.pop().__subclasses__()):
+            left.append(inner)
+            if inner.__module__.startswith("driftcleat.") and inner not in found:
+                found.append(inner)
+    return found
+
+
+def _example(kind: Any, name: str) -> Any:
+    """Return a value of a type, made from the name that it has on the wire."""
+    origin, parts = typing.get_origin(kind), typing.get_args(kind)
+    if origin is typing.Annotated:
+        return _example(parts[0], name)
+    if origin in (typing.Union, types.UnionType):
+        return _example(next(part for part in parts if part is not type(None)), name)
+    if origin is tuple and parts[-1] is not Ellipsis:
+        return tuple(_example(part, name) for part in parts)
+    if origin in (tuple, list):
+        return origin([_example(parts[0], name)])
+    if origin is dict:
+        return {_example(parts[0], name): _example(parts[1], name)}
+    if kind is Any:
+        return {"any": name}
+    if kind is msgspec.Raw:
+        return msgspec.Raw(b'"raw"')
+    if issubclass(kind, msgspec.Struct):
+        return _struct_example(kind, whole=True)
+    if issubclass(kind, enum.Enum):
+        return next(iter(kind))
+    return {str: name, int: len(name), float: len(name) + 0.5, bool: True}[kind]
+
+
+def _struct_example(kind: type[msgspec.Struct], whole: bool) -> msgspec.Struct:
+    values = {}
+    for number, field in enumerate(msgspec.structs.fields(kind)):
+        # Names of array-like structs are not on the wire: positions are.
+        name = f"at{number}" if kind.__struct_config__.array_like else field.encode_name
+        if whole or field.required:
+            values[field.name] = _example(field.type, name)
+    return kind(**values)
+
+
+def messages() -> Iterator[str]:
+    """Say how each message and record is encoded: with all of its fields, and with those that it must have."""
+    texts = set()
+    for kind in _classes(msgspec.Struct):
+        whole, least = (wire.encode(_struct_example(kind, whole=one)).decode() for one in (True, False))
+        texts.add(f"{whole} or {least}" if whole != least else whole)
+    yield from sorted(texts)
+
+
+SURFACES = {
+    "operator-settings": operator_settings,
+    "platform-settings": platform_settings,
+    "command-line": command_line,
+    "answers": answers,
+    "store-keys": store_keys,
+    "messages": messages,
+}
+
+
+def description(name: str) -> str:
+    """Return the text of a surface as the sources have it now."""
+    return "".join(f"{line}\n" for line in SURFACES[name]())
+
+
+@pytest.mark.parametrize("name", SURFACES)
+def test_a_surface_stays_as_it_is_written_down(name: str) -> None:
+    assert description(name) == (FILES / f"{name}.txt").read_text(encoding="utf-8")
+
+
+# Names of the code, and the words that records, messages and `/status` have for them.
+VALUES = {
+    "Role": {
+        "FOLLOWER": "follower",
+        "PARTITIONED": "tending",
+        "CAMPAIGNING": "campaigning",
+        "RECOVERING": "rebuilding",
+        "LEADER": "leading",
+        "UNCONFIRMED_LEADER": "unsure",
+    },
+    "JobState": {"ACTIVE": "active", "CANCELLED": "cancelled", "DONE": "done", "TERMINATED": "gone"},
+    "TaskState": {"QUEUED": 0, "PLACED": 1, "DONE": 2},
+    "MachineState": {
+        "BOOTING": "booting",
+        "UP": "up",
+        "DRAINING": "draining",
+        "TERMINATING": "returning",
+        "TERMINATED": "gone",
+    },
+    "CommandAction": {"START": "start", "STOP": "kill", "FORGET": "forget"},
+    "TaskPhase": {
+        "FETCHING": "pulling",
+        "WAITING": "waiting",
+        "RUNNING": "running",
+        "CHECKPOINTING": "saving",
+        "EXITED": "exited",
+    },
+    "ExitReason": {
+        "DONE": "done",
+        "STOPPED": "stopped",
+        "GANG_MEMBER_LOST": "mates_gone",
+        "GANG_INCOMPLETE": "alone",
+        "ERROR": "error",
+        "INSUFFICIENT_RESOURCES": "no_room",
+        "OTHER_ATTEMPT_PRESENT": "busy",
+        "UNKNOWN_JOB": "unknown",
+    },
+    "JobKind": {"ARRAY": "array", "GANG": "group", "SERVICE": "daemon"},
+    "Priority": {"CRITICAL": "critical", "HIGH": "high", "STANDARD": "standard", "BEST_EFFORT": "best_effort"},
+    "TransferState": {
+        "ELSEWHERE": "elsewhere",
+        "OWNED": "owned",
+        "PREPARING": "preparing",
+        "HANDING_OVER": "handing over",
+        "TAKING_OVER": "taking over",
+    },
+}
+
+
+@pytest.mark.parametrize("name", VALUES)
+def test_the_values_of_a_state_stay(name: str) -> None:
+    (kind,) = [found for found in _classes(enum.Enum) if found.__name__ == name]
+    assert {member.name: member.value for member in kind} == VALUES[name]  # type: ignore[attr-defined]
+
+
+def test_priorities_keep_their_order() -> None:
+    assert [priority.level for priority in Priority] == [0, 1, 2, 3]
