--- a/tests/test_sharing_walk.py
+++ b/tests/test_sharing_walk.py
@@ -83,10 +83,10 @@
 ]
 
 
-def shared_walk(seed: int) -> SharedSimulation:
+def shared_walk(seed: int, kind: type[SharedSimulation] = SharedSimulation) -> SharedSimulation:
     """Play shares that move while other troubles come and go."""
     rng = random.Random(seed)
-    sim = SharedSimulation(seed, next={"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0})
+    sim = kind(seed, next={"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0})
 
     async def story(played: Simulation) -> None:
         number = 0
--- a/tools/walk.py
+++ b/tools/walk.py
@@ -1,8 +1,8 @@
 """Plays more of the random walk of `tests/test_meetings_walk.py`: `python -m tools.walk FIRST LAST [--digest]`.
 
-With `--digest` each walk ends with the number of the store's changes and a digest of all records: two versions of
-the sources that decide alike print the same (set PYTHONHASHSEED, so that sets keep their order). For changes that
-must not change behaviour.
+With `--sharing` it plays the walk of `tests/test_sharing_walk.py`, where shares move. With `--digest` each walk ends
+with the number of the store's changes and a digest of all records: two versions of the sources that decide alike
+print the same (set PYTHONHASHSEED, so that sets keep their order). For changes that must not change behaviour.
 """
 
 import hashlib
@@ -12,8 +12,10 @@
 
 import click
 
+from tests.sharing_simulation import SharedSimulation
 from tests.simulation import Simulation
 from tests.test_meetings_walk import walk
+from tests.test_sharing_walk import shared_walk
 
 
 class DigestedSimulation(Simulation):
@@ -28,17 +30,24 @@
             click.echo(f"{self.store.revision} changes, {hashlib.sha256(records).hexdigest()[:16]}")
 
 
+class DigestedSharedSimulation(DigestedSimulation, SharedSimulation):
+    """The same where the controllers share the machines."""
+
+
 @click.command()
 @click.argument("first", type=int)
 @click.argument("last", type=int)
 @click.option("--digest", is_flag=True, help="Print a digest of the records that each walk leaves.")
-def main(first: int, last: int, digest: bool) -> None:
+@click.option("--sharing", is_flag=True, help="Play the walk in which shares move.")
+def main(first: int, last: int, digest: bool, sharing: bool) -> None:
     """Play the seeds FIRST to LAST; exit with 1 if a rule broke."""
-    kind = DigestedSimulation if digest else Simulation
     broken = 0
     for seed in range(first, last + 1):
         try:
-            walk(seed, kind)
+            if sharing:
+                shared_walk(seed, DigestedSharedSimulation if digest else SharedSimulation)
+            else:
+                walk(seed, DigestedSimulation if digest else Simulation)
         except AssertionError as error:
             broken += 1
             click.echo(f"seed {seed}: {error}")
