--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -462,7 +462,7 @@
 
 
 # Names of the code, and the words that records, messages and `/status` have for them.
-VALUES = {
+VALUES: dict[str, dict[str, str | int]] = {
     "Role": {
         "FOLLOWER": "follower",
         "PARTITIONED": "tending",
