--- a/tools/mixed.py
+++ b/tools/mixed.py
@@ -2,8 +2,8 @@
 
 Three processes of the old version (by default the one that `deploy/service.toml` names as `production`) serve; one
 after the other ends and comes back as the newest commit. An old version that knows the second data version begins it
-by itself, and both then work on its records. Needs the repository's history, so it is no part of CI. Fails if a job
-is not done.
+by itself, and both then work on its records. Needs the repository's history, so it is no part of CI. Prints who led
+in turn; fails if a job is not done, or if one of the versions never led.
 """
 
 import asyncio
@@ -17,12 +17,15 @@
 
 import click
 
+from driftcleat.store.records import LEADER_KEY
 from tests.samples import job, raw_job
 from tests.standins import Site, until
 
 ROOT = Path(__file__).resolve().parent.parent
 # What a controller that came back has until the next one ends.
 SETTLED_S = 4.0
+# The pause between two looks at who leads.
+NOTED_EVERY_S = 0.1
 
 
 def toml(value: Any) -> str:
@@ -44,8 +47,12 @@
     """The controllers' processes."""
 
     def __init__(self, site: Site, folder: Path) -> None:
-        self.site, self.folder = site, folder
+        self.site = site
+        self.folder = folder
         self.running: dict[str, subprocess.Popen[bytes]] = {}
+        # The name of the folder of sources that each runs, and who led by the state service's leader key.
+        self.versions: dict[str, str] = {}
+        self.leaders: list[str] = []
 
     def start(self, label: str, sources: Path) -> None:
         """Start a controller of some version."""
@@ -53,6 +60,7 @@
         raw = self.site._raw(label)
         raw["deployment"]["state"]["next"] = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 400.0}
         config.write_text("".join(f"{key} = {toml(value)}\n" for key, value in raw.items()))
+        self.versions[label] = sources.name
         # Errors go to our own standard error; nothing else is said.
         self.running[label] = subprocess.Popen(
             [sys.executable, "run.py", "--config", str(config)],
@@ -68,6 +76,16 @@
         process.kill()
         process.wait()
 
+    async def note_leaders(self) -> None:
+        """Note each leader as it wins the leader key, until cancelled."""
+        noted = 0
+        while True:
+            (label, _), token = self.site.store.store.data.get(LEADER_KEY, (("", ""), noted))
+            if token != noted:
+                noted = token
+                self.leaders.append(f"{label} ({self.versions[label]})")
+            await asyncio.sleep(NOTED_EVERY_S)
+
 
 async def accepted(site: Site, number: int, **changes: Any) -> str:
     """Submit a job until it is accepted."""
@@ -119,6 +137,7 @@
     processes = Processes(site, folder)
     try:
         async with site:
+            noting = asyncio.ensure_future(processes.note_leaders())
             jobs = [await accepted(site, number, hands=90, voyageS=6.0) for number in range(1, 4)]
             await until(lambda: site.world.on_machines(), "work has begun")
             await asyncio.sleep(SETTLED_S)
@@ -139,12 +158,16 @@
                 await asyncio.sleep(SETTLED_S)
             for job_id in jobs:
                 await ended(site, job_id, "done")
+            noting.cancel()
             for label in list(processes.running):
                 processes.end(label)
     finally:
         for process in processes.running.values():
             process.kill()
     click.echo(f"{len(jobs)} jobs done across the upgrade")
+    click.echo(f"led in turn: {', '.join(processes.leaders)}")
+    for version in (old.name, newest.name):
+        assert any(leader.endswith(f"({version})") for leader in processes.leaders), f"{version} never led"
 
 
 @click.command()
--- a/tools/record.py
+++ b/tools/record.py
@@ -1,8 +1,8 @@
 """Writes the files of `tests/recorded`: records and messages as the checkout that runs this writes them.
 
-Run a copy of this file in a checkout of the version to record: `python -m tools.record > VERSION.json`. The version
-that `deploy/service.toml` names as `production` is in `production.json`. From 0.4.0 on there are records of the
-second data version too.
+Run it in a checkout of the version to record, each of which has its own: `python -m tools.record > VERSION.json`. The
+version that `deploy/service.toml` names as `production` is in `production.json`. From 0.4.0 on there are records of
+the second data version too.
 """
 
 import json
@@ -91,15 +91,13 @@
 
 def messages() -> list[Any]:
     """Return one message of each kind, as it goes over the wire."""
-    # The name that the status of a leader had until 0.4.0.
-    status = getattr(peers, "LeaderStatus", None) or peers.Standing  # type: ignore[attr-defined]
-    version: dict[str, Any] = {"data_version": records.DATA_VERSION} if hasattr(records, "DATA_VERSION") else {}
-    found = [
-        peers.ViewRequest("a", **version),
-        peers.Ping("a", **version),
-        peers.ViewResponse("a", "leading", "a", 5, 0.1, -1.0, True, status(0.0, ["req-000001"]), **version),
-        peers.Pong("a", True, "a", 5, status(0.5, None), **version),
-        peers.Pong("b", False, None, 0, **version),
+    version = records.DATA_VERSION
+    found: list[peers.PeerMessage] = [
+        peers.ViewRequest("a", version),
+        peers.Ping("a", version),
+        peers.ViewResponse("a", "leading", "a", 5, 0.1, -1.0, True, peers.LeaderStatus(0.0, ["req-000001"]), version),
+        peers.Pong("a", True, "a", 5, peers.LeaderStatus(0.5, None), version),
+        peers.Pong("b", False, None, 0, data_version=version),
         peers.ForwardRequest("GET", "/v1/jobs/req-000001", ""),
         peers.ForwardResponse(200, "{}", None),
     ]
@@ -113,9 +111,8 @@
         "txn_ops": 24,
         "records": encoded(jobs(), records.RecordLayout(8192, 1000)),
         "messages": messages(),
+        "second_version": second_version(),
     }
-    if hasattr(records, "DATA_VERSION"):
-        out["second_version"] = second_version()
     json.dump(out, sys.stdout, indent=0)
 
 
