--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -406,7 +406,8 @@
     if origin in (typing.Union, types.UnionType):
         return _example(next(part for part in parts if part is not type(None)), name)
     if origin is tuple and parts[-1] is not Ellipsis:
-        return tuple(_example(part, name) for part in parts)
+        # A row: told by its positions, whether it is a tuple or an array-like struct.
+        return tuple(_example(part, f"at{number}") for number, part in enumerate(parts))
     if origin in (tuple, list):
         return origin([_example(parts[0], name)])
     if origin is dict:
@@ -432,10 +433,21 @@
     return kind(**values)
 
 
+def _rows(kind: Any) -> Iterator[Any]:
+    """Return the rows (tuples of fixed length) that a type is made of."""
+    parts = typing.get_args(kind)
+    if typing.get_origin(kind) is tuple and parts[-1] is not Ellipsis:
+        yield kind
+    for part in parts:
+        yield from _rows(part)
+
+
 def messages() -> Iterator[str]:
-    """Say how each message and record is encoded: with all of its fields, and with those that it must have."""
+    """Say how each message, record and row is encoded: with all of its fields, and with those that it must have."""
     texts = set()
     for kind in _classes(msgspec.Struct):
+        for field in msgspec.structs.fields(kind):
+            texts.update(wire.encode(_example(row, "")).decode() for row in _rows(field.type))
         whole, least = (wire.encode(_struct_example(kind, whole=one)).decode() for one in (True, False))
         texts.add(f"{whole} or {least}" if whole != least else whole)
     yield from sorted(texts)
--- a/tools/mixed.py
+++ b/tools/mixed.py
@@ -17,7 +17,7 @@
 
 import click
 
-from driftcleat.store.records import LEADER_KEY
+from driftcleat.store.keys import LEADER_KEY
 from tests.samples import job, raw_job
 from tests.standins import Site, until
 
