--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -24,7 +24,7 @@
         self,
         platform: Platform,
         tuning: Tuning,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -56,7 +56,7 @@
         tuning: Tuning,
         store: StoreClient,
         peers: PeerClient,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         clock: Callable[[], float],
         most_in_progress: int,
         most_passed_on: int,
--- a/driftcleat/cloud/manager.py
+++ b/driftcleat/cloud/manager.py
@@ -38,7 +38,7 @@
         platform: Platform,
         tuning: Tuning,
         cloud: CloudClient,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         reports: HeartbeatApi,
         dispatcher: StopDispatcher,
         background: Background,
--- a/driftcleat/controller/commit_pipeline.py
+++ b/driftcleat/controller/commit_pipeline.py
@@ -41,7 +41,7 @@
         self,
         platform: Platform,
         store: StoreClient,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -57,7 +57,7 @@
         self.rng = rng if rng is not None else random.Random()
         self.metrics = Metrics()
         self.background = Background()
-        self.active_term = ActiveTerm()
+        self.active_term: ActiveTerm[Scheduler] = ActiveTerm()
         self.overload = OverloadDetector(platform.report_s)
         self._leader_reached_at = float("-inf")
 
@@ -104,7 +104,8 @@
         )
         self.heartbeats = HeartbeatApi(platform, tuning, active_term, self.metrics, clock)
         self.surveyor = PeerSurveyor(platform, self.peers, active_term, clock)
-        self.election = active_term.election = self.make_election()
+        self.election = self.make_election()
+        active_term.attach(self.election)
         self.peer_api = PeerApi(platform, self.store, self.users, active_term, self.metrics, clock)
         self.commit_pipeline = CommitPipeline(platform, self.store, active_term, self.metrics, clock)
         self.dispatcher = StopDispatcher(platform, tuning, self.workers, active_term, self.background, clock)
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -9,6 +9,7 @@
 from driftcleat.api.users import UserApi
 from driftcleat.leadership import ActiveTerm
 from driftcleat.runtime.metrics import Metrics
+from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform
 from driftcleat.store.client import StoreClient, StoreError
 from driftcleat.store.records import DATA_VERSION, LEADER_KEY
@@ -33,7 +34,7 @@
         platform: Platform,
         store: StoreClient,
         users: UserApi,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
--- a/driftcleat/peers/survey.py
+++ b/driftcleat/peers/survey.py
@@ -4,6 +4,7 @@
 
 from driftcleat.leadership import ActiveTerm, PeerSurvey, Role
 from driftcleat.peers.client import PeerClient
+from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform
 from driftcleat.wire import peers as messages
 
@@ -20,7 +21,7 @@
     """Asks the other controllers."""
 
     def __init__(
-        self, platform: Platform, peers: PeerClient, active_term: ActiveTerm, clock: Callable[[], float]
+        self, platform: Platform, peers: PeerClient, active_term: ActiveTerm[Scheduler], clock: Callable[[], float]
     ) -> None:
         self._platform, self._peers = platform, peers
         self._active_term, self._clock = active_term, clock
--- a/driftcleat/workers/dispatch.py
+++ b/driftcleat/workers/dispatch.py
@@ -28,7 +28,7 @@
         platform: Platform,
         tuning: Tuning,
         workers: WorkerClient,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         background: Background,
         clock: Callable[[], float],
     ) -> None:
