--- a/driftcleat/leadership/leader_loop.py
+++ b/driftcleat/leadership/leader_loop.py
@@ -34,7 +34,7 @@
         self._state = state
         self._store = store
         self._callbacks = callbacks
-        # The back-off after a term that another controller is to end; its workers' leases last as long.
+        # How long we do not campaign after we stepped down in favour of another controller: a worker lease.
         self._back_off_s = platform.lease_s
         self._keep_alive_pause_s = state.ttl_s * tuning.renew
         self._step_down_reason: str | None = None
