--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -100,5 +100,8 @@
     assert follower.may_extend_worker_lease({"req-2"}) and not follower.may_extend_worker_lease({"req-1", "req-2"})
     follower.leader_contact_at = NOW - follower.max_unconfirmed_s - 0.01
     assert follower.lease_keeping_token is None
+    follower.leader_contact_at = NOW - 1.0
+    follower.observe_higher_token(41)
+    assert follower.lease_keeping_token == 41
     follower.observe_higher_token(42)
     assert follower.role is Role.FOLLOWER and follower.superseded and not follower.may_become_partitioned
