--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -26,7 +26,7 @@
         self,
         platform: Platform,
         tuning: Tuning,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         metrics: Metrics,
         clock: Callable[[], float],
         connections: ConnectionLimiter[Any],
--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -17,6 +17,7 @@
 from driftcleat.peers.survey import PeerSurveyor
 from driftcleat.runtime.background import Background
 from driftcleat.runtime.metrics import Metrics
+from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.client import StoreClient
 from driftcleat.workers.dispatch import StopDispatcher
@@ -42,7 +43,9 @@
     Election,
 ]
 # Arguments as of `UserApi`: platform, tuning, store, peers, active term, clock, and the two limits on requests.
-UserApiFactory = Callable[[Platform, Tuning, StoreClient, PeerClient, ActiveTerm, Clock, int, int], UserApi]
+UserApiFactory = Callable[
+    [Platform, Tuning, StoreClient, PeerClient, ActiveTerm[Scheduler], Clock, int, int], UserApi
+]
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +73,7 @@
     """The parts of one controller."""
 
     network: Network
-    active_term: ActiveTerm
+    active_term: ActiveTerm[Scheduler]
     election: Election
     surveyor: PeerSurveyor
     users: UserApi
@@ -99,10 +102,10 @@
     metrics = Metrics()
     background = Background()
     overload = OverloadDetector(platform.report_s)
-    active_term = ActiveTerm()
+    active_term: ActiveTerm[Scheduler] = ActiveTerm()
     surveyor = PeerSurveyor(platform, clients.peers, active_term, clock)
     # The active term answers with the election's state, and the election asks its leader through the surveyor.
-    active_term.election = factories.election(
+    election = factories.election(
         platform,
         tuning,
         clients.store,
@@ -113,13 +116,14 @@
         callbacks.ask_peers,
         surveyor.ask_leader,
     )
+    active_term.attach(election)
     users = _build_users(platform, tuning, clock, network, active_term, factories.users)
     heartbeats = HeartbeatApi(platform, tuning, active_term, metrics, clock, network.front.limiter)
     dispatcher = StopDispatcher(platform, tuning, clients.workers, active_term, background, clock)
     return ControllerParts(
         network=network,
         active_term=active_term,
-        election=active_term.election,
+        election=election,
         surveyor=surveyor,
         users=users,
         heartbeats=heartbeats,
@@ -141,7 +145,7 @@
     tuning: Tuning,
     clock: Clock,
     network: Network,
-    active_term: ActiveTerm,
+    active_term: ActiveTerm[Scheduler],
     make_users: UserApiFactory,
 ) -> UserApi:
     """Build the users' interface; its limits follow from the sockets that users and other controllers may have."""
--- a/driftcleat/controller/commit_pipeline.py
+++ b/driftcleat/controller/commit_pipeline.py
@@ -43,7 +43,7 @@
         self,
         platform: Platform,
         store: StoreClient,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
--- a/driftcleat/controller/loop_delay.py
+++ b/driftcleat/controller/loop_delay.py
@@ -7,6 +7,7 @@
 from driftcleat.controller.overload import OverloadDetector
 from driftcleat.leadership import ActiveTerm
 from driftcleat.runtime.metrics import Metrics
+from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform
 
 # The pause between two measurements, as a fraction of the heartbeat interval.
@@ -19,7 +20,7 @@
     def __init__(
         self,
         platform: Platform,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         heartbeats: HeartbeatApi,
         overload: OverloadDetector,
         metrics: Metrics,
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -9,6 +9,7 @@
 from driftcleat.api.users import UserApi
 from driftcleat.leadership import ActiveTerm
 from driftcleat.runtime.metrics import Metrics
+from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform
 from driftcleat.store.client import StoreClient
 from driftcleat.store.errors import StoreError
@@ -35,7 +36,7 @@
         platform: Platform,
         store: StoreClient,
         users: UserApi,
-        active_term: ActiveTerm,
+        active_term: ActiveTerm[Scheduler],
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -444,7 +444,7 @@
 
 def messages() -> Iterator[str]:
     """Say how each message, record and row is encoded: with all of its fields, and with those that it must have."""
-    texts = set()
+    texts: set[str] = set()
     for kind in _classes(msgspec.Struct):
         for field in msgspec.structs.fields(kind):
             texts.update(wire.encode(_example(row, "")).decode() for row in _rows(field.type))
