--- a/driftcleat/cluster/__init__.py
+++ b/driftcleat/cluster/__init__.py
@@ -1,6 +1,6 @@
 """The deciding core's picture: jobs, tasks, machines, and the only functions that change their states."""
 
-from driftcleat.cluster.batch import Batch
+from driftcleat.cluster.batch import Batch, TaskTransition
 from driftcleat.cluster.commands import commands_for_heartbeat, stop_commands
 from driftcleat.cluster.commit import apply_batch
 from driftcleat.cluster.heartbeat_intake import apply_heartbeat, needs_reconciliation
@@ -30,6 +30,7 @@
     "MachineState",
     "TaskPlacement",
     "TaskState",
+    "TaskTransition",
     "apply_batch",
     "apply_heartbeat",
     "commands_for_heartbeat",
--- a/driftcleat/cluster/batch.py
+++ b/driftcleat/cluster/batch.py
@@ -1,6 +1,7 @@
 """A batch: copies of the jobs that one transaction changes, and what follows once it is committed."""
 
 from collections.abc import Callable
+from typing import NamedTuple
 
 from driftcleat.cluster.jobs import Job, JobState, TaskPlacement, TaskState, transition_job, transition_task
 
@@ -9,6 +10,15 @@
 ENTRY_BYTES = 110
 
 
+class TaskTransition(NamedTuple):
+    """A task's placement before and after its change; None where it has none."""
+
+    job_id: str
+    task_index: int
+    before: TaskPlacement | None
+    after: TaskPlacement | None
+
+
 class Batch:
     """Collects changes until the store's limits are reached. Nothing in it is visible before the commit."""
 
@@ -31,7 +41,7 @@
         self.changed_heads: set[str] = set()
         self._charged: dict[str, int] = {}
         self.changed_chunks: dict[str, set[int]] = {}
-        self.task_transitions: list[tuple[str, int, TaskPlacement | None, TaskPlacement | None]] = []
+        self.task_transitions: list[TaskTransition] = []
         self.puts: dict[str, object] = {}
         self.deletes: list[str] = []
         self.on_commit: list[Callable[[], None]] = []
@@ -143,7 +153,9 @@
         job = self._open(job_id, head=chunk == 0)
         old = job.placements.get(index)
         transition_task(job, index, to, placement)
-        self.task_transitions.append((job_id, index, old, placement if to is TaskState.PLACED else None))
+        self.task_transitions.append(
+            TaskTransition(job_id, index, old, placement if to is TaskState.PLACED else None)
+        )
         self.bytes_left -= ENTRY_BYTES
 
     def migrate_job(self, job_id: str, split: int, versions: dict[int, int]) -> None:
--- a/driftcleat/cluster/commit.py
+++ b/driftcleat/cluster/commit.py
@@ -20,9 +20,18 @@
     _apply_task_transitions(cluster, batch, now)
     for job_id in batch.changed_jobs:
         _apply_job_state(cluster, batch.jobs[job_id])
-    for name in {
-        placement.machine for _, _, old, new in batch.task_transitions for placement in (old, new) if placement
-    }:
+    _forget_terminated_machines(cluster, batch)
+
+
+def _forget_terminated_machines(cluster: ClusterState, batch: Batch) -> None:
+    """Drop terminated machines whose last task the batch released."""
+    changed = {
+        placement.machine
+        for transition in batch.task_transitions
+        for placement in (transition.before, transition.after)
+        if placement
+    }
+    for name in changed:
         machine = cluster.machines.get(name)
         if machine is not None and machine.state is MachineState.TERMINATED and not machine.tasks:
             del cluster.machines[name]
@@ -42,25 +51,26 @@
 
 def _apply_task_transitions(cluster: ClusterState, batch: Batch, now: float) -> None:
     """Count tasks where they are now, on their machines and in their team's usage."""
-    for job_id, index, old, new in batch.task_transitions:
-        job = batch.jobs[job_id]
+    for transition in batch.task_transitions:
+        before, after = transition.before, transition.after
+        job = batch.jobs[transition.job_id]
         usage = cluster.team_usage.setdefault(job.spec.team, ResourceUsage())
-        if old is None:
+        if before is None:
             usage.add(job.spec, 1)
-        if new is None:
+        if after is None:
             usage.add(job.spec, -1)
-        placement = new or old
+        placement = after or before
         if placement is None:
             continue
         machine = cluster.machines.get(placement.machine)
-        key = (job_id, index)
+        key = (transition.job_id, transition.task_index)
         if machine is None:
-            waiting = cluster.unconfirmed_placements.setdefault(placement.machine, {})
-            if new is None:
-                waiting.pop(key, None)
+            unconfirmed = cluster.unconfirmed_placements.setdefault(placement.machine, {})
+            if after is None:
+                unconfirmed.pop(key, None)
             else:
-                waiting[key] = new
-        elif new is None:
+                unconfirmed[key] = after
+        elif after is None:
             machine.remove_task(key, job.spec, now, cluster.image_of)
         else:
-            machine.add_task(key, new, job.spec)
+            machine.add_task(key, after, job.spec)
--- a/driftcleat/cluster/heartbeat_intake.py
+++ b/driftcleat/cluster/heartbeat_intake.py
@@ -2,8 +2,8 @@
 
 import logging
 
-from driftcleat.cluster.machines import Machine, MachineState, transition_machine
-from driftcleat.cluster.state import AttemptKey, ClusterState
+from driftcleat.cluster.machines import AttemptKey, Machine, MachineState, TaskKey, transition_machine
+from driftcleat.cluster.state import ClusterState
 from driftcleat.wire import workers as wire_workers
 from driftcleat.wire.workers import Heartbeat
 
@@ -87,7 +87,7 @@
         return
     if previous is not None and previous.worker_epoch != heartbeat.worker_epoch:
         machine.task_phases.clear()
-    live: set[tuple[str, int]] = set()
+    live: set[TaskKey] = set()
     for task in heartbeat.tasks:
         split = wire_workers.parse_task_name(task.task)
         if split is None:
--- a/driftcleat/cluster/machines.py
+++ b/driftcleat/cluster/machines.py
@@ -29,7 +29,14 @@
     (MachineState.TERMINATING, MachineState.TERMINATED),
 }
 
+# Plain tuples, since every heartbeat builds several: with NamedTuples a heartbeat that repeats the one before it took
+# twice the processor time in `tests.costs`.
+# (job id, task index)
 TaskKey = tuple[str, int]
+# (job id, task index, attempt)
+AttemptKey = tuple[str, int, int]
+# (worker epoch, sequence): the order of one machine's heartbeats.
+HeartbeatOrder = tuple[int, int]
 
 
 class Machine:
@@ -88,16 +95,16 @@
         # Whether its newest report shows all that is committed and nothing else, so that there is nothing to tell
         # it: an equal report need not be looked at until something changes.
         self.in_sync = False
-        # What the newest report says of each attempt: (job, index, attempt) -> state.
-        self.reported_phases: dict[tuple[str, int, int], str] = {}
-        # (session, seq) of the report whose answer carried the start last.
-        self.starts_sent: dict[tuple[str, int, int], tuple[int, int]] = {}
-        self.observed_attempts: set[tuple[str, int, int]] = set()
+        # Task phases of the last heartbeat, as on the wire: an unknown phase is accepted.
+        self.reported_phases: dict[AttemptKey, str] = {}
+        # The heartbeat whose response carried the start command last.
+        self.starts_sent: dict[AttemptKey, HeartbeatOrder] = {}
+        self.observed_attempts: set[AttemptKey] = set()
         self.task_phases: dict[TaskKey, str] = {}
         self.failed_jobs: set[str] = set()
         self.no_placement_until = 0.0
         # The newest report that was answered, and how often since then a later one did not show what it was told.
-        self.last_answered: tuple[int, int] | None = None
+        self.last_answered: HeartbeatOrder | None = None
         self.unacknowledged_responses = 0
         self.unacknowledged_since = now
 
--- a/driftcleat/cluster/reconciliation.py
+++ b/driftcleat/cluster/reconciliation.py
@@ -4,7 +4,7 @@
 
 from driftcleat.cluster.batch import Batch
 from driftcleat.cluster.jobs import Job, JobState, TaskPlacement, TaskState
-from driftcleat.cluster.machines import Machine, MachineState, TaskKey
+from driftcleat.cluster.machines import HeartbeatOrder, Machine, MachineState, TaskKey
 from driftcleat.cluster.state import ClusterState
 from driftcleat.wire import workers as wire_workers
 
@@ -73,7 +73,7 @@
     job: Job,
     key: TaskKey,
     placement: TaskPlacement,
-    order: tuple[int, int],
+    order: HeartbeatOrder,
     batch: Batch,
 ) -> bool:
     """A task its machine does not list: proven off only if no start of it can still arrive."""
--- a/driftcleat/cluster/state.py
+++ b/driftcleat/cluster/state.py
@@ -8,14 +8,12 @@
 from driftcleat.cluster.job_dependencies import JobDependencies
 from driftcleat.cluster.jobs import Job, JobState, TaskPlacement
 from driftcleat.cluster.listener import ClusterListener, NullListener
-from driftcleat.cluster.machines import Machine, MachineState, transition_machine
+from driftcleat.cluster.machines import AttemptKey, Machine, MachineState, TaskKey, transition_machine
 from driftcleat.cluster.orphaned_tasks import OrphanedTasks
 from driftcleat.cluster.usage import ResourceUsage
 from driftcleat.wire import workers as wire_workers
 from driftcleat.wire.cloud import MachineType
 
-AttemptKey = tuple[str, int, int]
-
 
 class ClusterState:
     """One term's picture."""
@@ -47,7 +45,7 @@
         self.retry_at: dict[str, float] = {}
         self.failure_counts: dict[str, int] = {}
         # Tasks of machines that have not reported in this term, by machine name.
-        self.unconfirmed_placements: dict[str, dict[tuple[str, int], TaskPlacement]] = {}
+        self.unconfirmed_placements: dict[str, dict[TaskKey, TaskPlacement]] = {}
         # Images that machines had under earlier leaders, until they report.
         self.image_hints: dict[str, list[tuple[str, float]]] = {}
         self.listener: ClusterListener = NullListener()
@@ -99,7 +97,7 @@
             machine.address = addr
         return machine
 
-    def image_of(self, key: tuple[str, int]) -> str | None:
+    def image_of(self, key: TaskKey) -> str | None:
         """Return the image of a task whose job is known."""
         job = self.jobs.get(key[0])
         return job.spec.image if job is not None else None
@@ -116,7 +114,7 @@
         else:
             del self.machines[machine.name]
 
-    def may_be_on_machine(self, key: tuple[str, int], placement: TaskPlacement) -> bool:
+    def may_be_on_machine(self, key: TaskKey, placement: TaskPlacement) -> bool:
         """Whether the newest report leaves it open that a placed task is on its machine.
 
         Guards against machines returned for cancelled tasks that are long gone, while the batch that would say so
