--- a/driftcleat/scheduler/__init__.py
+++ b/driftcleat/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""One term of leadership: all that a leader decides, without any I/O."""
+"""The scheduler: all decisions of one leader term, without any I/O."""
 
 from driftcleat.scheduler.admission import PendingRequest
 from driftcleat.scheduler.eligibility import never_fits
--- a/driftcleat/scheduler/estimates.py
+++ b/driftcleat/scheduler/estimates.py
@@ -1,19 +1,20 @@
-"""What fetches and stops are reckoned to cost."""
+"""Estimates that weigh image fetches and stops against each other."""
 
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.users import JobSpec
 
 # So many processors weigh as much as one accelerator.
 CPUS_PER_GPU = 16
-LEAST_SIZE = 1e-3
-LEAST_FETCH_RATE = 1e-9
+# Lower bounds that keep a task without resources, and a type without a fetch rate, apart from zero.
+MIN_SIZE = 1e-3
+MIN_FETCH_GB_PER_S = 1e-9
 
 
 def fetch_s(spec: JobSpec, machine_type: MachineType) -> float:
-    """Return how long a machine of this type takes for a job's image, with no other fetch beside it."""
-    return spec.image_gb / max(machine_type.fetch_gb_per_s, LEAST_FETCH_RATE)
+    """Return the seconds that a machine of this type takes to fetch a job's image, with no other fetch beside it."""
+    return spec.image_gb / max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
 
 
 def size(spec: JobSpec) -> float:
-    """Return how much a task takes, to weigh its seconds by."""
-    return max(spec.gpus, spec.cpus / CPUS_PER_GPU, LEAST_SIZE)
+    """Return the weight of one task's seconds, in accelerators: its dominant resource."""
+    return max(spec.gpus, spec.cpus / CPUS_PER_GPU, MIN_SIZE)
--- a/driftcleat/scheduler/fleet_summary.py
+++ b/driftcleat/scheduler/fleet_summary.py
@@ -1,23 +1,35 @@
-"""The fleet in one line of the log."""
+"""The fleet and the queue in one line of the log."""
+
+from dataclasses import dataclass
 
 from driftcleat.cluster import ClusterState, MachineState
 
 
+@dataclass(slots=True)
+class _TypeSummary:
+    """Counts of the machines of one type; spot instances are counted apart."""
+
+    machines: int = 0
+    booting: int = 0
+    empty: int = 0
+    free_gpus: int = 0
+
+    def __str__(self) -> str:
+        return f"{self.machines} ({self.booting} booting, {self.empty} empty, {self.free_gpus} free gpus)"
+
+
 def fleet_summary(cluster: ClusterState) -> str:
-    """Return machines by type and use, and queued tasks by class, for the log."""
-    rows: dict[str, list[int]] = {}
+    """Return machines by type, spot instances with a `*`, and queued tasks by job class."""
+    summaries: dict[str, _TypeSummary] = {}
     for machine in cluster.machines.values():
         name = f"{machine.type.name if machine.type else '?'}{'*' if machine.spot else ''}"
-        row = rows.setdefault(name, [0, 0, 0, 0])
-        row[0] += 1
-        row[1] += machine.state is MachineState.BOOTING
-        row[2] += not machine.tasks
-        row[3] += round(machine.type.gpus - machine.used_gpus) if machine.type else 0
+        summary = summaries.setdefault(name, _TypeSummary())
+        summary.machines += 1
+        summary.booting += machine.state is MachineState.BOOTING
+        summary.empty += not machine.tasks
+        summary.free_gpus += round(machine.type.gpus - machine.used_gpus) if machine.type else 0
     queued: dict[str, int] = {}
     for job in cluster.jobs.values():
         queued[job.spec.job_class] = queued.get(job.spec.job_class, 0) + job.tasks_queued
-    text = ", ".join(
-        f"{name}: {row[0]} ({row[1]} booting, {row[2]} empty, {row[3]} free gpus)"
-        for name, row in sorted(rows.items())
-    )
-    return f"{text}; queued {queued}"
+    types = ", ".join(f"{name}: {summaries[name]}" for name in sorted(summaries))
+    return f"{types}; queued {queued}"
--- a/driftcleat/scheduler/record_migration.py
+++ b/driftcleat/scheduler/record_migration.py
@@ -1,12 +1,12 @@
-"""The change to the second data version: its latch, and the records that were written before it.
+"""The migration to data version 2: its latch, and the records that were written in the layout of data version 1.
 
-After the latch no record keeps the layout of the first version: jobs are moved one after the other, in pieces that
-the lower limits allow.
+The latch is a key in the store; once it is committed, data version 2 is in force for good, and every job that is
+still in the old layout is migrated, one after the other, in transactions that the lower limits allow.
 """
 
 import logging
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 
 from driftcleat.cluster import Batch, Job
 from driftcleat.scheduler.context import SchedulerContext
@@ -19,31 +19,36 @@
 
 @dataclass(slots=True)
 class JobMigration:
-    """A job's records on their way to another split: all chunks first, the head that names them last."""
+    """The progress of one job: all chunk records are written first, the head that names them last."""
 
     job_id: str
-    split: int
-    written: int = 1
-    # The chunks' versions; 0 for those in the batch under way.
-    versions: dict[int, int] = field(default_factory=dict)
+    tasks_per_record: int
+    # The number of the next chunk to write; chunk 0 is part of the head.
+    next_chunk: int = 1
+    # The mod revisions of the chunks that are written; 0 for those in the batch in flight.
+    mod_revisions: dict[int, int] = field(default_factory=dict)
 
 
 class RecordMigration:
-    """Writes the latch, and moves one job's records at a time."""
+    """Stores the latch, then migrates the records of one job at a time."""
 
     def __init__(self, context: SchedulerContext, garbage_collector: GarbageCollector, pacing: RoundPacing) -> None:
-        self._cluster, self._layout = context.cluster, context.layout
-        self._garbage_collector, self._pacing = garbage_collector, pacing
-        # Whether every controller is known to write data version 2, so that it may begin.
+        self._cluster = context.cluster
+        self._layout = context.layout
+        self._garbage_collector = garbage_collector
+        self._pacing = pacing
         self._latch_requested = False
-        self.jobs_to_migrate = {job.id for job in self._cluster.jobs.values() if self._layout.needs_migration(job)}
-        self._move: JobMigration | None = None
-        # Jobs that something waits for until their records are moved.
-        self._urgent: dict[str, None] = {}
+        self.jobs_to_migrate = self._jobs_in_old_layout()
+        self._current: JobMigration | None = None
+        # Jobs whose pending changes cannot be committed before their records are migrated.
+        self._prioritised: dict[str, None] = {}
+
+    def _jobs_in_old_layout(self) -> set[str]:
+        return {job.id for job in self._cluster.jobs.values() if self._layout.needs_migration(job)}
 
     @property
     def latch_requested(self) -> bool:
-        """Whether the latch was requested in this term, whether or not it is stored yet."""
+        """Return whether the latch was requested in this term, whether or not it is stored yet."""
         return self._latch_requested
 
     def request_latch(self) -> None:
@@ -55,90 +60,88 @@
 
     @property
     def latch_due(self) -> bool:
-        """Whether data version 2 is to begin with the next batch."""
+        """Return whether the next batch is to hold the latch."""
         return self._latch_requested and not self._layout.version_2_active
 
     @property
     def pending(self) -> bool:
-        """Whether a job's records wait to be moved."""
+        """Return whether there is a job to migrate."""
         return self._next_job() is not None
 
     def append_latch(self, batch: Batch) -> None:
-        """Put the latch into a batch of its own."""
+        """Append the latch to a batch of its own."""
         batch.put(DATA_VERSION_KEY, DATA_VERSION)
-        batch.on_commit.append(self._switch)
+        batch.on_commit.append(self._activate_version_2)
 
-    def _switch(self) -> None:
-        """Data version 2 is in force: there is no way back."""
+    def _activate_version_2(self) -> None:
+        """Switch to the layout of data version 2 after the commit of the latch; there is no way back."""
         log.info("data version %d begins", DATA_VERSION)
         self._layout.version_2_active = True
         for job in self._cluster.jobs.values():
             self._layout.assign_tasks_per_record(job)
-        self.jobs_to_migrate = {job.id for job in self._cluster.jobs.values() if self._layout.needs_migration(job)}
+        self.jobs_to_migrate = self._jobs_in_old_layout()
         self._pacing.record_change()
 
     def prioritise(self, job_ids: set[str]) -> None:
-        """Something waits for the records of these jobs."""
-        self._urgent.update(dict.fromkeys(sorted(job_ids)))
+        """Migrate these jobs next: other changes of theirs are pending until then."""
+        self._prioritised.update(dict.fromkeys(sorted(job_ids)))
 
     def record_commit(self, revision: int) -> None:
-        """A batch was committed: what it held of the move under way has its version."""
-        if self._move is not None:
-            for chunk, version in self._move.versions.items():
-                self._move.versions[chunk] = version or revision
+        """Record the mod revision of the chunks that the committed batch has written."""
+        if self._current is not None:
+            for chunk, mod_revision in self._current.mod_revisions.items():
+                self._current.mod_revisions[chunk] = mod_revision or revision
 
     def record_discard(self) -> None:
-        """A batch was not carried out: chunks of the move under way are garbage, or written once more."""
-        self._move = None
+        """Start the current job again after a discarded batch: its chunks are garbage, or overwritten."""
+        self._current = None
 
     def _next_job(self) -> Job | None:
-        """Return the job whose records are to be moved next: one that something waits for, if there is any."""
+        """Return the job to migrate next: the current one, else a prioritised one, else any; None if all are done."""
         if not self.jobs_to_migrate:
             return None
-        if self._move is not None and self._move.job_id in self._cluster.jobs:
-            return self._cluster.jobs[self._move.job_id]
-        self._move = None
+        if self._current is not None and self._current.job_id in self._cluster.jobs:
+            return self._cluster.jobs[self._current.job_id]
+        self._current = None
         self.jobs_to_migrate &= self._cluster.jobs.keys()
-        self._urgent = {job_id: None for job_id in self._urgent if job_id in self.jobs_to_migrate}
-        return self._cluster.jobs[min(self._urgent or self.jobs_to_migrate)] if self.jobs_to_migrate else None
+        self._prioritised = {job_id: None for job_id in self._prioritised if job_id in self.jobs_to_migrate}
+        return self._cluster.jobs[min(self._prioritised or self.jobs_to_migrate)] if self.jobs_to_migrate else None
 
     def append_to(self, batch: Batch) -> None:
-        """Write the records of jobs of the first data version anew, in pieces that the limits to come allow.
+        """Append records of the job that is being migrated, as far as the batch has room.
 
-        A job does not change meanwhile, so its chunks may be written in several batches. Until the head names them
-        they are garbage, and the old ones valid; a leader that ends in between leaves it at that.
+        A job does not change while it is migrated, so its chunks may be written in several batches. Until the head
+        names them they are garbage, and the old ones valid; a leader whose term ends in between leaves it at that.
         """
         if batch.operations_left <= 0:
             return
         job = self._next_job()
         if job is None:
             return
-        migration = self._move or self._begin(job)
-        chunks = -(-job.spec.tasks // migration.split)
-        while migration.written < chunks and batch.has_room_for_keys():
-            chunk = self._layout.chunk_record_in_split(job, migration.split, migration.written)
-            batch.put(chunk_key(job.id, migration.written, migration.split), chunk)
-            migration.versions[migration.written] = 0
-            migration.written += 1
-        if migration.written < chunks or not batch.has_room_for_keys():
+        migration = self._current or self._begin(job)
+        chunk_count = -(-job.spec.tasks // migration.tasks_per_record)
+        while migration.next_chunk < chunk_count and batch.has_room_for_keys():
+            chunk = migration.next_chunk
+            record = self._layout.chunk_record_in_split(job, migration.tasks_per_record, chunk)
+            batch.put(chunk_key(job.id, chunk, migration.tasks_per_record), record)
+            migration.mod_revisions[chunk] = 0
+            migration.next_chunk += 1
+        if migration.next_chunk < chunk_count or not batch.has_room_for_keys():
             return
-        batch.migrate_job(job.id, migration.split, migration.versions)
-        batch.on_commit.append(self._end_later(job))
+        batch.migrate_job(job.id, migration.tasks_per_record, migration.mod_revisions)
+        old_chunk_keys = [chunk_key(job.id, chunk, job.tasks_per_record) for chunk in job.chunk_mod_revisions]
+        batch.on_commit.append(partial(self._complete, job.id, old_chunk_keys))
 
     def _begin(self, job: Job) -> JobMigration:
-        split = self._layout.preferred_tasks_per_record(job)
-        self._move = JobMigration(job.id, split)
-        # An earlier leader may have left some of the very keys: they are no garbage from now on.
-        self._garbage_collector.cancel_deletes(chunk_key(job.id, 0, split)[:-1])
-        return self._move
-
-    def _end_later(self, job: Job) -> Callable[[], None]:
-        old = [chunk_key(job.id, chunk, job.tasks_per_record) for chunk in job.chunk_mod_revisions]
-
-        def ended() -> None:
-            self._garbage_collector.delete_later(old)
-            self._move = None
-            self.jobs_to_migrate.discard(job.id)
-            self._pacing.record_change()
-
-        return ended
+        tasks_per_record = self._layout.preferred_tasks_per_record(job)
+        self._current = JobMigration(job.id, tasks_per_record)
+        # An earlier leader may have written some of the very keys: they are no garbage from now on.
+        self._garbage_collector.cancel_deletes(chunk_key(job.id, 0, tasks_per_record)[:-1])
+        return self._current
+
+    def _complete(self, job_id: str, old_chunk_keys: list[str]) -> None:
+        """Finish a job's migration after the commit of its new head."""
+        self._garbage_collector.delete_later(old_chunk_keys)
+        self._current = None
+        self.jobs_to_migrate.discard(job_id)
+        self._pacing.record_change()
--- a/driftcleat/scheduler/scale_out.py
+++ b/driftcleat/scheduler/scale_out.py
@@ -1,6 +1,5 @@
-"""Rentals: each stored under a name of its own before it is sent, repeated until the cloud has answered for good."""
+"""Scale-out requests: each is stored under its own name before it is sent, and sent until the cloud settles it."""
 
-from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
 
@@ -9,17 +8,17 @@
 from driftcleat.scheduler.context import SchedulerContext
 from driftcleat.store.records import SCALE_OUTS_PREFIX, ScaleOutRecord
 
-# The most machines that the cloud rents in one request.
+# The most machines that the cloud creates for one request.
 MAX_MACHINES_PER_REQUEST = 50
-# How long an offer that was refused is left alone, in seconds, and by how much longer after each further refusal.
-LEAST_PAUSE_S = 5.0
-MOST_PAUSE_S = 30.0
-PAUSE_GROWTH = 1.5
+# The back-off of an offer without capacity, in seconds, and the factor by which it grows with each further refusal.
+MIN_BACK_OFF_S = 5.0
+MAX_BACK_OFF_S = 30.0
+BACK_OFF_FACTOR = 1.5
 
 
 @dataclass(slots=True)
 class ScaleOutRequest:
-    """A rental request that is stored and not yet settled."""
+    """A request for machines of one offer; its name makes it idempotent."""
 
     name: str
     record: ScaleOutRecord
@@ -27,48 +26,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Until when an offer is left alone, and how long that pause was."""
+    """The back-off of an offer that had no capacity: until when, and how long it is."""
 
     until: float
-    pause_s: float
+    back_off_s: float
 
 
 class ScaleOut:
-    """The rental requests of this term and of those before it that are not settled."""
+    """Holds the requests of this term, and those of earlier terms that are not settled."""
 
     def __init__(self, context: SchedulerContext) -> None:
-        self._cluster, self._wall, self._counters = context.cluster, context.wall, context.counters
+        self._cluster = context.cluster
+        self._wall = context.wall
+        self._counters = context.counters
+        # Requests that are stored and not settled, by name, and those that are to be stored.
         self.open: dict[str, ScaleOutRequest] = {}
         self.new: list[ScaleOutRequest] = []
+        # Names of settled requests whose records are to be deleted.
         self._settled: list[str] = []
-        self._number = 0
+        self._last_number = 0
         self._refusals: dict[MachineOffer, Refusal] = {}
 
     @property
     def pending(self) -> bool:
-        """Whether there is anything to store or to remove."""
+        """Return whether there is anything to store or to delete."""
         return bool(self.new or self._settled)
 
     @property
     def unsettled(self) -> list[ScaleOutRequest]:
-        """Return what was asked for, or will be, and not answered."""
+        """Return all requests whose machines may still come, stored or not."""
         return [*self.open.values(), *self.new]
 
     def restore(self, request: ScaleOutRequest) -> None:
-        """Take in a request of an earlier leader that it did not settle."""
+        """Restore a stored request that an earlier leader did not settle; it is sent again."""
         self.open[request.name] = request
 
     def request(self, plan: CapacityPlan) -> None:
-        """Queue a plan's rentals."""
+        """Create the requests of a capacity plan, named by fencing token and number; they are to be stored."""
         for (type_name, zone, spot), count in plan.scale_out.items():
-            for already in range(0, count, MAX_MACHINES_PER_REQUEST):
-                self._number += 1
-                name = f"{self._cluster.fencing_token}-{self._number}"
-                asked = min(count - already, MAX_MACHINES_PER_REQUEST)
-                self.new.append(ScaleOutRequest(name, ScaleOutRecord(type_name, zone, spot, asked, self._wall())))
+            for requested in range(0, count, MAX_MACHINES_PER_REQUEST):
+                self._last_number += 1
+                name = f"{self._cluster.fencing_token}-{self._last_number}"
+                machines = min(count - requested, MAX_MACHINES_PER_REQUEST)
+                self.new.append(ScaleOutRequest(name, ScaleOutRecord(type_name, zone, spot, machines, self._wall())))
 
     def append_to(self, batch: Batch) -> None:
-        """Put new names, and the removal of settled ones, into a batch."""
+        """Append the deletes of settled requests and the puts of new ones, as far as the batch has room."""
         while self._settled and batch.has_room_for_keys():
             name = self._settled.pop()
             batch.delete(SCALE_OUTS_PREFIX + name)
@@ -77,18 +80,14 @@
             request = self.new.pop(0)
             batch.put(SCALE_OUTS_PREFIX + request.name, request.record)
             batch.on_discard.append(partial(self.new.insert, 0, request))
-            batch.on_commit.append(self._open_later(request))
+            batch.on_commit.append(partial(self._record_stored, request))
 
-    def _open_later(self, request: ScaleOutRequest) -> Callable[[], None]:
-        """Send a rental only once its name is stored."""
-
-        def opened() -> None:
-            self.open[request.name] = request
-
-        return opened
+    def _record_stored(self, request: ScaleOutRequest) -> None:
+        """Open a request after the commit that stored it: only now may it be sent."""
+        self.open[request.name] = request
 
     def record_answer(self, request: ScaleOutRequest, machines: tuple[str, ...], now: float) -> None:
-        """The cloud has answered a request for good."""
+        """Settle a request: register the machines that the cloud has created, and delete its record."""
         self.open.pop(request.name, None)
         self._settled.append(request.name)
         record = request.record
@@ -98,12 +97,13 @@
                 self._cluster.register_machine(name, record.machine_type, record.zone, record.spot, "", now)
 
     def record_refusal(self, offer: MachineOffer, now: float) -> None:
-        """The cloud has none of this offer: ask again later, and later still if it goes on."""
-        before = self._refusals.get(offer)
-        pause_s = min(MOST_PAUSE_S, max(LEAST_PAUSE_S, (before.pause_s if before else 0.0) * PAUSE_GROWTH))
-        self._refusals[offer] = Refusal(now + pause_s, pause_s)
+        """Back off from an offer that has no capacity, for longer after each further refusal."""
+        last = self._refusals.get(offer)
+        last_back_off_s = last.back_off_s if last is not None else 0.0
+        back_off_s = min(MAX_BACK_OFF_S, max(MIN_BACK_OFF_S, last_back_off_s * BACK_OFF_FACTOR))
+        self._refusals[offer] = Refusal(now + back_off_s, back_off_s)
 
     def is_refused(self, offer: MachineOffer, now: float) -> bool:
-        """Whether an offer is left alone for now."""
+        """Return whether the back-off of an offer is not over yet."""
         refusal = self._refusals.get(offer)
         return refusal is not None and refusal.until > now
