--- a/driftcleat/scheduler/batch_builder.py
+++ b/driftcleat/scheduler/batch_builder.py
@@ -39,7 +39,6 @@
         placement: PlacementPass,
         garbage_collector: GarbageCollector,
         pacing: RoundPacing,
-        in_flight: InFlightChanges,
     ) -> None:
         self._platform = context.platform
         self._tuning = context.tuning
@@ -53,7 +52,8 @@
         self._placement = placement
         self._garbage_collector = garbage_collector
         self._pacing = pacing
-        self._in_flight = in_flight
+        # What the batch built last changes, until the scheduler clears it after the batch's outcome.
+        self.in_flight = InFlightChanges(context.cluster)
 
     def build(self, available_operations: float) -> Batch:
         """Return the next batch; it may be empty.
@@ -105,7 +105,7 @@
         _limit_operations(batch, budget - scheduling_operations - self._platform.write_rps * self._tuning.tidy)
         self._garbage_collector.append_to(batch)
         self._migration.prioritise(batch.awaiting_migration)
-        self._in_flight.record(batch)
+        self.in_flight.record(batch)
         return batch
 
     def _append_user_requests(self, batch: Batch, now: float) -> int:
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -19,7 +19,6 @@
 from driftcleat.scheduler.drains import MachineDrainer
 from driftcleat.scheduler.fleet_summary import fleet_summary
 from driftcleat.scheduler.garbage_collection import GarbageCollector
-from driftcleat.scheduler.in_flight import InFlightChanges
 from driftcleat.scheduler.machine_candidates import MachineCandidates
 from driftcleat.scheduler.pacing import RoundPacing, no_overload
 from driftcleat.scheduler.placement_pass import PlacementPass
@@ -40,7 +39,12 @@
 
 
 class Scheduler:
-    """Takes all decisions of one leader term; its parts hold what is pending of each kind."""
+    """Takes all decisions of one leader term; its parts hold what is pending of each kind.
+
+    `clock` is monotonic and shared with `cluster`; `wall` returns the time of day; both in seconds.
+    `brand_new`: the store never held a batch, so there are no workers yet whose heartbeats to wait for.
+    `overload_pause_s`: returns by how much rounds are delayed while heartbeats are handled late, in seconds.
+    """
 
     def __init__(
         self,
@@ -54,12 +58,6 @@
         brand_new: bool = False,
         overload_pause_s: Callable[[], float] = no_overload,
     ) -> None:
-        """Assemble the parts of a term.
-
-        `clock` is monotonic and shared with `cluster`; `wall` returns the time of day; both in seconds.
-        `brand_new`: the store never held a batch, so there are no workers yet whose heartbeats to wait for.
-        `overload_pause_s`: returns by how much rounds are delayed while heartbeats are handled late, in seconds.
-        """
         context = SchedulerContext(platform, tuning, cluster, layout, rng, clock, wall)
         self.platform = platform
         self.tuning = tuning
@@ -69,10 +67,8 @@
         self.counters = context.counters
         self.urgent_stops = context.urgent_stops
         now = clock()
-        wait_s = 0.0 if brand_new else platform.report_s * REPORT_INTERVALS_BEFORE_PLACING
         self._arrivals = ArrivalRates(platform.report_s * tuning.window, platform.report_s)
-        self._in_flight = InFlightChanges(cluster)
-        self.pacing = RoundPacing(platform, tuning, now + wait_s, overload_pause_s)
+        self.pacing = RoundPacing(platform, tuning, now + _heartbeat_wait_s(platform, brand_new), overload_pause_s)
         self.admission = Admission(context, self._arrivals)
         self.queue = JobQueue(platform, tuning, cluster)
         self.drainer = MachineDrainer(context)
@@ -87,17 +83,7 @@
         self._placement = PlacementPass(context, self.queue, self.candidates, self.preemption, self.pacing)
         self.demand = DemandPlanner(context, self.queue, self.reachability, self.scale_out, self._arrivals)
         self._scale_in = ScaleInPlanner(context, self.candidates, self.reachability)
-        self._batch_builder = BatchBuilder(
-            context,
-            self.admission,
-            self.migration,
-            self.drainer,
-            self.scale_out,
-            self._placement,
-            self.garbage_collector,
-            self.pacing,
-            self._in_flight,
-        )
+        self._batch_builder = self._new_batch_builder(context)
         self._listen_to_cluster()
         self._record_recovered_jobs(now, wall())
 
@@ -108,6 +94,18 @@
         cluster.on_image = self.garbage_collector.record_images
         cluster.on_notice = lambda machine, notice_s: self.drainer.drain(machine, f"notice of {notice_s:.1f} s")
 
+    def _new_batch_builder(self, context: SchedulerContext) -> BatchBuilder:
+        return BatchBuilder(
+            context,
+            self.admission,
+            self.migration,
+            self.drainer,
+            self.scale_out,
+            self._placement,
+            self.garbage_collector,
+            self.pacing,
+        )
+
     def _record_recovered_jobs(self, now: float, wall: float) -> None:
         """Count the jobs that were recovered from records as arrivals, as of when they were submitted."""
         for job in self.cluster.jobs.values():
@@ -160,7 +158,7 @@
             for name, machine in self.cluster.machines.items()
             if machine.last_heartbeat is not None or machine.state is MachineState.TERMINATED
         )
-        self._in_flight.clear()
+        self._batch_builder.in_flight.clear()
         self.drainer.pending = True
         self.pacing.record_change()
 
@@ -176,7 +174,7 @@
         self.cluster.apply_batch(batch, revision, now)
         self.queue.invalidate()
         self._record_ready_jobs(now)
-        self._in_flight.clear()
+        self._batch_builder.in_flight.clear()
         if batch.created:
             # A job is placed in a later batch than its own, and nothing else may come to request that round.
             self.pacing.record_change()
@@ -237,12 +235,12 @@
     ) -> list[Machine]:
         """Return the machines to scale in: unneeded by the plan, or given up as lost."""
         return self._scale_in.select(
-            plan, self._in_flight.machines, now, failures or self.reachability.detect_failures(now)
+            plan, self._batch_builder.in_flight.machines, now, failures or self.reachability.detect_failures(now)
         )
 
     def consolidation_candidate(self, now: float) -> Machine | None:
         """Return a machine that is worth draining, since its few replicas fit elsewhere; None if there is none."""
-        return self._scale_in.consolidation_candidate(self._in_flight.machines, now)
+        return self._scale_in.consolidation_candidate(self._batch_builder.in_flight.machines, now)
 
     def find_or_register_machine(self, name: str, now: float) -> Machine:
         """Return a machine by name; one that is known from placements in records only is registered first."""
@@ -252,3 +250,8 @@
     def summary(self) -> str:
         """Return machines by type and queued tasks by job class, for the log."""
         return fleet_summary(self.cluster)
+
+
+def _heartbeat_wait_s(platform: Platform, brand_new: bool) -> float:
+    """Return how long after the start of a term nothing is placed, in seconds."""
+    return 0.0 if brand_new else platform.report_s * REPORT_INTERVALS_BEFORE_PLACING
