--- a/driftcleat/capacity/candidate_pool.py
+++ b/driftcleat/capacity/candidate_pool.py
@@ -1,34 +1,49 @@
-"""Candidates for sizing, in groups of those that are alike."""
+"""Candidates for sizing, in groups of machines that are alike."""
 
-from collections.abc import Callable, Iterable
+from collections.abc import Iterable
 from dataclasses import replace
+from typing import NamedTuple
 
-from driftcleat.capacity.demand import Demand, may_use, zone_left
+from driftcleat.capacity.demand import Demand
 from driftcleat.placement.candidates import Candidate, allowed
 from driftcleat.wire.users import JobSpec
 
-GroupKey = tuple[str, str, bool, bool, float, float, float, str]
-# Amounts that differ by less are alike.
+# Free amounts that are equal to so many decimal places are alike.
 ALIKE_DIGITS = 4
 
+# Machine type, zone, spot, busy, free processors, GPUs and memory; and the name of a machine on which tasks failed,
+# which is alike to no other. A plain tuple, since a named one takes longer to create: one for each machine in a plan.
+GroupKey = tuple[str, str, bool, bool, float, float, float, str]
+
+
+class CandidateGroup(NamedTuple):
+    """Machines that are alike: one of them as a candidate, and the names of all."""
+
+    candidate: Candidate
+    names: list[str]
+
 
 class CandidatePool:
-    """Candidates that are alike lie in one group: a fleet of hundreds has a few dozen kinds."""
+    """Groups of candidates: a fleet of hundreds of machines has a few dozen."""
 
     def __init__(self, candidates: Iterable[Candidate] = ()) -> None:
-        self.groups: dict[GroupKey, tuple[Candidate, list[str]]] = {}
+        self.groups: dict[GroupKey, CandidateGroup] = {}
         for candidate in candidates:
-            self._add(candidate, [candidate.name])
+            self._add_group(candidate, [candidate.name])
 
-    def add(self, key: GroupKey, name: str, make: Callable[[], Candidate]) -> None:
-        """Count a machine in; a candidate is made only of the first of each group."""
+    def add_to_group(self, key: GroupKey, name: str) -> bool:
+        """Add a machine to its group; return False if there is none yet, so that a candidate has to be made."""
         group = self.groups.get(key)
         if group is None:
-            self.groups[key] = (make(), [name])
-        else:
-            group[1].append(name)
+            return False
+        group.names.append(name)
+        return True
 
-    def _add(self, candidate: Candidate, names: list[str]) -> None:
+    def open_group(self, key: GroupKey, candidate: Candidate) -> None:
+        """Open a group with its first machine."""
+        self.groups[key] = CandidateGroup(candidate, [candidate.name])
+
+    def _add_group(self, candidate: Candidate, names: list[str]) -> None:
         key = (
             candidate.machine_type,
             candidate.zone,
@@ -41,58 +56,61 @@
         )
         group = self.groups.get(key)
         if group is None:
-            self.groups[key] = (candidate, names)
+            self.groups[key] = CandidateGroup(candidate, names)
         else:
-            group[1].extend(names)
+            group.names.extend(names)
 
-    def tasks(self, spec: JobSpec, zone: str, most: int) -> int:
-        """Return how many tasks of this shape fit into the candidates of a zone, up to `most`."""
+    def capacity(self, spec: JobSpec, zone: str, max_tasks: int) -> int:
+        """Return how many tasks of this shape fit into the candidates of a zone, up to `max_tasks`."""
         count = 0
         for candidate, names in self.groups.values():
             if candidate.zone == zone and allowed(spec, candidate.machine_type, zone, candidate.spot):
-                count += len(names) * candidate.capacity(spec, most)
-                if count >= most:
-                    return most
+                count += len(names) * candidate.capacity(spec, max_tasks)
+                if count >= max_tasks:
+                    return max_tasks
         return count
 
     def fill(self, demand: Demand, used: set[str]) -> None:
-        """Put a demand into machines in use first, where a task costs least, the tightest first: what stays empty
-        can be returned."""
+        """Pack a demand into the candidates, and add the names of those that it uses to `used`.
+
+        Machines in use come first, then those where a task costs least, then the tightest: what stays empty can be
+        scaled in.
+        """
         spec = demand.spec
-        for key in self._fitting(demand):
+        for key in self._preferred(demand):
             if demand.tasks <= 0:
                 return
             candidate, names = self.groups[key]
-            most = min(demand.tasks, zone_left(demand, candidate.zone))
-            each = candidate.capacity(spec, most) if most > 0 else 0
-            if each <= 0:
+            max_tasks = min(demand.tasks, demand.room_in_zone(candidate.zone))
+            per_machine = candidate.capacity(spec, max_tasks) if max_tasks > 0 else 0
+            if per_machine <= 0:
                 continue
-            whole = min(len(names), most // each)
-            rest = most - whole * each if whole < len(names) else 0
-            for tasks, count in ((each, whole), (rest, 1)):
+            filled = min(len(names), max_tasks // per_machine)
+            rest = max_tasks - filled * per_machine if filled < len(names) else 0
+            for tasks, count in ((per_machine, filled), (rest, 1)):
                 if tasks > 0 and count > 0:
-                    taken, names[:count] = names[:count], []
+                    taken = names[:count]
+                    del names[:count]
                     used.update(taken)
                     smaller = replace(candidate, name=taken[0], fetching_images=set())
                     smaller.allocate(spec, tasks)
-                    self._add(smaller, taken)
-            demand.took(candidate.zone, whole * each + rest)
+                    self._add_group(smaller, taken)
+            demand.record_packed(candidate.zone, filled * per_machine + rest)
 
-    def _fitting(self, demand: Demand) -> list[GroupKey]:
-        """Return the groups that a demand may use, the best first."""
+    def _preferred(self, demand: Demand) -> list[GroupKey]:
+        """Return the groups that a demand may use and fits into, the best first."""
         spec = demand.spec
-        # A task costs the same on all machines of one type and kind.
+        # A task costs the same on all machines of one type, spot or on-demand.
         costs: dict[tuple[str, bool], float] = {}
-        fitting: list[tuple[bool, float, int, float, float, GroupKey]] = []
+        ranked: list[tuple[tuple[bool, float, int, float, float], GroupKey]] = []
         for key, (candidate, names) in self.groups.items():
-            if not names or not candidate.fits(spec) or not may_use(demand, candidate):
+            if not names or not candidate.fits(spec) or not demand.may_use(candidate):
                 continue
             kind = (candidate.machine_type, candidate.spot)
             cost = costs.get(kind)
             if cost is None:
                 cost = costs[kind] = candidate.fetch_weighted_cost(spec)
-            fitting.append(
-                (not candidate.busy, cost, candidate.controllers_elsewhere, candidate.gpus, candidate.cpus, key)
-            )
-        fitting.sort(key=lambda row: row[:5])
-        return [row[5] for row in fitting]
+            rank = (not candidate.busy, cost, candidate.controllers_elsewhere, candidate.gpus, candidate.cpus)
+            ranked.append((rank, key))
+        ranked.sort(key=lambda entry: entry[0])
+        return [key for _, key in ranked]
--- a/driftcleat/capacity/demand.py
+++ b/driftcleat/capacity/demand.py
@@ -1,4 +1,4 @@
-"""Demand for capacity: tasks of one shape that want room."""
+"""Demand for capacity: tasks of one shape that need room."""
 
 from dataclasses import dataclass
 
@@ -9,17 +9,15 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Tasks of one shape that want room now, or are expected to."""
+    """Tasks of one shape that need room now, or are expected to; sizing counts them down."""
 
     spec: JobSpec
     tasks: int
-    zones: dict[str, int]
-    # Set once it is decided in which zone a job that wants only one shall be.
-    only: str | None = None
-
-    # How many of the tasks one zone may hold; None: all.
-    per_zone: int | None = None
-
+    tasks_by_zone: dict[str, int]
+    # Set once it is decided in which zone a job that needs a single one is to run.
+    required_zone: str | None = None
+    # The number of tasks that one zone may hold; None: all.
+    max_per_zone: int | None = None
     # What a task costs an hour, once it was worked out.
     _cost: float | None = None
 
@@ -27,55 +25,52 @@
         # Guards against taking the size of one job as the limit for all that are expected of its class: the rest
         # was then rented in another zone, at any price.
         if self.spec.spread:
-            self.per_zone = -(-max(self.spec.tasks, self.tasks + sum(self.zones.values())) // 2)
+            self.max_per_zone = -(-max(self.spec.tasks, self.tasks + sum(self.tasks_by_zone.values())) // 2)
 
-    def took(self, zone: str, tasks: int) -> None:
-        """Count tasks that found room."""
+    def record_packed(self, zone: str, tasks: int) -> None:
+        """Count tasks that were packed in a zone."""
         self.tasks -= tasks
-        self.zones[zone] = self.zones.get(zone, 0) + tasks
+        self.tasks_by_zone[zone] = self.tasks_by_zone.get(zone, 0) + tasks
 
-    def cost(self, types: dict[str, MachineType]) -> float:
+    def cost(self, machine_types: dict[str, MachineType]) -> float:
         """Return what a task costs an hour on the type that suits it best, if that is filled up."""
         if self._cost is None:
             spec = self.spec
             self._cost = min(
                 (
                     machine_type.price * share(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-                    for machine_type in types.values()
+                    for machine_type in machine_types.values()
                     if spec.machine_types is None or machine_type.name in spec.machine_types
                 ),
                 default=0.0,
             )
         return self._cost
 
-
-def may_use(demand: Demand, candidate: Candidate) -> bool:
-    """Tell whether a demand may use a candidate, if it fits there."""
-    spec = demand.spec
-    return (
-        candidate.allows(spec)
-        and spec.id not in candidate.failed_jobs
-        and (demand.only is None or candidate.zone == demand.only)
-    )
-
-
-def zone_left(demand: Demand, zone: str) -> int:
-    """Return how many more tasks of a job may be in a zone."""
-    if demand.per_zone is None:
-        return demand.tasks
-    return demand.per_zone - demand.zones.get(zone, 0)
-
-
-def fill(demand: Demand, candidate: Candidate, dry: bool = False) -> int:
-    """Put as many of a demand's tasks into a candidate as fit; `dry` leaves the demand as it is."""
-    spec = demand.spec
-    if not may_use(demand, candidate):
-        return 0
-    most = min(demand.tasks, zone_left(demand, candidate.zone))
-    taken = candidate.capacity(spec, most) if most > 0 else 0
-    if taken <= 0:
-        return 0
-    candidate.allocate(spec, taken)
-    if not dry:
-        demand.took(candidate.zone, taken)
-    return taken
+    def may_use(self, candidate: Candidate) -> bool:
+        """Tell whether the tasks may use a candidate, if they fit there."""
+        spec = self.spec
+        return (
+            candidate.allows(spec)
+            and spec.id not in candidate.failed_jobs
+            and (self.required_zone is None or candidate.zone == self.required_zone)
+        )
+
+    def room_in_zone(self, zone: str) -> int:
+        """Return how many more of the tasks a zone may hold."""
+        if self.max_per_zone is None:
+            return self.tasks
+        return self.max_per_zone - self.tasks_by_zone.get(zone, 0)
+
+    def pack_into(self, candidate: Candidate, dry_run: bool = False) -> int:
+        """Pack as many tasks into a candidate as fit, and return how many; `dry_run` leaves the demand as it is."""
+        spec = self.spec
+        if not self.may_use(candidate):
+            return 0
+        max_tasks = min(self.tasks, self.room_in_zone(candidate.zone))
+        packed = candidate.capacity(spec, max_tasks) if max_tasks > 0 else 0
+        if packed <= 0:
+            return 0
+        candidate.allocate(spec, packed)
+        if not dry_run:
+            self.record_packed(candidate.zone, packed)
+        return packed
--- a/driftcleat/cloud/manager.py
+++ b/driftcleat/cloud/manager.py
@@ -6,7 +6,7 @@
 
 from driftcleat import wire
 from driftcleat.api.heartbeats import HeartbeatApi
-from driftcleat.capacity.sizing import CapacityPlan
+from driftcleat.capacity.sizing import CapacityPlan, MachineOffer
 from driftcleat.cloud.client import MOST_RETURNED, PAGE, CloudClient, CloudError, NoCapacityError
 from driftcleat.cluster import Machine, MachineState, transition_machine
 from driftcleat.leadership import ActiveTerm
@@ -290,7 +290,9 @@
             machines = await self._cloud.create_machines(request)
         except NoCapacityError:
             machines = ()
-            scheduler.scale_out.record_refusal((record.machine_type, record.zone, record.spot), self.clock())
+            scheduler.scale_out.record_refusal(
+                MachineOffer(record.machine_type, record.zone, record.spot), self.clock()
+            )
         except CloudError as error:
             log.debug("rental %s: %s", rental.name, error)
             await asyncio.sleep(self.platform.report_s / 6)
@@ -307,7 +309,9 @@
         )
         if self._active_term.scheduler is scheduler:
             if machines and len(machines) < record.count:
-                scheduler.scale_out.record_refusal((record.machine_type, record.zone, record.spot), self.clock())
+                scheduler.scale_out.record_refusal(
+                    MachineOffer(record.machine_type, record.zone, record.spot), self.clock()
+                )
             scheduler.scale_out.record_answer(rental, machines, self.clock())
             self._active_term.wake_committer()
             self._active_term.state_changed.set()
--- /dev/null
+++ b/driftcleat/scheduler/free_capacity.py
@@ -0,0 +1,79 @@
+"""Free capacity: what the machines have free that are there, boot, or were requested."""
+
+from driftcleat.capacity.candidate_pool import ALIKE_DIGITS, CandidatePool
+from driftcleat.cluster import MachineState
+from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate
+from driftcleat.scheduler.context import SchedulerContext
+from driftcleat.scheduler.machine_candidates import NO_IMAGES, machine_candidate
+from driftcleat.scheduler.scale_out import ScaleOut, ScaleOutRequest
+
+
+class FreeCapacity:
+    """Groups the machines that demand can be packed into."""
+
+    def __init__(self, context: SchedulerContext, scale_out: ScaleOut) -> None:
+        self._platform = context.platform
+        self._cluster = context.cluster
+        self._scale_out = scale_out
+
+    def pool(self) -> CandidatePool:
+        """Return the free capacity of machines that are up or booting, then of those that were requested."""
+        pool = CandidatePool()
+        for machine in self._cluster.machines.values():
+            machine_type = machine.type
+            if machine_type is None or machine.state not in (MachineState.UP, MachineState.BOOTING):
+                continue
+            cpus = machine_type.cpus - machine.used_cpus
+            gpus = machine_type.gpus - machine.used_gpus
+            if gpus + cpus <= ROUNDING_TOLERANCE:
+                continue
+            key = (
+                machine_type.name,
+                machine.zone,
+                machine.spot,
+                bool(machine.tasks),
+                round(cpus, ALIKE_DIGITS),
+                round(gpus, ALIKE_DIGITS),
+                round(machine_type.memory_gb - machine.used_memory_gb, ALIKE_DIGITS),
+                machine.name if machine.failed_jobs else "",
+            )
+            if not pool.add_to_group(key, machine.name):
+                # Sizing looks at no images.
+                controllers_elsewhere = self._platform.away(machine.zone)
+                pool.open_group(
+                    key, machine_candidate(machine, machine_type, controllers_elsewhere, NO_IMAGES, set())
+                )
+        for request in self._scale_out.unsettled:
+            self._add_requested(pool, request)
+        return pool
+
+    def _add_requested(self, pool: CandidatePool, request: ScaleOutRequest) -> None:
+        """Add the machines of a scale-out request that is not settled."""
+        record = request.record
+        machine_type = self._cluster.machine_types.get(record.machine_type)
+        if machine_type is None:
+            return
+        key = (
+            machine_type.name,
+            record.zone,
+            record.spot,
+            False,
+            round(machine_type.cpus, ALIKE_DIGITS),
+            round(machine_type.gpus, ALIKE_DIGITS),
+            round(machine_type.memory_gb, ALIKE_DIGITS),
+            "",
+        )
+        for number in range(record.count):
+            name = f"{request.name}+{number}"
+            if not pool.add_to_group(key, name):
+                candidate = Candidate(
+                    name,
+                    machine_type.name,
+                    record.zone,
+                    record.spot,
+                    machine_type.cpus,
+                    machine_type.gpus,
+                    machine_type.memory_gb,
+                    controllers_elsewhere=self._platform.away(record.zone),
+                )
+                pool.open_group(key, candidate)
--- /dev/null
+++ b/driftcleat/scheduler/queued_demand.py
@@ -0,0 +1,81 @@
+"""The demand of the queue: jobs that are alike are one demand."""
+
+from driftcleat.capacity.demand import Demand
+from driftcleat.cluster import Job
+from driftcleat.placement.candidates import capacity, latency_sensitive
+from driftcleat.placement.quota import QuotaHeadroom
+from driftcleat.scheduler.context import INFINITE, SchedulerContext
+from driftcleat.scheduler.queue import JobQueue
+
+# Guaranteed, priority level, processors, GPUs and memory of a task, machine types, zone, spot, latency-sensitive. A
+# plain tuple, since a named one takes longer to create: one for each queued job in each plan.
+DemandShape = tuple[bool, int, float, float, float, tuple[str, ...] | None, str | None, bool, bool]
+
+# A job that failed so often gets no machine of its own.
+MAX_FAILURES = 3
+
+
+class QueuedDemand:
+    """Works out the demand of the queued jobs."""
+
+    def __init__(self, context: SchedulerContext, queue: JobQueue) -> None:
+        self._tuning = context.tuning
+        self._cluster = context.cluster
+        self._queue = queue
+
+    def demands(self) -> list[Demand]:
+        """Return the demand of queued tasks for which their teams' quotas leave headroom."""
+        queued = self._queue.queued()
+        quotas: dict[str, QuotaHeadroom] = {}
+        demands: list[Demand] = []
+        by_shape: dict[DemandShape, Demand] = {}
+        for job in queued.jobs:
+            if self._cluster.failure_counts.get(job.id, 0) >= MAX_FAILURES:
+                continue
+            quota = quotas.setdefault(job.spec.team, self._queue.quota_headroom(job.spec.team))
+            tasks = _tasks_within(quota, job)
+            if tasks <= 0:
+                continue
+            quota.consume(job.spec, tasks)
+            if latency_sensitive(job.spec):
+                # Machines differ in how long they boot: with none to spare, the last replicas wait for the slowest.
+                tasks += round(tasks * self._tuning.slack)
+            shape = self._shape(job, job.id in queued.order.guaranteed)
+            known = by_shape.get(shape) if shape is not None else None
+            if known is not None:
+                known.tasks += tasks
+                continue
+            demand = Demand(job.spec, tasks, job.placements_by_zone())
+            demands.append(demand)
+            if shape is not None:
+                by_shape[shape] = demand
+        return demands
+
+    def _shape(self, job: Job, guaranteed: bool) -> DemandShape | None:
+        """Return what jobs have in common that are sized as one.
+
+        None for a job whose tasks depend on one another's zones, or that failed somewhere. The work of a plan then
+        grows with the kinds of queued jobs, not with the jobs.
+        """
+        spec = job.spec
+        zone_dependent = spec.tasks > 1 and (spec.single_zone or spec.spread)
+        if zone_dependent or job.id in self._cluster.failure_counts:
+            return None
+        return (
+            guaranteed,
+            job.priority_level,
+            spec.cpus,
+            spec.gpus,
+            spec.memory_gb,
+            spec.machine_types,
+            spec.zone,
+            spec.spot,
+            latency_sensitive(spec),
+        )
+
+
+def _tasks_within(quota: QuotaHeadroom, job: Job) -> int:
+    """Return for how many of a job's queued tasks its team's quota leaves headroom; a gang gets all or none."""
+    if job.is_gang:
+        return job.tasks_queued if quota.fits(job.spec, job.tasks_queued) else 0
+    return capacity(job.spec, quota.cpus, quota.gpus, INFINITE, job.tasks_queued)
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -322,8 +322,8 @@
     spec, taken = demand.spec, 0
     for room in sorted(rooms, key=lambda room: (not room.busy, room.fetch_weighted_cost(spec), room.gpus, room.cpus)):
         zone_left = demand.tasks - taken
-        if demand.per_zone is not None:
-            zone_left = min(zone_left, demand.per_zone - demand.zones.get(room.zone, 0))
+        if demand.max_per_zone is not None:
+            zone_left = min(zone_left, demand.max_per_zone - demand.tasks_by_zone.get(room.zone, 0))
         if not allowed(spec, room.machine_type, room.zone, room.spot) or not fits(
             spec, room.cpus, room.gpus, room.memory_gb
         ):
@@ -331,7 +331,7 @@
         count = capacity(spec, room.cpus, room.gpus, room.memory_gb, zone_left) if zone_left > 0 else 0
         if count > 0:
             room.allocate(spec, count)
-            demand.zones[room.zone] = demand.zones.get(room.zone, 0) + count
+            demand.tasks_by_zone[room.zone] = demand.tasks_by_zone.get(room.zone, 0) + count
             taken += count
     return taken
 
@@ -389,8 +389,8 @@
     stock = CandidatePool(rooms)
     stock.fill(grouped, used)
     taken = plain_fill(single, plain)
-    assert spec.tasks - grouped.tasks == taken == sum(grouped.zones.values())
-    assert all(count <= spread_limit(spec) for count in grouped.zones.values())
+    assert spec.tasks - grouped.tasks == taken == sum(grouped.tasks_by_zone.values())
+    assert all(count <= spread_limit(spec) for count in grouped.tasks_by_zone.values())
     assert (taken > 0) == bool(used)
     free = sum(room.gpus * len(names) for room, names in stock.groups.values())
     assert abs(free - sum(room.gpus for room in plain)) < 1e-6
@@ -429,7 +429,7 @@
     plan = plan_fleet(
         [Demand(job(1, hands=4), 4, {})], [], {"big": BIG}, lambda offer: False, 9, lambda zone: int(zone == "north")
     )
-    assert {offer[1] for offer in plan.scale_out} == {"south"}
+    assert {offer.zone for offer in plan.scale_out} == {"south"}
     rooms = [
         Candidate(f"vm-{number}", "big", "north", False, 8.0, 2.0, 32.0, controllers_elsewhere=number)
         for number in (1, 0, 2)
@@ -451,7 +451,7 @@
         ("daemon", "standard", "cheap"),
     ):
         plan = plan_fleet([Demand(job(1, rig=rig, rank=rank, hands=4), 4, {})], [], types, lambda offer: False, 9)
-        assert {offer[0] for offer in plan.scale_out} == {wanted}
+        assert {offer.machine_type for offer in plan.scale_out} == {wanted}
 
 
 def test_services_stop_lower_work_where_their_image_is_for_several_replicas_at_once() -> None:
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -56,10 +56,10 @@
     gang = job(50, rig="group", together=True, crew="blue", **(wide | {"hands": 2, "accelerators": 0.0}))
     accept(scheduler, *whole, gang)
     assert len(scheduler.queue.queued().jobs) == 41
-    demands = scheduler.demand.queued()
+    demands = scheduler.demand.queued.demands()
     # The team's limit of six accelerators leaves room for one of these.
     assert sorted(demand.tasks for demand in demands) == [1, 2]
-    free = scheduler.demand.free()
+    free = scheduler.demand.free_capacity.pool()
     assert len(free.groups) == 2 and sum(len(names) for _, names in free.groups.values()) == 200
 
 
@@ -70,7 +70,7 @@
     accept(scheduler, *specs)
     jobs = scheduler.queue.queued().jobs
     assert len(jobs) == 30
-    demands = scheduler.demand.queued()
+    demands = scheduler.demand.queued.demands()
     assert len(demands) == 2 and sum(demand.tasks for demand in demands) == sum(found.tasks_queued for found in jobs)
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 
 from driftcleat import wire
 from driftcleat.api import UserApi
-from driftcleat.capacity.sizing import CapacityPlan
+from driftcleat.capacity.sizing import CapacityPlan, MachineOffer
 from driftcleat.cloud.client import MOST_RETURNED
 from driftcleat.cloud.manager import FleetManager
 from driftcleat.controller.controller import MOST_PEER_BODY
@@ -104,7 +104,9 @@
 
 def test_one_need_for_many_machines_is_several_requests_of_what_the_cloud_takes() -> None:
     scheduler, _ = fleet(1)
-    scheduler.scale_out.request(CapacityPlan({("big", "north", False): 2 * MAX_MACHINES_PER_REQUEST + 7}, set()))
+    scheduler.scale_out.request(
+        CapacityPlan({MachineOffer("big", "north", False): 2 * MAX_MACHINES_PER_REQUEST + 7}, set())
+    )
     assert [request.record.count for request in scheduler.scale_out.new] == [
         MAX_MACHINES_PER_REQUEST,
         MAX_MACHINES_PER_REQUEST,
