--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -1,4 +1,4 @@
-"""Workers' reports: taken in, and answered with the commands that follow from them."""
+"""Workers' heartbeats: applied to the cluster state, and answered with the commands that follow from it."""
 
 import asyncio
 import logging
@@ -20,7 +20,7 @@
 
 
 class HeartbeatApi:
-    """Answers workers: at once unless a report brings news that is worth a batch."""
+    """Answers heartbeats: at once, unless one reports exits that are worth waiting for their commit."""
 
     def __init__(
         self,
@@ -31,113 +31,122 @@
         clock: Callable[[], float],
         connections: ConnectionLimiter[Any],
     ) -> None:
-        self._platform, self._tuning, self._active_term = platform, tuning, active_term
-        self._metrics, self._clock = metrics, clock
+        self._label = platform.label
+        self._max_wait_s = platform.report_s * tuning.answer
+        self._active_term = active_term
+        self._metrics = metrics
+        self._clock = clock
         self._connections = connections
-        # When a report was last taken in as a leader.
+        # When this controller last received a heartbeat as a leader.
         self.last_heartbeat_at = float("-inf")
-        # How many were.
+        # How many it has received as a leader.
         self.heartbeats_received = 0
 
     def handle(self, body: bytes) -> Reply:
-        """Answer a worker's report."""
+        """Answer one heartbeat."""
         election = self._active_term.election
-        isolated_token = election.lease_keeping_token
-        if not election.may_answer_heartbeats and isolated_token is None:
+        partition_token = election.lease_keeping_token
+        if not election.may_answer_heartbeats and partition_token is None:
             return self._redirect()
-        started = self._clock()
+        received_at = self._clock()
         try:
             heartbeat = wire.decode(body, Heartbeat)
         except wire.WireError as error:
             self._metrics.malformed_heartbeats += 1
-            log.info("malformed report: %s", error)
+            log.info("heartbeat rejected: malformed: %s", error)
             return Answer.error(400, str(error))
-        if isolated_token is not None:
-            return self._extend_lease(heartbeat, isolated_token)
+        if partition_token is not None:
+            return self._extend_lease(heartbeat, partition_token)
         token = election.fencing_token
         if heartbeat.fencing_token > token:
-            election.request_step_down(f"a worker has seen token {heartbeat.fencing_token}")
+            election.request_step_down(f"machine {heartbeat.machine} has seen term {heartbeat.fencing_token}")
             return _redirect_to(None)
         scheduler = self._active_term.scheduler
         if scheduler is None:
-            return _orders(token)
-        machine = scheduler.cluster.apply_heartbeat(heartbeat, started)
-        self._metrics.record_part("reports", self._clock() - started)
+            return _respond(token)
+        return self._apply(scheduler, heartbeat, received_at)
+
+    def _apply(self, scheduler: Scheduler, heartbeat: Heartbeat, received_at: float) -> Reply:
+        """Apply a heartbeat to the cluster state and answer it."""
+        machine = scheduler.cluster.apply_heartbeat(heartbeat, received_at)
+        self._metrics.record_part("reports", self._clock() - received_at)
         if machine is None:
             self._metrics.stale_heartbeats += 1
             log.debug(
-                "stale report of %s: session %d, seq %d",
+                "machine %s: stale heartbeat: worker epoch %d, sequence %d",
                 heartbeat.machine,
                 heartbeat.worker_epoch,
                 heartbeat.sequence,
             )
-            return _orders(token)
-        self.last_heartbeat_at = started
+            return _respond(self._active_term.election.fencing_token)
+        self.last_heartbeat_at = received_at
         self.heartbeats_received += 1
-        news = scheduler.cluster.has_uncommitted_exits(machine)
-        if news or scheduler.has_work:
+        has_exits = scheduler.cluster.has_uncommitted_exits(machine)
+        if has_exits or scheduler.has_work:
             self._active_term.wake_committer()
-            if news and not self._connections.crowded:
-                return self._answer_after_news(scheduler, machine, heartbeat, started)
-        return self._answer(scheduler, machine, heartbeat, started)
-
-    def _redirect(self) -> Answer:
-        """Send a worker to the leader, if that is another controller and known."""
-        leader = self._active_term.leader
-        return _redirect_to(leader if leader != self._platform.label else None)
+            # A response that waits keeps its connection: with too many of them, all are answered at once.
+            if has_exits and not self._connections.crowded:
+                return self._answer_after_commit(scheduler, machine, heartbeat, received_at)
+        return self._answer(scheduler, machine, heartbeat, received_at)
 
-    async def _answer_after_news(
-        self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, started: float
+    async def _answer_after_commit(
+        self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, received_at: float
     ) -> Answer:
-        await self._await_news(scheduler, machine.name, heartbeat)
-        return self._answer(scheduler, machine, heartbeat, started)
+        await self._await_commit(scheduler, machine.name, heartbeat)
+        return self._answer(scheduler, machine, heartbeat, received_at)
 
-    def _answer(self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, started: float) -> Answer:
+    async def _await_commit(self, scheduler: Scheduler, machine_name: str, heartbeat: Heartbeat) -> None:
+        """Wait until the exits of a heartbeat are committed: the response can then forget them and start others."""
+        deadline = self._clock() + self._max_wait_s
+        while self._active_term.may_decide and self._active_term.scheduler is scheduler:
+            machine = scheduler.cluster.machines.get(machine_name)
+            left_s = deadline - self._clock()
+            if machine is None or machine.last_heartbeat is not heartbeat or left_s <= 0:
+                return
+            if not scheduler.cluster.has_uncommitted_exits(machine) and not scheduler.has_work:
+                return
+            try:
+                await asyncio.wait_for(self._active_term.wait_for_commit(), left_s)
+            except TimeoutError:
+                return
+
+    def _answer(self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, received_at: float) -> Answer:
+        """Respond with the commands for a machine, if this term still lasts."""
         election = self._active_term.election
         if self._active_term.scheduler is not scheduler or not election.may_answer_heartbeats:
             return _redirect_to(None)
-        began = self._clock()
-        answer = _orders(
+        began_at = self._clock()
+        answer = _respond(
             election.fencing_token,
             commands_for_heartbeat(scheduler.cluster, machine, heartbeat, election.may_send_starts),
         )
-        ended = self._clock()
-        self._metrics.record_part("orders", ended - began)
-        self._metrics.heartbeat_latency.record(ended - started)
+        ended_at = self._clock()
+        self._metrics.record_part("orders", ended_at - began_at)
+        self._metrics.heartbeat_latency.record(ended_at - received_at)
         return answer
 
     def _extend_lease(self, heartbeat: Heartbeat, token: int) -> Answer:
-        """Keep the lease of a worker that is cut off together with us, unless it has heard of a newer leader."""
+        """Extend the lease of a worker in our partition, unless it has seen a newer leader."""
         election = self._active_term.election
         if heartbeat.fencing_token > token:
             election.observe_higher_token(heartbeat.fencing_token)
             return _redirect_to(None)
-        live = {
+        live_jobs = {
             split[0]
             for task in heartbeat.tasks
             if task.phase != TaskPhase.EXITED and (split := parse_task_name(task.task))
         }
-        return _orders(token) if election.may_extend_worker_lease(live) else _redirect_to(None)
+        return _respond(token) if election.may_extend_worker_lease(live_jobs) else _redirect_to(None)
 
-    async def _await_news(self, scheduler: Scheduler, name: str, heartbeat: Heartbeat) -> None:
-        """Let a report's exits be committed first: its answer can then forget them and start what follows."""
-        deadline = self._clock() + self._platform.report_s * self._tuning.answer
-        while self._active_term.may_decide and self._active_term.scheduler is scheduler:
-            machine = scheduler.cluster.machines.get(name)
-            left = deadline - self._clock()
-            if machine is None or machine.last_heartbeat is not heartbeat or left <= 0:
-                return
-            if not scheduler.cluster.has_uncommitted_exits(machine) and not scheduler.has_work:
-                return
-            try:
-                await asyncio.wait_for(self._active_term.wait_for_commit(), left)
-            except TimeoutError:
-                return
+    def _redirect(self) -> Answer:
+        """Send a worker to the leader, if another controller is known to be it."""
+        leader = self._active_term.leader
+        return _redirect_to(leader if leader != self._label else None)
 
 
 def _redirect_to(leader: str | None) -> Answer:
     return Answer(421, wire.encode(Redirect(leader)))
 
 
-def _orders(token: int, commands: list[Command] | None = None) -> Answer:
+def _respond(token: int, commands: list[Command] | None = None) -> Answer:
     return Answer(200, wire.encode(HeartbeatResponse(token, commands or [])))
