--- a/driftcleat/controller/commit_pipeline.py
+++ b/driftcleat/controller/commit_pipeline.py
@@ -1,4 +1,4 @@
-"""The writer: has the store take one batch after the other, and makes it visible once its outcome is known."""
+"""The commit pipeline: commits one batch at a time to the state service, and applies it once its outcome is known."""
 
 import asyncio
 import logging
@@ -23,19 +23,23 @@
 
 log = logging.getLogger(__name__)
 
-# Pauses, as parts of the report interval: without anything to do, and to gather more while the store is busy.
+# Pauses, as fractions of the heartbeat interval: without anything to decide, and to gather more requests into a batch
+# while the write rate is used up.
 IDLE_PAUSE = 1 / 12
 GATHER_PAUSE = 1 / 60
-# The pause between tries of a request that the store did not answer, as a part of the leader's lease.
+# The pause before a request that the state service did not answer is retried, as a fraction of the leader lease.
 RETRY_PAUSE = 0.06
 
 
-class TermEndedError(DriftcleatError):
-    """The term has ended while its batch was under way."""
+class LeaderTermEndedError(DriftcleatError):
+    """The leader term ended before its batch was known to be committed."""
+
+    def __init__(self, marker: BatchMarker) -> None:
+        super().__init__(f"batch {marker.sequence} of term {marker.fencing_token}: the term has ended")
 
 
 class CommitPipeline:
-    """Writes the batches of the term in force."""
+    """Commits the batches of the active term."""
 
     def __init__(
         self,
@@ -45,21 +49,24 @@
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
-        self._platform, self._store, self._active_term = platform, store, active_term
-        self._metrics, self._clock = metrics, clock
-        # The version of the key that names the last batch, and the number of that batch in this term.
-        self._mark_version = 0
+        self._platform = platform
+        self._store = store
+        self._active_term = active_term
+        self._metrics = metrics
+        self._clock = clock
+        # The mod revision of the batch marker, and the number of the last batch of this term.
+        self._marker_mod_revision = 0
         self.batch_sequence = 0
-        # Whether a batch is under way whose outcome is not known yet.
+        # Whether a batch is in flight: its outcome is not known yet.
         self.in_flight = False
 
-    def start_term(self, mark_version: int) -> None:
-        """A new term begins; the key that names the last batch has this version."""
-        self._mark_version = mark_version
+    def start_term(self, marker_mod_revision: int) -> None:
+        """Begin a term: the batch marker has this mod revision, 0 if there is none."""
+        self._marker_mod_revision = marker_mod_revision
         self.batch_sequence = 0
 
     async def run(self) -> None:
-        """Write for ever."""
+        """Commit for ever."""
         while True:
             try:
                 await asyncio.wait_for(self._active_term.work_available.wait(), self._platform.report_s * IDLE_PAUSE)
@@ -70,24 +77,19 @@
             if scheduler is not None and scheduler.has_work:
                 self.in_flight = True
                 try:
-                    await self._write(scheduler)
+                    await self._commit_next(scheduler)
                 finally:
                     self.in_flight = False
 
-    async def _write(self, scheduler: Scheduler) -> None:
-        """Build a batch and see it through."""
-        if (
-            not scheduler.admission.has_waiting
-            and (delay := self._store.write_bucket.delay_s(scheduler.target_batch_operations)) > 0
-        ):
-            # The store's changes a second are used up: gather more, unless a user comes.
-            await asyncio.sleep(min(delay, self._platform.report_s * GATHER_PAUSE))
+    async def _commit_next(self, scheduler: Scheduler) -> None:
+        """Build the next batch and commit it."""
+        delay_s = self._write_delay_s(scheduler)
+        if delay_s > 0:
+            await asyncio.sleep(min(delay_s, self._platform.report_s * GATHER_PAUSE))
             self._active_term.wake_committer()
             return
-        started = self._clock()
-        batch = scheduler.build_batch(self._store.write_bucket.available())
-        self._metrics.batch_build_time.record(self._clock() - started)
-        self._metrics.record_part("build", self._clock() - started)
+        began_at = self._clock()
+        batch = self._build(scheduler, began_at)
         if batch.is_empty:
             for call in batch.on_commit:
                 call()
@@ -101,87 +103,129 @@
         except RequestRejectedError as error:
             # Refused for its size: limits have fallen, which they do only once every controller is new.
             scheduler.migration.latch_requested = True
-            await self._drop(scheduler, batch, error)
+            await self._drop(scheduler, batch, encoded.marker.sequence, error)
             return
-        except TermEndedError:
+        except LeaderTermEndedError as error:
+            log.debug("%s", error)
             return
-        self._metrics.commit_latency.record(self._clock() - started)
-        self._mark_version = revision
-        began = self._clock()
-        scheduler.apply_commit(batch, revision, encoded.obsolete_keys)
-        self._metrics.record_part("commit", self._clock() - began)
-        self._active_term.announce_commit()
-        self._active_term.wake_committer()
+        self._metrics.commit_latency.record(self._clock() - began_at)
+        self._apply(scheduler, batch, revision, encoded)
+
+    def _write_delay_s(self, scheduler: Scheduler) -> float:
+        """Return how long the write rate delays the next batch; a user who waits is not kept waiting for others."""
+        if scheduler.admission.has_waiting:
+            return 0.0
+        return self._store.write_bucket.delay_s(scheduler.target_batch_operations)
+
+    def _build(self, scheduler: Scheduler, began_at: float) -> Batch:
+        batch = scheduler.build_batch(self._store.write_bucket.available())
+        self._metrics.batch_build_time.record(self._clock() - began_at)
+        self._metrics.record_part("build", self._clock() - began_at)
+        return batch
 
     async def _encode(self, scheduler: Scheduler, batch: Batch) -> EncodedBatch | None:
-        """Return a batch as the store takes it; None if it would not."""
+        """Return a batch as one transaction; None if it is above the state service's limits."""
         self.batch_sequence += 1
-        began = self._clock()
+        began_at = self._clock()
         try:
             encoded = encode_batch(
-                batch, scheduler.layout, scheduler.cluster.fencing_token, self.batch_sequence, self._mark_version
+                batch,
+                scheduler.layout,
+                scheduler.cluster.fencing_token,
+                self.batch_sequence,
+                self._marker_mod_revision,
             )
         except BatchTooLargeError as error:
-            await self._drop(scheduler, batch, error)
+            await self._drop(scheduler, batch, self.batch_sequence, error)
             return None
-        self._metrics.record_part("encode", self._clock() - began)
+        self._metrics.record_part("encode", self._clock() - began_at)
         return encoded
 
-    @property
-    def _retry_s(self) -> float:
-        return self._active_term.election.ttl_s * RETRY_PAUSE
+    def _apply(self, scheduler: Scheduler, batch: Batch, revision: int, encoded: EncodedBatch) -> None:
+        """Make a committed batch visible."""
+        self._marker_mod_revision = revision
+        began_at = self._clock()
+        scheduler.apply_commit(batch, revision, encoded.obsolete_keys)
+        self._metrics.record_part("commit", self._clock() - began_at)
+        self._active_term.announce_commit()
+        self._active_term.wake_committer()
 
     async def _commit(self, scheduler: Scheduler, batch: Batch, encoded: EncodedBatch) -> int:
-        """Have the store take a batch; resend or read back until its outcome is known."""
-        perhaps_taken = False
+        """Commit a batch: retry, or read its marker back, until the outcome is known; return its mod revision.
+
+        Raises `LeaderTermEndedError` if the term ends before, `RequestRejectedError` if the batch was certainly not
+        committed and never will be.
+        """
+        marker = encoded.marker
+        perhaps_committed = False
         while True:
             try:
                 return await self._store.commit_encoded(encoded.body, encoded.operation_count)
-            except CompareFailedError as conflict:
-                revision = await self._read_back(scheduler, encoded.marker)
+            except CompareFailedError as error:
+                revision = await self._read_back(scheduler, marker)
                 if revision is not None:
                     return revision
-                log.warning("batch refused: %s", conflict)
-                self._active_term.step_down(scheduler, "a batch was refused")
-                raise TermEndedError from None
+                raise self._step_down(scheduler, marker, logging.WARNING, "compare failed", error) from None
             except RequestRejectedError:
                 # An earlier try of the same batch may have come before the limits fell.
-                revision = await self._read_back(scheduler, encoded.marker) if perhaps_taken else None
+                revision = await self._read_back(scheduler, marker) if perhaps_committed else None
                 if revision is not None:
                     return revision
                 raise
             except MalformedResponseError as error:
-                log.error("batch answered with nonsense: %s", error)
-                self._active_term.step_down(scheduler, "the answer to a batch was malformed")
-                raise TermEndedError from None
+                raise self._step_down(scheduler, marker, logging.ERROR, "malformed response", error) from None
             except StoreError as error:
-                log.debug("batch: %s", error)
-                perhaps_taken = perhaps_taken or isinstance(error, OutcomeUnknownError)
+                log.debug("batch %d of term %d: retrying: %s", marker.sequence, marker.fencing_token, error)
+                perhaps_committed = perhaps_committed or isinstance(error, OutcomeUnknownError)
             if self._active_term.scheduler is not scheduler:
-                raise TermEndedError
-            unsure = self._active_term.election.role is Role.UNCONFIRMED_LEADER
-            if perhaps_taken and unsure and scheduler.cancellations.stop_unconfirmed(batch):
-                self._active_term.announce_commit()
+                raise LeaderTermEndedError(marker)
+            if perhaps_committed:
+                self._stop_unconfirmed(scheduler, batch)
             await asyncio.sleep(self._retry_s)
 
-    async def _drop(self, scheduler: Scheduler, batch: Batch, error: Exception) -> None:
-        """A batch was certainly not carried out and cannot be as it is: what it took is decided anew, after a pause.
+    def _stop_unconfirmed(self, scheduler: Scheduler, batch: Batch) -> None:
+        """Have an unconfirmed leader stop the tasks of jobs whose cancellation may be committed with this batch."""
+        is_unconfirmed = self._active_term.election.role is Role.UNCONFIRMED_LEADER
+        if is_unconfirmed and scheduler.cancellations.stop_unconfirmed(batch):
+            self._active_term.announce_commit()
+
+    def _step_down(
+        self, scheduler: Scheduler, marker: BatchMarker, level: int, what: str, error: StoreError
+    ) -> LeaderTermEndedError:
+        """Step down, since the records are not what this leader takes them for; return the error to raise."""
+        log.log(level, "batch %d of term %d: %s: %s", marker.sequence, marker.fencing_token, what, error)
+        self._active_term.step_down(scheduler, f"batch {marker.sequence}: {what}")
+        return LeaderTermEndedError(marker)
 
-        Guards against a term that ends, or turns in circles, for a record that the store does not take.
+    async def _drop(self, scheduler: Scheduler, batch: Batch, sequence: int, error: DriftcleatError) -> None:
+        """Discard a batch that was certainly not committed and never can be: its changes are decided anew, later.
+
+        Guards against a term that ends, or repeats the same batch for ever, for a record that the state service does
+        not take.
         """
-        log.error("batch not taken: %s", error)
+        log.error(
+            "batch %d of term %d: discarded, its changes are decided anew: %s",
+            sequence,
+            scheduler.cluster.fencing_token,
+            error,
+        )
         scheduler.discard_batch(batch)
         await asyncio.sleep(self._platform.report_s * IDLE_PAUSE)
 
     async def _read_back(self, scheduler: Scheduler, marker: BatchMarker) -> int | None:
-        """Tell whether a batch whose repeat was refused had been carried out before."""
+        """Return the mod revision of a batch whose retry was refused if it had been committed before, else None."""
         while self._active_term.scheduler is scheduler:
             try:
                 key_value = await self._store.get(BATCH_MARKER_KEY)
-                if key_value is not None and wire.decode(bytes(key_value.value), BatchMarker) == marker:
-                    return key_value.mod_revision
-                return None
             except StoreError as error:
-                log.debug("batch key: %s", error)
+                log.debug("batch %d of term %d: reading back: %s", marker.sequence, marker.fencing_token, error)
                 await asyncio.sleep(self._retry_s)
+                continue
+            if key_value is not None and wire.decode(bytes(key_value.value), BatchMarker) == marker:
+                return key_value.mod_revision
+            return None
         return None
+
+    @property
+    def _retry_s(self) -> float:
+        return self._active_term.election.ttl_s * RETRY_PAUSE
