--- a/driftcleat/controller/__init__.py
+++ b/driftcleat/controller/__init__.py
@@ -1,4 +1,4 @@
-"""One controller process: assembly of its parts, their loops, commits, recovery after a failover, and its status."""
+"""One controller: assembly of its parts, their loops, routes, commits, recovery after a failover, and its status."""
 
 from .controller import Controller
 
--- a/driftcleat/controller/recovery.py
+++ b/driftcleat/controller/recovery.py
@@ -1,4 +1,4 @@
-"""Take-over: reads all records, from which a new leader's picture in memory is made."""
+"""Recovery after a failover: a new leader reads all records and builds the cluster state from them."""
 
 import asyncio
 import random
@@ -27,20 +27,34 @@
     decode_jobs,
 )
 from driftcleat.wire.cloud import MachineType
+from driftcleat.wire.state import KeyValue
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveredTerm:
-    """A term as the records tell it."""
+    """A leader term as it begins."""
 
     scheduler: Scheduler
-    # The version of the key that names the last batch; 0: there never was one.
+    # The mod revision of the batch marker; 0: no batch was ever committed.
     marker_mod_revision: int
     machine_types_stored: bool
 
 
+@dataclass(frozen=True, slots=True)
+class _Records:
+    """All that is stored, as read."""
+
+    data_version: int
+    job_heads: list[KeyValue]
+    job_chunks: list[KeyValue]
+    scale_outs: list[KeyValue]
+    machine_images: list[KeyValue]
+    machine_types: KeyValue | None
+    batch_marker: KeyValue | None
+
+
 def new_layout(platform: Platform) -> RecordLayout:
-    """Return the layout of records that the settings ask for."""
+    """Return the layout of records that the platform's settings ask for."""
     return RecordLayout(
         platform.value_bytes,
         platform.txn_ops,
@@ -59,9 +73,28 @@
     clock: Callable[[], float],
     wall: Callable[[], float],
 ) -> RecoveredTerm:
-    """Read all records; from now on the picture in memory is the truth's copy."""
+    """Read all records and build the scheduler of the term with this fencing token from them.
+
+    Raises `StoreError` if they cannot be read, `MalformedResponseError` if a later version has written them.
+    """
+    records = await _read_records(store)
+    jobs, orphans = await decode_jobs(records.job_heads, records.job_chunks)
+    ended = await _ended_dependencies(store, jobs)
+    layout = new_layout(platform)
+    layout.version_2_active = records.data_version == DATA_VERSION
+    cluster = ClusterState(token, jobs, _machine_types(records), clock(), platform.lease_s, ended)
+    brand_new = records.batch_marker is None
+    scheduler = Scheduler(platform, tuning, cluster, layout, rng, clock, wall, brand_new=brand_new)
+    _restore_machine_images(scheduler, records)
+    scheduler.garbage_collector.obsolete_keys.extend(orphans)
+    _restore_scale_outs(scheduler, records)
+    marker_mod_revision = records.batch_marker.mod_revision if records.batch_marker is not None else 0
+    return RecoveredTerm(scheduler, marker_mod_revision, records.machine_types is not None)
+
+
+async def _read_records(store: StoreClient) -> _Records:
     version = await store.get(DATA_VERSION_KEY)
-    heads, chunks, rentals, machines, types, mark = await asyncio.gather(
+    job_heads, job_chunks, scale_outs, machine_images, machine_types, batch_marker = await asyncio.gather(
         store.list_all(JOBS_PREFIX),
         store.list_all(CHUNKS_PREFIX),
         store.list_all(SCALE_OUTS_PREFIX),
@@ -69,34 +102,39 @@
         store.get(MACHINE_TYPES_KEY),
         store.get(BATCH_MARKER_KEY),
     )
-    written = wire.decode(bytes(version.value), int) if version is not None else 1
-    if written > DATA_VERSION:
-        raise MalformedResponseError(f"the records are of data version {written}, this program knows {DATA_VERSION}")
-    jobs, orphans = await decode_jobs(heads, chunks)
-    ended = await _ended_needs(store, jobs)
-    layout = new_layout(platform)
-    layout.version_2_active = written == DATA_VERSION
-    known = wire.decode(bytes(types.value), tuple[MachineType, ...]) if types is not None else ()
-    cluster = ClusterState(
-        token, jobs, {machine_type.name: machine_type for machine_type in known}, clock(), platform.lease_s, ended
-    )
-    scheduler = Scheduler(platform, tuning, cluster, layout, rng, clock, wall, brand_new=mark is None)
-    for key_value in machines:
-        name = key_value.key[len(MACHINE_IMAGES_PREFIX) :]
-        scheduler.garbage_collector.restore_images(name, wire.decode(bytes(key_value.value), MachineImagesRecord))
-    scheduler.garbage_collector.obsolete_keys.extend(orphans)
-    for key_value in rentals:
-        name = key_value.key[len(SCALE_OUTS_PREFIX) :]
-        scheduler.scale_out.restore(ScaleOutRequest(name, wire.decode(bytes(key_value.value), ScaleOutRecord)))
-    return RecoveredTerm(scheduler, mark.mod_revision if mark is not None else 0, types is not None)
+    data_version = wire.decode(bytes(version.value), int) if version is not None else 1
+    if data_version > DATA_VERSION:
+        raise MalformedResponseError(
+            f"the records are of data version {data_version}, this program knows {DATA_VERSION}"
+        )
+    return _Records(data_version, job_heads, job_chunks, scale_outs, machine_images, machine_types, batch_marker)
 
 
-async def _ended_needs(store: StoreClient, jobs: dict[str, Job]) -> dict[str, str]:
-    """Return the final states of the jobs that others need and that are over."""
-    over = sorted({need for job in jobs.values() for need in job.spec.dependencies or () if need not in jobs})
-    key_values = await asyncio.gather(*(store.get(ENDED_JOBS_PREFIX + need) for need in over))
+async def _ended_dependencies(store: StoreClient, jobs: dict[str, Job]) -> dict[str, str]:
+    """Return the final states of the ended jobs on which others depend."""
+    ended = sorted({needed for job in jobs.values() for needed in job.spec.dependencies or () if needed not in jobs})
+    key_values = await asyncio.gather(*(store.get(ENDED_JOBS_PREFIX + needed) for needed in ended))
     return {
-        need: wire.decode(bytes(key_value.value), EndedJobRecord).state
-        for need, key_value in zip(over, key_values, strict=True)
+        needed: wire.decode(bytes(key_value.value), EndedJobRecord).state
+        for needed, key_value in zip(ended, key_values, strict=True)
         if key_value is not None
     }
+
+
+def _machine_types(records: _Records) -> dict[str, MachineType]:
+    if records.machine_types is None:
+        return {}
+    known = wire.decode(bytes(records.machine_types.value), tuple[MachineType, ...])
+    return {machine_type.name: machine_type for machine_type in known}
+
+
+def _restore_machine_images(scheduler: Scheduler, records: _Records) -> None:
+    for key_value in records.machine_images:
+        name = key_value.key[len(MACHINE_IMAGES_PREFIX) :]
+        scheduler.garbage_collector.restore_images(name, wire.decode(bytes(key_value.value), MachineImagesRecord))
+
+
+def _restore_scale_outs(scheduler: Scheduler, records: _Records) -> None:
+    for key_value in records.scale_outs:
+        name = key_value.key[len(SCALE_OUTS_PREFIX) :]
+        scheduler.scale_out.restore(ScaleOutRequest(name, wire.decode(bytes(key_value.value), ScaleOutRecord)))
--- a/driftcleat/runtime/background.py
+++ b/driftcleat/runtime/background.py
@@ -1,4 +1,4 @@
-"""Work beside a controller's loops: contained, so that no failure of it ends the process."""
+"""Tasks and loops beside a controller's main work, contained: an error in one is logged and ends nothing else."""
 
 import asyncio
 import logging
@@ -11,13 +11,13 @@
 
 
 class Background:
-    """Tasks on the side."""
+    """Background tasks, kept until they end."""
 
     def __init__(self) -> None:
         self.tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: Awaitable[None]) -> None:
-        """Run something on the side; its failure is logged."""
+        """Run something in the background; its error is logged."""
         task = asyncio.ensure_future(self._contained(work))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -27,24 +27,24 @@
         try:
             await work
         except Exception:
-            log.exception("side task failed")
+            log.exception("background task failed")
 
 
 async def run_for_ever(loop: Callable[[], Awaitable[None]], pause_s: float) -> None:
-    """Run a loop for ever; what it raises is logged, the process never ends itself."""
+    """Run a loop, and run it again after a pause when it ends or raises; errors are logged, cancellation ends it."""
     while True:
         try:
             await loop()
         except asyncio.CancelledError:
             raise
         except Exception:
-            log.exception("loop %s failed, it goes on", getattr(loop, "__qualname__", loop))
+            log.exception("loop %s failed, running it again", getattr(loop, "__qualname__", loop))
         await asyncio.sleep(pause_s)
 
 
-async def in_slices(items: Iterable[T], at_once: int) -> AsyncIterator[T]:
-    """Go through items, and let others go on after so many at once."""
+async def in_slices(items: Iterable[T], slice_size: int) -> AsyncIterator[T]:
+    """Iterate over items; other tasks may run after each slice of `slice_size` items."""
     for number, item in enumerate(items, 1):
         yield item
-        if number % at_once == 0:
+        if number % slice_size == 0:
             await asyncio.sleep(0)
