--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -24,6 +24,7 @@
 # Requests that a follower forwards to the leader at once, for each connection to it.
 FORWARDED_PER_CONNECTION = 4
 
+# Returns seconds.
 Clock = Callable[[], float]
 AskPeers = Callable[[], Awaitable[PeerSurvey]]
 # Arguments as of `Election`: platform, tuning, store, rng, clock, recover, on step-down, ask all peers, ask leader.
@@ -54,6 +55,18 @@
     users: UserApiFactory = UserApi
 
 
+@dataclass(frozen=True, slots=True)
+class BuildContext:
+    """What parts are built from."""
+
+    platform: Platform
+    tuning: Tuning
+    rng: random.Random
+    # A steady clock, in seconds.
+    clock: Clock
+    network: Network
+
+
 @dataclass(frozen=True, slots=True)
 class TermCallbacks:
     """What the election has its controller do."""
@@ -85,39 +98,24 @@
     metrics: Metrics
 
 
-def build_parts(
-    platform: Platform,
-    tuning: Tuning,
-    rng: random.Random,
-    clock: Clock,
-    network: Network,
-    callbacks: TermCallbacks,
-    factories: Factories,
-) -> ControllerParts:
+def build_parts(context: BuildContext, callbacks: TermCallbacks, factories: Factories) -> ControllerParts:
     """Build the parts of a controller on its network."""
-    clients = network.clients
+    platform = context.platform
+    tuning = context.tuning
+    clock = context.clock
+    clients = context.network.clients
     metrics = Metrics()
     background = Background()
     overload = OverloadDetector(platform.report_s)
     active_term = ActiveTerm()
     surveyor = PeerSurveyor(platform, clients.peers, active_term, clock)
-    # The active term answers with the election's state, and the election asks its leader through the surveyor.
-    active_term.election = factories.election(
-        platform,
-        tuning,
-        clients.store,
-        rng,
-        clock,
-        callbacks.recover,
-        callbacks.end_term,
-        callbacks.ask_peers,
-        surveyor.ask_leader,
-    )
-    users = _build_users(platform, tuning, clock, network, active_term, factories.users)
-    heartbeats = HeartbeatApi(platform, tuning, active_term, metrics, clock, network.front.limiter)
+    # Each needs the other: the election asks the leader that the active term names, which it knows from the election.
+    active_term.election = _build_election(context, callbacks, surveyor, factories.election)
+    users = _build_users(context, active_term, factories.users)
+    heartbeats = HeartbeatApi(platform, tuning, active_term, metrics, clock, context.network.front.limiter)
     dispatcher = StopDispatcher(platform, tuning, clients.workers, active_term, background, clock)
     return ControllerParts(
-        network=network,
+        network=context.network,
         active_term=active_term,
         election=active_term.election,
         surveyor=surveyor,
@@ -136,19 +134,36 @@
     )
 
 
-def _build_users(
-    platform: Platform,
-    tuning: Tuning,
-    clock: Clock,
-    network: Network,
-    active_term: ActiveTerm,
-    make_users: UserApiFactory,
-) -> UserApi:
+def _build_election(
+    context: BuildContext, callbacks: TermCallbacks, surveyor: PeerSurveyor, make_election: ElectionFactory
+) -> Election:
+    return make_election(
+        context.platform,
+        context.tuning,
+        context.network.clients.store,
+        context.rng,
+        context.clock,
+        callbacks.recover,
+        callbacks.end_term,
+        callbacks.ask_peers,
+        surveyor.ask_leader,
+    )
+
+
+def _build_users(context: BuildContext, active_term: ActiveTerm, make_users: UserApiFactory) -> UserApi:
     """Build the users' interface; its limits follow from the sockets that users and other controllers may have."""
+    platform = context.platform
+    clients = context.network.clients
     sockets = SocketBudget(platform.fd_limit, len(platform.peers))
     max_in_progress = sockets.users
     max_forwarded = sockets.peers.each * FORWARDED_PER_CONNECTION
-    clients = network.clients
     return make_users(
-        platform, tuning, clients.store, clients.peers, active_term, clock, max_in_progress, max_forwarded
+        platform,
+        context.tuning,
+        clients.store,
+        clients.peers,
+        active_term,
+        context.clock,
+        max_in_progress,
+        max_forwarded,
     )
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -8,7 +8,7 @@
 
 from driftcleat.api import Answer
 from driftcleat.api.server import Reply
-from driftcleat.controller.assembly import Factories, TermCallbacks, build_parts
+from driftcleat.controller.assembly import BuildContext, Factories, TermCallbacks, build_parts
 from driftcleat.controller.recovery import recover
 from driftcleat.controller.routes import Routes
 from driftcleat.leadership import PeerSurvey
@@ -44,8 +44,9 @@
         self.rng = rng if rng is not None else random.Random()
         factories = factories if factories is not None else Factories()
         network = factories.network(platform, clock, self.reply_front, self.handle_back)
+        context = BuildContext(platform, tuning, self.rng, clock, network)
         callbacks = TermCallbacks(self._recover, self._end_term, self._ask_peers)
-        parts = build_parts(platform, tuning, self.rng, clock, network, callbacks, factories)
+        parts = build_parts(context, callbacks, factories)
         self._network = network
         self.front = network.front
         self.store = network.clients.store
--- /dev/null
+++ b/tests/test_assembly.py
@@ -0,0 +1,108 @@
+"""The parts of a controller: all there before it runs, and closed when it ends."""
+
+import asyncio
+import dataclasses
+import socket
+
+import pytest
+
+from driftcleat.controller.controller import Controller
+from driftcleat.leadership import Role
+from driftcleat.settings import Platform, Tuning
+
+from .samples import platform
+from .simulation import Simulation
+from .standins import free_port
+
+
+def on_loopback() -> Platform:
+    """Return the settings of a controller whose addresses are free."""
+    return dataclasses.replace(platform(), bind=f"127.0.0.1:{free_port()}", back=f"127.0.0.1:{free_port()}")
+
+
+def accepts(address: str) -> bool:
+    """Whether somebody listens there."""
+    host, _, port = address.partition(":")
+    try:
+        socket.create_connection((host, int(port)), 1.0).close()
+    except ConnectionRefusedError:
+        return False
+    return True
+
+
+def test_every_part_is_there_before_a_controller_runs() -> None:
+    async def story() -> None:
+        controller = Controller(on_loopback(), Tuning())
+        assert not controller.is_serving and not controller.may_decide
+        assert controller.election is controller.active_term.election and controller.election.role is Role.FOLLOWER
+        assert controller.leader is None and controller.scheduler is None
+        parts = (
+            controller.front,
+            controller.store,
+            controller.cloud,
+            controller.workers,
+            controller.peers,
+            controller.users,
+            controller.heartbeats,
+            controller.peer_api,
+            controller.commit_pipeline,
+            controller.dispatcher,
+            controller.fleet_manager,
+            controller.metrics,
+            controller.overload,
+        )
+        assert all(part is not None for part in parts)
+        assert (await controller.handle_back("GET", "/status", b"")).status == 200
+        assert (await controller.handle_front("GET", "/nowhere", b"")).status == 404
+
+    asyncio.run(story())
+
+
+def test_a_controller_serves_while_it_runs_and_no_longer() -> None:
+    async def story() -> None:
+        settings = on_loopback()
+        controller = Controller(settings, Tuning())
+        running = asyncio.ensure_future(controller.run())
+        await asyncio.sleep(0.1)
+        assert controller.is_serving
+        assert await asyncio.to_thread(accepts, settings.bind) and await asyncio.to_thread(accepts, settings.back)
+        running.cancel()
+        with pytest.raises(asyncio.CancelledError):
+            await running
+        assert not await asyncio.to_thread(accepts, settings.bind)
+        assert not await asyncio.to_thread(accepts, settings.back)
+
+    asyncio.run(story())
+
+
+def test_an_address_that_is_taken_ends_a_start_and_leaves_nothing_open() -> None:
+    async def story() -> None:
+        settings = on_loopback()
+        host, _, port = settings.back.partition(":")
+        with socket.create_server((host, int(port))):
+            controller = Controller(settings, Tuning())
+            with pytest.raises(OSError, match="in use"):
+                await controller.run()
+            assert not controller.is_serving
+            assert not await asyncio.to_thread(accepts, settings.bind)
+
+    asyncio.run(story())
+
+
+def test_a_loop_that_is_cancelled_ends_its_controller() -> None:
+    """Guards against a controller that goes on without one of its loops."""
+
+    async def story(sim: Simulation) -> None:
+        label = str(sim.lead())
+
+        async def cancelled() -> None:
+            raise asyncio.CancelledError
+
+        sim.end(label)
+        sim.start(label)
+        sim.controllers[label].dispatcher.scan = cancelled  # type: ignore[method-assign]
+        process = sim.processes.pop(label)
+        await asyncio.wait([process], timeout=5.0)
+        assert process.cancelled()
+
+    Simulation(5).play(story)
