--- a/tools/mixed.py
+++ b/tools/mixed.py
@@ -139,7 +139,7 @@
         async with site:
             noting = asyncio.ensure_future(processes.note_leaders())
             jobs = [await accepted(site, number, hands=90, voyageS=6.0) for number in range(1, 4)]
-            await until(lambda: site.world.on_machines(), "work has begun")
+            await until(site.world.on_machines, "work has begun")
             await asyncio.sleep(SETTLED_S)
             began_with_switch = switched(site)
             for turn, label in enumerate("abc"):
