--- a/driftcleat/scheduler/cluster_events.py
+++ b/driftcleat/scheduler/cluster_events.py
@@ -29,7 +29,7 @@
         """Count the exit, and drain a machine that fails tasks of several jobs."""
         self._counters.exits[reason] = self._counters.exits.get(reason, 0) + 1
         if len(machine.failed_jobs) >= FAILED_JOBS_BEFORE_DRAIN and machine.state is MachineState.UP:
-            self._drainer.drain(machine, "it fails its tasks")
+            self._drainer.drain(machine, "tasks of several jobs failed")
 
     def machine_up(self) -> None:
         """Let a placement round use the new machine."""
