--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -31,6 +31,8 @@
 USABLE_LIMIT_FRACTION = 0.9
 # A page of keys takes longer than other requests: its timeout, in timeouts of those.
 LIST_TIMEOUT_FACTOR = 3
+# Keys in a page when all keys under a prefix are read.
+LIST_PAGE_KEYS = 500
 # What the 400 for a lease that does not exist contains; every other 400 rejects the request itself.
 LEASE_NOT_FOUND_TEXT = b"no such lease"
 # The most bytes of an answer that are quoted in a log line.
@@ -194,7 +196,7 @@
         )
         return self._decode_ok(answer, messages.KeyValuePage)
 
-    async def list_all(self, prefix: str, limit: int = 500) -> list[messages.KeyValue]:
+    async def list_all(self, prefix: str, limit: int = LIST_PAGE_KEYS) -> list[messages.KeyValue]:
         """Return all keys under a prefix, read in pages of `limit` keys. The pages are no common snapshot."""
         key_values: list[messages.KeyValue] = []
         after: str | None = None
