--- /dev/null
+++ b/driftcleat/scheduler/consolidation.py
@@ -0,0 +1,120 @@
+"""Consolidation: a machine whose few replicas fit on other machines is worth draining."""
+
+from dataclasses import replace
+
+from driftcleat.cluster import JobState, Machine, MachineState
+from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate, spread_limit
+from driftcleat.scheduler.context import SchedulerContext
+from driftcleat.scheduler.machine_candidates import MachineCandidates
+from driftcleat.scheduler.scale_in import SOME_GPUS
+from driftcleat.wire.users import JobKind, JobSpec
+from driftcleat.wire.workers import TaskPhase
+
+# A machine of which more than this part is used is left alone.
+MAX_USED = 0.5 + ROUNDING_TOLERANCE
+
+
+class Consolidation:
+    """Finds machines to drain, one at a time."""
+
+    def __init__(self, context: SchedulerContext, candidates: MachineCandidates) -> None:
+        self._platform = context.platform
+        self._tuning = context.tuning
+        self._cluster = context.cluster
+        self._candidates = candidates
+
+    def candidate(self, in_flight: set[str], now: float) -> Machine | None:
+        """Return the machine that wastes most, of those whose replicas fit on machines in use with their images.
+
+        Services last longer than what ran beside them; each left alone on a machine keeps all of it rented. Draining
+        moves them: the protocol allows it, and they are away for about one report interval.
+        """
+        if not self._may_consolidate(now):
+            return None
+        best: Machine | None = None
+        best_wasted = 0.0
+        busy: list[Candidate] | None = None
+        for machine in self._cluster.machines.values():
+            if not self._is_settled(machine, in_flight, now):
+                continue
+            wasted = self._wasted(machine)
+            if wasted is None or wasted <= best_wasted:
+                continue
+            if busy is None:
+                busy = [candidate for candidate in self._candidates.all(now, SOME_GPUS) if candidate.busy]
+            if self._fits_on(machine, busy):
+                best = machine
+                best_wasted = wasted
+        return best
+
+    def _may_consolidate(self, now: float) -> bool:
+        """Tell whether nothing else is under way: no task is queued, no machine drains, and the term has settled."""
+        if now - self._cluster.started_at <= self._platform.lease_s:
+            return False
+        if any(job.tasks_queued for job in self._cluster.jobs.values()):
+            return False
+        return all(machine.state is not MachineState.DRAINING for machine in self._cluster.machines.values())
+
+    def _is_settled(self, machine: Machine, in_flight: set[str], now: float) -> bool:
+        return (
+            machine.state is MachineState.UP
+            and machine.type is not None
+            and bool(machine.tasks)
+            and machine.name not in in_flight
+            and now - machine.tasks_changed_at >= machine.type.boot_s * self._tuning.consolidate
+        )
+
+    def _wasted(self, machine: Machine) -> float | None:
+        """Return what an hour of a machine's unused part costs; None if too much of it is used."""
+        machine_type = machine.type
+        if machine_type is None:
+            return None
+        jobs = self._cluster.jobs
+        specs = [jobs[job_id].spec for job_id, _ in machine.tasks if job_id in jobs]
+        used = max(
+            (
+                sum(requested) / whole
+                for requested, whole in (
+                    ((spec.cpus for spec in specs), machine_type.cpus),
+                    ((spec.gpus for spec in specs), machine_type.gpus),
+                    ((spec.memory_gb for spec in specs), machine_type.memory_gb),
+                )
+                if whole > 0
+            ),
+            default=1.0,
+        )
+        if used > MAX_USED:
+            return None
+        return (1.0 - used) * (machine_type.spot_price if machine.spot else machine_type.price)
+
+    def _fits_on(self, machine: Machine, busy: list[Candidate]) -> bool:
+        """Tell whether all of a machine's tasks are running replicas that fit on other machines in use."""
+        others = [replace(candidate) for candidate in busy if candidate.name != machine.name]
+        for job_id, index in machine.tasks:
+            job = self._cluster.jobs.get(job_id)
+            if job is None or job.state is not JobState.ACTIVE or job.spec.kind is not JobKind.SERVICE:
+                return False
+            if machine.task_phases.get((job_id, index)) != TaskPhase.RUNNING or job.spec.single_zone:
+                return False
+            counts = job.placements_by_zone()
+            counts[machine.zone] -= 1
+            found = _first_with_image(job.spec, others, counts)
+            if found is None:
+                return False
+            found.allocate(job.spec)
+        return True
+
+
+def _first_with_image(spec: JobSpec, candidates: list[Candidate], counts: dict[str, int]) -> Candidate | None:
+    """Return the first candidate that has the image and takes a task; `counts` is the job's other tasks by zone."""
+    return next(
+        (
+            candidate
+            for candidate in candidates
+            if candidate.fits(spec)
+            and candidate.allows(spec)
+            and candidate.fetch_rank(spec.image) == 0
+            and counts.get(candidate.zone, 0) < spread_limit(spec)
+        ),
+        None,
+    )
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -14,6 +14,7 @@
 from driftcleat.cluster import Batch, ClusterState, Job, JobState, Machine, MachineState, reconcile
 from driftcleat.scheduler.admission import Admission
 from driftcleat.scheduler.cancellations import Cancellations
+from driftcleat.scheduler.consolidation import Consolidation
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.demand import DemandPlanner
 from driftcleat.scheduler.drains import MachineDrainer
@@ -78,6 +79,7 @@
         self._placement = PlacementPass(context, self.queue, self.candidates, self.preemption, self.pacing)
         self.demand = DemandPlanner(context, self.queue, self.reachability, self.scale_out, self._arrivals)
         self._scale_in = ScaleInPlanner(context, self.candidates, self.reachability)
+        self._consolidation = Consolidation(context, self.candidates)
         self._listen_to_cluster()
         self._note_known_jobs(now, wall())
 
@@ -272,7 +274,7 @@
 
     def consolidation_candidate(self, now: float) -> Machine | None:
         """Return a machine that is worth draining, since its few replicas fit elsewhere."""
-        return self._scale_in.consolidation_candidate(self._in_flight, now)
+        return self._consolidation.candidate(self._in_flight, now)
 
     def find_or_register_machine(self, name: str, now: float) -> Machine:
         """Return a machine by name, also one that only the records know."""
