--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -15,6 +15,7 @@
 from driftcleat.scheduler.batch_builder import BatchBuilder
 from driftcleat.scheduler.cancellations import Cancellations
 from driftcleat.scheduler.cluster_events import ClusterEventHandler
+from driftcleat.scheduler.consolidation import Consolidation
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.demand import DemandPlanner
 from driftcleat.scheduler.drains import MachineDrainer
@@ -82,6 +83,7 @@
         self._placement = PlacementPass(context, self.queue, self.candidates, self.preemption, self.pacing)
         self.demand = DemandPlanner(context, self.queue, self.reachability, self.scale_out, self._arrivals)
         self._scale_in = ScaleInPlanner(context, self.candidates, self.reachability)
+        self._consolidation = Consolidation(context, self.candidates)
         self._batch_builder = self._new_batch_builder(context)
         cluster.subscribe(ClusterEventHandler(self.counters, self.pacing, self.garbage_collector, self.drainer))
         self._record_recovered_jobs(now, wall())
@@ -227,7 +229,7 @@
 
     def consolidation_candidate(self, now: float) -> Machine | None:
         """Return a machine that is worth draining, since its few replicas fit elsewhere; None if there is none."""
-        return self._scale_in.consolidation_candidate(self._batch_builder.in_flight.machines, now)
+        return self._consolidation.candidate(self._batch_builder.in_flight.machines, now)
 
     def find_or_register_machine(self, name: str, now: float) -> Machine:
         """Return a machine by name; one that is known from placements in records only is registered first."""
