--- a/driftcleat/placement/fair_share.py
+++ b/driftcleat/placement/fair_share.py
@@ -1,6 +1,6 @@
 """The order in which jobs are placed, and which jobs may preempt which."""
 
-from collections.abc import Set
+from collections.abc import Set as AbstractSet
 from dataclasses import dataclass, field
 
 from driftcleat.cluster.jobs import Job
@@ -18,7 +18,7 @@
     `allowance_s` seconds before that deadline.
     """
 
-    guaranteed: Set[str] = field(default_factory=frozenset)
+    guaranteed: AbstractSet[str] = field(default_factory=frozenset)
     allowance_s: float = 0.0
 
     def sort_key(self, job: Job) -> SortKey:
--- a/driftcleat/sharing/allotments.py
+++ b/driftcleat/sharing/allotments.py
@@ -137,7 +137,7 @@
     left = limit - sum(parts)
     open_shares = [share for share in range(len(parts)) if wanted[share] > parts[share]]
     while open_shares and left > ROUNDING:
-        step = min(left / len(open_shares), min(wanted[share] - parts[share] for share in open_shares))
+        step = min(left / len(open_shares), *(wanted[share] - parts[share] for share in open_shares))
         for share in open_shares:
             parts[share] += step
         left -= step * len(open_shares)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -5,7 +5,7 @@
 import json
 import random
 import socket
-from typing import Any
+from typing import Any, Self
 
 import aiohttp
 from aiohttp import web
@@ -362,7 +362,7 @@
         raw["deployment"]["state"] |= {"rps": 2000.0, "write_rps": 500.0}
         return raw
 
-    async def __aenter__(self) -> "Site":
+    async def __aenter__(self) -> Self:
         self.world.session = aiohttp.ClientSession()
         self.world.addresses["workers"] = f"127.0.0.1:{self.ports['workers']}"
         self.runners = [
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -107,8 +107,11 @@
 
 
 def test_a_place_that_is_being_given_up_is_not_offered_again() -> None:
-    """A machine is back at once and reports nothing; the batch that takes its task off waits for the store, and a
-    further report arrives. A start told now would meet the one elsewhere that the next batch decides."""
+    """A machine is back at once and reports nothing.
+
+    The batch that takes its task off waits for the store, and a further report arrives. A start told now would
+    meet the one elsewhere that the next batch decides.
+    """
     now = [0.0]
     scheduler = make_term(now)
     scheduler.cluster.lease_s = SITE.lease_s
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import json
+from collections.abc import Callable
 
 import aiohttp
 import pytest
@@ -16,7 +17,7 @@
 from driftcleat.net import ConnectionLimiter, HttpClient, SocketBudget
 from driftcleat.net.budget import OWN
 from driftcleat.net.limiter import ClientKind
-from driftcleat.scheduler import PendingRequest
+from driftcleat.scheduler import PendingRequest, Scheduler
 from driftcleat.wire.workers import Heartbeat, TaskStatus
 from driftcleat.workers import WorkerClient
 
@@ -230,7 +231,7 @@
     assert later.tolerated_s("north") == 10.0
 
 
-def fleet_term(now: list[float], count: int, zones: tuple[str, ...] = ("north", "south")):  # type: ignore[no-untyped-def]
+def fleet_term(now: list[float], count: int, zones: tuple[str, ...] = ("north", "south")) -> Scheduler:
     """Return a term, long begun, with `count` machines in each zone that have just reported."""
     scheduler = make_term(now)
     scheduler.cluster.started_at = now[0] - 1000.0
@@ -242,7 +243,13 @@
     return scheduler
 
 
-def hear(term, now: list[float], zone: str, seq: int, only=lambda number: True) -> None:  # type: ignore[no-untyped-def]
+def hear(
+    term: Scheduler,
+    now: list[float],
+    zone: str,
+    seq: int,
+    only: Callable[[int], bool] = lambda number: True,
+) -> None:
     """Machines of a zone report again."""
     for number in range(20):
         name = f"vm-{zone}-{number}"
@@ -256,12 +263,12 @@
             apply_heartbeat(term.cluster, Heartbeat(name, "h:1", "big", zone, False, 1, seq, 5, tasks), now[0])
 
 
-def kept(term) -> CapacityPlan:  # type: ignore[no-untyped-def]
+def kept(term: Scheduler) -> CapacityPlan:
     """Return a plan that needs every machine."""
     return CapacityPlan({}, set(term.cluster.machines))
 
 
-def partly_silent(now: list[float], silent: int):  # type: ignore[no-untyped-def]
+def partly_silent(now: list[float], silent: int) -> Scheduler:
     """Return a term in which the first so many machines of the north are silent for longer than one alone may be."""
     term = fleet_term(now, 20)
     now[0] += SITE.lease_s * term.tuning.lost + 0.1
@@ -380,8 +387,10 @@
 
 
 def test_leases_kept_in_a_cut_off_zone_end_within_a_cancellations_time() -> None:
-    """The cloud is down too, so only the end of the leases can make a cancellation true. The bound on tending and on
-    being unsure is what this needs: with a lease more it fails."""
+    """The cloud is down too, so only the end of the leases can make a cancellation true.
+
+    The bound on tending and on being unsure is what this needs: with a lease more it fails.
+    """
     world = World(5, platform(), dict(TYPES))
     world.elect()
     for number in range(1, 5):
@@ -521,8 +530,11 @@
 
 
 def test_a_rental_and_a_return_carried_out_late_leave_no_machine_unaccounted() -> None:
-    """A rental that is carried out after we gave up on it: its machines report, are adopted and used or returned. A
-    return once more: what is gone stays gone, whatever the list still says."""
+    """A rental that is carried out after we gave up on it.
+
+    Its machines report, are adopted and used or returned. A return once more: what is gone stays gone, whatever
+    the list still says.
+    """
     now = [1000.0]
     term = fleet_term(now, 2, ("north",))
     late = Heartbeat("vm-late", "h:1", "big", "north", False, 1, 2, 5, ())
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -75,8 +75,10 @@
 
 @played()
 async def test_who_led_before_gives_up_once_a_peer_knows_a_higher_token(sim: Simulation) -> None:
-    """The gap: the store refuses the leader alone, the next confirms cancellations and is then refused like all,
-    while workers report to the old one. All peers are refused, yet one of them has led since.
+    """The gap: the store refuses the leader alone.
+
+    The next confirms cancellations and is then refused like all, while workers report to the old one. All peers
+    are refused, yet one of them has led since.
 
     The cloud is down, so the new leader has no address to show its token to.
     """
@@ -114,8 +116,10 @@
 
 @played()
 async def test_peers_that_were_started_since_confirm_nothing(sim: Simulation) -> None:
-    """Controllers hand over, all but the old leader end and are back at once, inside an outage: who was the leader
-    and confirmed a cancellation has forgotten it, and the old one is told of no higher token."""
+    """Controllers hand over, all but the old leader end and are back at once, inside an outage.
+
+    Who was the leader and confirmed a cancellation has forgotten it, and the old one is told of no higher token.
+    """
     ids = await services(sim)
     old = sim.lead()
     assert old is not None
@@ -137,8 +141,11 @@
 
 @played()
 async def test_two_bounds_in_turn_do_not_add_up(sim: Simulation) -> None:
-    """A zone with the leader, a follower and workers is cut off; the next leader outside confirms cancellations. The
-    old one keeps the leases to its bound, and the follower must not begin one of its own then. The cloud is down."""
+    """A zone with the leader, a follower and workers is cut off.
+
+    The next leader outside confirms cancellations. The old one keeps the leases to its bound, and the follower
+    must not begin one of its own then. The cloud is down.
+    """
     ids = await services(sim)
     old = sim.lead()
     assert old is not None
@@ -157,8 +164,11 @@
 
 @played()
 async def test_an_unsure_leader_carries_committed_cancellations_out(sim: Simulation) -> None:
-    """The next leader confirms and is refused before it has heard one worker, which all stay with the old one, cut
-    off from everybody but them: it still lists the machines, shows them its token and stops the tasks."""
+    """The next leader confirms and is refused before it has heard one worker.
+
+    They all stay with the old one, cut off from everybody but them: it still lists the machines, shows them its
+    token and stops the tasks.
+    """
     ids = await services(sim)
     old = sim.lead()
     assert old is not None
@@ -212,8 +222,11 @@
 
 @played()
 async def test_a_cancellation_whose_batch_has_no_answer_is_carried_out(sim: Simulation) -> None:
-    """The store takes the cancellation, refuses the leader alone before it hears so, and is down for all a second
-    later. A follower has read the record and told the user."""
+    """The store takes the cancellation.
+
+    Refuses the leader alone before it hears so, and is down for all a second later. A follower has read the
+    record and told the user.
+    """
     ids = await services(sim)
     leader = sim.lead()
     assert leader is not None
@@ -232,8 +245,11 @@
 
 @played()
 async def test_a_leader_that_may_be_followed_starts_nothing(sim: Simulation) -> None:
-    """The old leader has placed a job whose start has not gone out, loses store and peers; the next confirms the
-    job's cancellation. A machine that still reports to the old one must not be told to start it."""
+    """The old leader has placed a job whose start has not gone out, loses store and peers.
+
+    The next confirms the job's cancellation. A machine that still reports to the old one must not be told to
+    start it.
+    """
     await services(sim, 1)
     old = sim.lead()
     assert old is not None
@@ -256,8 +272,11 @@
 
 @played()
 async def test_the_lease_of_a_machine_that_missed_a_stop_is_not_kept_once_more(sim: Simulation) -> None:
-    """A cancelled task's machine hears nothing for a while; then the leader ends, inside an outage of the store and
-    the cloud. The isolated follower keeps leases from its last contact on, but not this machine's."""
+    """A cancelled task's machine hears nothing for a while.
+
+    Then the leader ends, inside an outage of the store and the cloud. The isolated follower keeps leases from its
+    last contact on, but not this machine's.
+    """
     ids = await services(sim)
     leader = sim.lead()
     assert leader is not None
@@ -277,8 +296,10 @@
 
 @played()
 async def test_a_restarted_follower_keeps_no_leases_on_hearsay(sim: Simulation) -> None:
-    """It has learnt the last leader's token from a peer and never heard a leader itself: how old what it would keep
-    is, it cannot know."""
+    """It has learnt the last leader's token from a peer and never heard a leader itself.
+
+    How old what it would keep is, it cannot know.
+    """
     ids = await services(sim)
     leader = sim.lead()
     assert leader is not None
@@ -479,8 +500,11 @@
 
 @played()
 async def test_a_team_at_its_limit_while_the_leader_changes(sim: Simulation) -> None:
-    """Team red may use 8 GPUs and does; some of its machines cannot be asked by the new leader, and a job of it is
-    cancelled meanwhile. What may still be there counts, so nothing more of it starts."""
+    """Team red may use 8 GPUs and does.
+
+    Some of its machines cannot be asked by the new leader, and a job of it is cancelled meanwhile. What may still
+    be there counts, so nothing more of it starts.
+    """
     sim.hand_in(raw_job(1, rig="daemon", hands=4, voyageS=0.0, accelerators=1.0, cores=1.0))
     sim.hand_in(raw_job(2, rig="daemon", hands=4, voyageS=0.0, accelerators=1.0, cores=1.0))
     await sim.until(lambda: len(sim.on_machines()) == 8)
@@ -622,8 +646,10 @@
 
 @played()
 async def test_a_question_about_an_unknown_job_is_answered_in_time_while_the_store_is_slow(sim: Simulation) -> None:
-    """Users wait 2 s: what cannot be said by then is 503, not silence. A follower waits for the leader's answer, and
-    then reads two records itself: one deadline bounds the sum."""
+    """Users wait 2 s: what cannot be said by then is 503, not silence.
+
+    A follower waits for the leader's answer, and then reads two records itself: one deadline bounds the sum.
+    """
     await services(sim, 1)
     sim.slow_s = 0.5
     await sim.rest(5.0)
@@ -633,8 +659,11 @@
 
 @played()
 async def test_every_request_is_answered_before_its_user_gives_up_however_slow_the_store_is(sim: Simulation) -> None:
-    """Users wait 2 s for an answer to a question and 5 s for one to a submission or cancellation, `Simulation.ask`
-    as well (0: no answer). Looking up the job, each job that it needs and the decision count as one request."""
+    """Users wait 2 s for an answer to a question and 5 s for one to a submission or cancellation.
+
+    `Simulation.ask` as well (0: no answer). Looking up the job, each job that it needs and the decision count as
+    one request.
+    """
     leader = sim.lead()
     needs = [f"req-{number:06d}" for number in range(1, 25)]
     for number in range(1, 25):
--- a/tests/test_meetings_walk.py
+++ b/tests/test_meetings_walk.py
@@ -51,8 +51,11 @@
 
 
 def unhang(sim: Simulation) -> None:
-    """Machines go on. Only the cloud can end a task on a machine that hangs for longer than a cancellation has: with
-    no controller to ask it, or no cloud, no service could keep the rule."""
+    """Machines go on.
+
+    Only the cloud can end a task on a machine that hangs for longer than a cancellation has: with no controller
+    to ask it, or no cloud, no service could keep the rule.
+    """
     for worker in sim.alive():
         worker.hung = False
 
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -228,8 +228,10 @@
 
 
 def test_a_deadline_is_worked_back_through_the_chain_and_moves_its_first_stage_ahead() -> None:
-    """The last stage alone names a deadline; it counts from that stage's own submission. A job that has to start soon
-    for it goes before an older one of its rank, and one that has time does not."""
+    """The last stage alone names a deadline; it counts from that stage's own submission.
+
+    A job that has to start soon for it goes before an older one of its rank, and one that has time does not.
+    """
     world = World(9, platform(), TYPES)
     world.elect()
     # No machine has eight accelerators: everything stays queued.
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -127,7 +127,7 @@
 async def test_an_accepted_job_outlives_every_controller(site: Site) -> None:
     await accepted(site, "a", raw_job(1, hands=3, voyageS=2.0))
     await accepted(site, "a", raw_job(2, rig="group", hands=2, voyageS=2.0, crew="blue"))
-    await until(lambda: site.world.on_machines(), "work has begun")
+    await until(site.world.on_machines, "work has begun")
     for label in "abc":
         await site.kill(label)
     for label in "abc":
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -248,8 +248,11 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_versions_take_turns_and_limits_fall(seed: int) -> None:
-    """Old and new lead in turn and rewrite each other's records; the switch comes at any moment, limits fall at any
-    later one, and a leader may end between any two transactions."""
+    """Old and new lead in turn and rewrite each other's records.
+
+    The switch comes at any moment, limits fall at any later one, and a leader may end between any two
+    transactions.
+    """
     rng = random.Random(seed)
     world = World(seed, platform(next=NEXT, value_kb=rng.choice([4.0, 8.0, 16.0])), TYPES)
     world.elect(old=rng.random() < 0.7)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -70,16 +70,16 @@
         st.none() | st.booleans() | st.floats() | st.text(max_size=5),
         lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner, max_size=3),
         max_leaves=6,
-    ).map(lambda value: msgspec.json.encode(value))
+    ).map(msgspec.json.encode)
 )
 def test_any_body_is_an_object_or_a_clean_error(body: bytes) -> None:
+    wrong_field = None
     try:
         raw = parse_object(body)
         parse_job_id(raw)
     except InvalidFieldError as error:
-        assert error.field in ("body", "nameId")
-    else:
-        assert is_job_id(raw["nameId"])
+        wrong_field = error.field
+    assert wrong_field in ("body", "nameId") if wrong_field is not None else is_job_id(raw["nameId"])
 
 
 def test_deep_nesting_is_malformed_not_a_crash() -> None:
--- a/tools/shares/run.py
+++ b/tools/shares/run.py
@@ -173,7 +173,7 @@
 
     async def play(self, moves: int) -> bool:
         """Play so many moves; print the verdict and return whether nothing was broken."""
-        await until(lambda: self._all_led(), "every share is led")
+        await until(self._all_led, "every share is led")
         began, before = _now(), self.site.history_store.changes_in_all
         loading = asyncio.ensure_future(self._load())
         for _ in range(moves):
