--- a/driftcleat/cluster/__init__.py
+++ b/driftcleat/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""The deciding core's picture: jobs, tasks, machines, and the only functions that change their states."""
+"""The cluster state of one leader term: jobs, tasks, machines, and the only functions that change their states."""
 
 from driftcleat.cluster.batch import Batch, TaskTransition
 from driftcleat.cluster.commands import commands_for_heartbeat, stop_commands
--- a/driftcleat/cluster/commands.py
+++ b/driftcleat/cluster/commands.py
@@ -1,4 +1,4 @@
-"""What workers are told: the commands that follow from what is committed and from what they report."""
+"""The commands for a worker, from the committed state and the worker's last heartbeat."""
 
 from driftcleat.cluster.machines import Machine, MachineState
 from driftcleat.cluster.state import ClusterState
@@ -7,33 +7,33 @@
 
 
 def commands_for_heartbeat(
-    cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, starts: bool = True
+    cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, send_starts: bool = True
 ) -> list[Command]:
-    """Return the commands that answer a machine's newest report; starts are noted as offered.
+    """Return the commands of a heartbeat response; start commands are recorded as sent.
 
-    Without `starts` only what ends work: for a leader that cannot tell whether another has led since.
+    Without `send_starts` only those that end tasks: for a leader that cannot rule out another leader.
     """
     if machine.last_heartbeat is not heartbeat:
         return []
     machine.last_answered = (heartbeat.worker_epoch, heartbeat.sequence)
     if machine.in_sync:
         return []
-    commands = _ends(cluster, machine, heartbeat)
-    if machine.state is MachineState.UP and starts:
-        commands.extend(_starts(cluster, machine, heartbeat))
-        machine.in_sync = not commands and _shows_all(machine, heartbeat)
+    commands = _stops_and_forgets(cluster, machine, heartbeat)
+    if machine.state is MachineState.UP and send_starts:
+        commands.extend(_start_commands(cluster, machine, heartbeat))
+        machine.in_sync = not commands and _shows_committed_state(machine, heartbeat)
     return commands
 
 
-def _ends(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
-    """Return what ends work that is not wanted, and forgets exits that are committed."""
+def _stops_and_forgets(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
+    """Return stop commands for tasks that must not run, and forget commands for exits that are committed."""
     commands: list[Command] = []
     for task in heartbeat.tasks:
-        split = wire_workers.parse_task_name(task.task)
-        placement = machine.tasks.get(split) if split is not None else None
+        key = wire_workers.parse_task_name(task.task)
+        placement = machine.tasks.get(key) if key is not None else None
         expected = placement is not None and placement.attempt == task.attempt
         if task.phase == wire_workers.TaskPhase.EXITED:
-            # An exit is forgotten only once it is committed: its place is gone from the records then.
+            # The worker forgets an exit only once it is committed: the record has no such placement then.
             if not expected:
                 commands.append(Command(wire_workers.CommandAction.FORGET, task.task, task.attempt))
         elif not expected:
@@ -42,8 +42,8 @@
     return commands
 
 
-def _starts(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
-    """Return the starts of placed tasks that the report does not show."""
+def _start_commands(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
+    """Return start commands for placed tasks that the heartbeat does not list."""
     commands: list[Command] = []
     for key, placement in machine.tasks.items():
         job = cluster.jobs.get(key[0])
@@ -51,8 +51,8 @@
         if job is None or cluster.must_not_run(job) or placement.stop_grace_s is not None:
             continue
         if attempt in cluster.attempts_being_released:
-            # Guards against a task that ran twice, seen in the random walk: its machine was back at once, the
-            # batch that gave its place up waited for the store, and the next report was told to start it again.
+            # Guards against a task that ran twice, seen in the random walk: its machine was back at once, the batch
+            # that released its placement was in flight, and the next heartbeat response started it again.
             continue
         if attempt in machine.reported_phases or (job.is_gang and attempt in machine.observed_attempts):
             continue
@@ -65,8 +65,8 @@
     return commands
 
 
-def _shows_all(machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Whether a report shows every committed task at work, each of them reconciled, and nothing else."""
+def _shows_committed_state(machine: Machine, heartbeat: Heartbeat) -> bool:
+    """Whether a heartbeat lists every committed task as live and reconciled, and nothing else."""
     if (
         not machine.fence_acknowledged
         or machine.unacknowledged_responses
@@ -84,7 +84,7 @@
 
 
 def stop_commands(cluster: ClusterState, machine: Machine) -> list[Command]:
-    """Return the stops that hold for a machine's tasks."""
+    """Return the stop commands for a machine's placed tasks."""
     commands = []
     for key, placement in machine.tasks.items():
         job = cluster.jobs.get(key[0])
--- a/driftcleat/cluster/commit.py
+++ b/driftcleat/cluster/commit.py
@@ -8,7 +8,7 @@
 
 
 def apply_batch(cluster: ClusterState, batch: Batch, revision: int, now: float) -> None:
-    """Make a batch that the store has taken visible."""
+    """Apply a batch that the store has committed at a revision."""
     for job_id in batch.changed_jobs:
         job = batch.jobs[job_id]
         if job_id in batch.changed_heads:
@@ -38,7 +38,7 @@
 
 
 def _apply_job_state(cluster: ClusterState, job: Job) -> None:
-    """A job's state may have changed: its machines are told what follows, or it is over."""
+    """Follow a job's state: stop the tasks of a cancelled job, forget one that has ended."""
     if job.state is JobState.CANCELLED:
         cluster.cancelled_jobs.add(job.id)
         cluster.mark_out_of_sync(job)
@@ -50,7 +50,7 @@
 
 
 def _apply_task_transitions(cluster: ClusterState, batch: Batch, now: float) -> None:
-    """Count tasks where they are now, on their machines and in their team's usage."""
+    """Move placements to their machines, and account for them in the usage of their teams."""
     for transition in batch.task_transitions:
         before, after = transition.before, transition.after
         job = batch.jobs[transition.job_id]
--- a/driftcleat/cluster/heartbeat_intake.py
+++ b/driftcleat/cluster/heartbeat_intake.py
@@ -5,124 +5,130 @@
 from driftcleat.cluster.machines import AttemptKey, Machine, MachineState, TaskKey, transition_machine
 from driftcleat.cluster.state import ClusterState
 from driftcleat.wire import workers as wire_workers
-from driftcleat.wire.workers import Heartbeat
+from driftcleat.wire.workers import Heartbeat, TaskStatus
 
 log = logging.getLogger(__name__)
 
 
 def apply_heartbeat(cluster: ClusterState, heartbeat: Heartbeat, now: float) -> Machine | None:
-    """Take in a report; None if it is stale or from a machine that is proven gone."""
+    """Apply a heartbeat and return its machine; None if it is out of date or the machine is terminated."""
     if heartbeat.machine in cluster.terminated_machines:
         return None
     known = cluster.machines.get(heartbeat.machine)
     if known is not None and known.last_heartbeat is not None:
         last = (known.last_heartbeat.worker_epoch, known.last_heartbeat.sequence)
         if (heartbeat.worker_epoch, heartbeat.sequence) <= last:
-            # A report held back by a cut: its task list is as old as itself.
+            # A heartbeat delayed by the network: its list of tasks is out of date.
             return None
     if known is not None and known.in_sync and _repeats(heartbeat, known.last_heartbeat):
-        known.last_heartbeat, known.last_heartbeat_at = heartbeat, now
+        known.last_heartbeat = heartbeat
+        known.last_heartbeat_at = now
         return known
     machine = cluster.register_machine(
         heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot, heartbeat.address, now
     )
     machine.in_sync = False
-    _count_unacknowledged(cluster, machine, heartbeat, now)
+    _count_unacknowledged_responses(cluster, machine, heartbeat, now)
     if machine.state is MachineState.BOOTING:
         transition_machine(machine, MachineState.UP)
         machine.idle_since = now
         cluster.listener.machine_up()
     previous = machine.last_heartbeat
-    machine.last_heartbeat, machine.last_heartbeat_at = heartbeat, now
-    # Only a worker that has seen our token drops the answers of the leader before us: until then a
-    # start of that leader may still reach it, and its report proves nothing about absent tasks.
+    machine.last_heartbeat = heartbeat
+    machine.last_heartbeat_at = now
+    # Only a worker that has seen our fencing token drops the responses of the previous leader: until then a start
+    # command of that leader may still reach it, and the absence of a task from its heartbeat proves nothing.
     machine.fence_acknowledged = heartbeat.fencing_token == cluster.fencing_token
-    _read_tasks(cluster, machine, heartbeat, previous)
+    _apply_tasks(cluster, machine, heartbeat, previous)
     if heartbeat.termination_notice_s is not None and machine.fence_acknowledged and machine.state is MachineState.UP:
         cluster.listener.termination_noticed(machine, heartbeat.termination_notice_s)
     return machine
 
 
-def _count_unacknowledged(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-    """Count reports that do not show what the answers to earlier ones said.
+def _count_unacknowledged_responses(
+    cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, now: float
+) -> None:
+    """Count heartbeats that do not show the effect of earlier heartbeat responses.
 
-    Guards against a machine whose reports arrive while our answers do not reach it: it looks alive, its tasks
-    ended with its lease, and starts were offered to it for ever.
+    Guards against a machine whose heartbeats arrive while our responses are lost: it looks alive, its tasks ended
+    when its lease expired, and start commands were sent to it for ever.
     """
     if machine.last_answered is None:
         return
-    lapsed = (
+    lease_expired = (
         machine.last_heartbeat is not None
         and heartbeat.worker_epoch > machine.last_heartbeat.worker_epoch
         and now - machine.last_heartbeat_at < cluster.lease_s
     )
-    unresponsive = heartbeat.fencing_token < cluster.fencing_token or lapsed
+    unresponsive = heartbeat.fencing_token < cluster.fencing_token or lease_expired
     if not unresponsive and machine.starts_sent:
         listed = {
-            (split[0], split[1], task.attempt)
+            (key[0], key[1], task.attempt)
             for task in heartbeat.tasks
-            if (split := wire_workers.parse_task_name(task.task)) is not None
+            if (key := wire_workers.parse_task_name(task.task)) is not None
         }
         unresponsive = any(
-            order < (heartbeat.worker_epoch, heartbeat.sequence)
+            sent < (heartbeat.worker_epoch, heartbeat.sequence)
             and attempt not in listed
             and attempt not in machine.observed_attempts
-            for attempt, order in machine.starts_sent.items()
+            for attempt, sent in machine.starts_sent.items()
         )
     if not unresponsive:
         machine.unacknowledged_responses = 0
         return
     if not machine.unacknowledged_responses:
         machine.unacknowledged_since = now
-    machine.unacknowledged_responses += 2 if lapsed else 1
+    machine.unacknowledged_responses += 2 if lease_expired else 1
 
 
-def _read_tasks(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, previous: Heartbeat | None) -> None:
-    reported: dict[AttemptKey, str] = {}
-    changed = previous is None or previous.tasks != heartbeat.tasks or previous.worker_epoch != heartbeat.worker_epoch
-    if not changed:
-        newly_trusted = previous is None or previous.fencing_token != heartbeat.fencing_token
-        if machine.fence_acknowledged and (newly_trusted or needs_reconciliation(cluster, machine)):
+def _apply_tasks(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, previous: Heartbeat | None) -> None:
+    """Apply a heartbeat's list of tasks, and queue the machine for reconciliation if it may prove something."""
+    new_epoch = previous is None or previous.worker_epoch != heartbeat.worker_epoch
+    if previous is not None and not new_epoch and previous.tasks == heartbeat.tasks:
+        newly_acknowledged = previous.fencing_token != heartbeat.fencing_token
+        if machine.fence_acknowledged and (newly_acknowledged or needs_reconciliation(cluster, machine)):
             cluster.machines_to_reconcile.add(machine.name)
         return
-    if previous is not None and previous.worker_epoch != heartbeat.worker_epoch:
+    if new_epoch:
         machine.task_phases.clear()
+    phases: dict[AttemptKey, str] = {}
     live: set[TaskKey] = set()
     for task in heartbeat.tasks:
-        split = wire_workers.parse_task_name(task.task)
-        if split is None:
+        key = wire_workers.parse_task_name(task.task)
+        if key is None:
             continue
-        reported[(split[0], split[1], task.attempt)] = task.phase
+        phases[(key[0], key[1], task.attempt)] = task.phase
         if task.phase != wire_workers.TaskPhase.EXITED:
-            live.add(split)
-            placement = machine.tasks.get(split)
+            live.add(key)
+            placement = machine.tasks.get(key)
             if placement is None or placement.attempt != task.attempt:
-                cluster.orphaned_tasks.record(split, machine.name)
-            elif machine.task_phases.get(split) != task.phase:
-                machine.task_phases[split] = task.phase
-                log.debug("task %s on %s: %s", task.task, machine.name, task.phase)
-                image = cluster.image_of(split)
-                if (
-                    task.phase != wire_workers.TaskPhase.FETCHING
-                    and image is not None
-                    and image not in machine.fetched_images
-                ):
-                    machine.fetched_images.add(image)
-                    cluster.listener.images_changed(machine)
-    machine.reported_phases = reported
+                cluster.orphaned_tasks.record(key, machine.name)
+            elif machine.task_phases.get(key) != task.phase:
+                _apply_phase(cluster, machine, key, task)
+    machine.reported_phases = phases
     cluster.orphaned_tasks.keep_only(machine.name, live)
     cluster.machines_to_reconcile.add(machine.name)
 
 
+def _apply_phase(cluster: ClusterState, machine: Machine, key: TaskKey, task: TaskStatus) -> None:
+    """Apply the new phase of a placed task; past its fetch, its image is cached on the machine."""
+    machine.task_phases[key] = task.phase
+    log.debug("task %s on machine %s: %s", task.task, machine.name, task.phase)
+    image = cluster.image_of(key)
+    if task.phase != wire_workers.TaskPhase.FETCHING and image is not None and image not in machine.fetched_images:
+        machine.fetched_images.add(image)
+        cluster.listener.images_changed(machine)
+
+
 def needs_reconciliation(cluster: ClusterState, machine: Machine) -> bool:
-    """Whether the newest report, although it lists the same tasks, may prove something."""
+    """Whether the last heartbeat, although it lists the same tasks as before, may release or end a task."""
     return any(
         (key[0], key[1], placement.attempt) not in machine.reported_phases for key, placement in machine.tasks.items()
     ) or cluster.has_uncommitted_exits(machine)
 
 
 def _repeats(heartbeat: Heartbeat, previous: Heartbeat | None) -> bool:
-    """Whether a report says nothing that the one before it did not say."""
+    """Whether a heartbeat holds nothing new beside its sequence number."""
     return (
         previous is not None
         and heartbeat.termination_notice_s is None
--- a/driftcleat/cluster/job_dependencies.py
+++ b/driftcleat/cluster/job_dependencies.py
@@ -8,25 +8,25 @@
 
 
 class JobDependencies:
-    """Applies what happens to jobs to the dependency graph, and writes its results back to the jobs."""
+    """Applies changes of jobs to the dependency graph, and the priorities that it works out to the jobs."""
 
     def __init__(self, jobs: dict[str, Job], graph: DependencyGraph, ready_at: dict[str, float]) -> None:
-        """`ready_at`: when a job that waited for others became ready, on this controller's clock, in seconds."""
+        """`ready_at`: when the last dependency of a job was done, on this controller's clock, in seconds."""
         self._jobs = jobs
         self._graph = graph
         self._ready_at = ready_at
 
     def add_job(self, job: Job, ended: dict[str, str]) -> None:
-        """Take a job into the graph of needs."""
-        needs = job.spec.dependencies or ()
+        """Add a job to the graph; `ended` holds the final states of its dependencies that have ended."""
+        dependencies = job.spec.dependencies or ()
         if job.state is not JobState.ACTIVE:
             return
-        unmet = [need for need in needs if ended.get(need) != JobState.DONE.value]
-        cancelled = any(ended.get(need) == JobState.CANCELLED.value for need in needs)
-        self._record_priorities(self._graph.add(job.id, needs, unmet, _own_urgency(job), cancelled))
+        unmet = [dependency for dependency in dependencies if ended.get(dependency) != JobState.DONE.value]
+        cancelled = any(ended.get(dependency) == JobState.CANCELLED.value for dependency in dependencies)
+        self._apply_priorities(self._graph.add(job.id, dependencies, unmet, _own_priority(job), cancelled))
 
-    def _record_priorities(self, changed: Iterable[str]) -> None:
-        """Keep with each of these jobs how urgent it is."""
+    def _apply_priorities(self, changed: Iterable[str]) -> None:
+        """Write the inherited priorities of these jobs to them."""
         for job_id in changed:
             job = self._jobs.get(job_id)
             if job is not None:
@@ -35,39 +35,39 @@
                 job.start_deadline = inherited.deadline - job.spec.estimated_run_s
 
     def record_external_end(self, job_id: str, state: JobState, now: float) -> None:
-        """A job that ours need, and that is homed elsewhere, has ended, or is certain to end as cancelled."""
-        if state is JobState.DONE:
-            for ready in self._graph.record_done(job_id):
-                self._ready_at[ready] = now
-        else:
-            self._graph.record_cancelled(job_id)
+        """Apply the end, or the certain cancellation, of a job of another scheduler that jobs here depend on."""
+        self._apply_end(job_id, state, now)
 
     def apply_batch(self, batch: Batch, now: float) -> None:
-        """Bring the graph up to date: first who came, then what ended."""
+        """Apply a committed batch to the graph: first the jobs that it created, then those that it ended."""
         for job_id in batch.created:
             job = batch.jobs[job_id]
             ended = {
-                need: JobState.DONE.value
-                for need in job.spec.dependencies or ()
-                if need not in batch.unmet_dependencies[job_id]
+                dependency: JobState.DONE.value
+                for dependency in job.spec.dependencies or ()
+                if dependency not in batch.unmet_dependencies[job_id]
             }
             self.add_job(job, ended)
         for job_id in batch.changed_jobs:
             job = batch.jobs[job_id]
             if job.state is JobState.ACTIVE:
-                self._record_priorities((job_id,))
+                self._apply_priorities((job_id,))
                 continue
-            if job.state is JobState.DONE:
-                for ready in self._graph.record_done(job_id):
-                    self._ready_at[ready] = now
-            else:
-                self._graph.record_cancelled(job_id)
-            self._record_priorities(self._graph.remove(job_id))
+            self._apply_end(job_id, job.state, now)
+            self._apply_priorities(self._graph.remove(job_id))
             self._ready_at.pop(job_id, None)
 
+    def _apply_end(self, job_id: str, state: JobState, now: float) -> None:
+        """Release or cancel the dependents of a job that has ended."""
+        if state is JobState.DONE:
+            for ready in self._graph.record_done(job_id):
+                self._ready_at[ready] = now
+        else:
+            self._graph.record_cancelled(job_id)
+
 
-def _own_urgency(job: Job) -> OwnPriority:
-    """Return how urgent a job is by itself; its deadline counts from its submission, however long it waits."""
+def _own_priority(job: Job) -> OwnPriority:
+    """Return a job's own priority; its deadline counts from its submission, however long it is queued."""
     deadline_s = job.spec.deadline_s
-    due = NO_DEADLINE if deadline_s is None else job.submitted_at + deadline_s
-    return OwnPriority(job.spec.priority.level, due, job.spec.estimated_run_s)
+    deadline = NO_DEADLINE if deadline_s is None else job.submitted_at + deadline_s
+    return OwnPriority(job.spec.priority.level, deadline, job.spec.estimated_run_s)
--- a/driftcleat/cluster/job_status.py
+++ b/driftcleat/cluster/job_status.py
@@ -7,7 +7,7 @@
 
 
 def user_job_status(cluster: ClusterState, job: Job) -> JobStatus:
-    """Return a job's state as its user sees it."""
+    """Return a job's status for its user; a job whose cancellation is certain is shown as cancelled."""
     if job.state is not JobState.ACTIVE:
         state = JobState.DONE if job.state is JobState.DONE else JobState.CANCELLED
         return JobStatus(job.id, state.value, job.tasks_done, 0)
--- a/driftcleat/cluster/jobs.py
+++ b/driftcleat/cluster/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs and their tasks, with the one function for each kind of state change."""
+"""Jobs and their tasks, with the one function for each kind of state transition."""
 
 from dataclasses import dataclass
 from enum import IntEnum, StrEnum
@@ -9,11 +9,11 @@
 
 
 class IllegalTransitionError(DriftcleatError):
-    """A state change that the state machine does not have."""
+    """A transition that the state machine of a job, a task or a machine does not have."""
 
 
 class JobState(StrEnum):
-    """A job's life. DONE and GONE are final: the job's record is then replaced by its final state."""
+    """A job's states. DONE and TERMINATED are final: the job's record is then replaced by its final state."""
 
     ACTIVE = "active"
     CANCELLED = "cancelled"
@@ -22,19 +22,19 @@
 
 
 class TaskState(IntEnum):
-    """A task's life: QUEUED, PLACED on a machine until proven off it, DONE."""
+    """A task's states: QUEUED, PLACED on a machine until proven to have left it, DONE."""
 
     QUEUED = 0
     PLACED = 1
     DONE = 2
 
 
-_JOB_MOVES = {
+_JOB_TRANSITIONS = {
     (JobState.ACTIVE, JobState.CANCELLED),
     (JobState.ACTIVE, JobState.DONE),
     (JobState.CANCELLED, JobState.TERMINATED),
 }
-_TASK_MOVES = {
+_TASK_TRANSITIONS = {
     (TaskState.QUEUED, TaskState.PLACED),
     (TaskState.PLACED, TaskState.QUEUED),
     (TaskState.PLACED, TaskState.DONE),
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskPlacement:
-    """Where an attempt of a task was sent; `stop` is the grace once it was told to stop."""
+    """The machine of a task's attempt; `stop_grace_s` is the grace period in seconds once it is to stop."""
 
     machine: str
     zone: str
@@ -71,9 +71,9 @@
         "tasks_per_record",
     )
 
-    def __init__(self, spec: JobSpec, submitted: float) -> None:
+    def __init__(self, spec: JobSpec, submitted_at: float) -> None:
         self.spec = spec
-        self.submitted_at = submitted
+        self.submitted_at = submitted_at
         self.state = JobState.ACTIVE
         self.cancelled_at = 0.0
         self.last_attempt = 0
@@ -82,24 +82,30 @@
         self.tasks_done = 0
         self.mod_revision = 0
         self.chunk_mod_revisions: dict[int, int] = {}
-        # How many tasks each of its records holds; 0: as the first data version splits, from today's limits.
+        # How many tasks each of its records holds; 0: the split of data version 1, which follows from the limits.
         self.tasks_per_record = 0
-        # The rank's level, or that of a more urgent job that needs this one.
+        # The level of its priority, or that of a more urgent dependent.
         self.priority_level = spec.priority.level
-        # When it has to start (time of day) for the deadlines of jobs that need it.
+        # When it has to start (time of day) for the deadlines of its dependents.
         self.start_deadline = NO_DEADLINE
 
     def copy(self) -> "Job":
         """Return a copy that may be changed."""
-        twin = Job.__new__(Job)
-        twin.spec, twin.submitted_at, twin.state = self.spec, self.submitted_at, self.state
-        twin.cancelled_at, twin.last_attempt, twin.tasks_done = self.cancelled_at, self.last_attempt, self.tasks_done
-        twin.task_states = bytearray(self.task_states)
-        twin.placements = dict(self.placements)
-        twin.mod_revision, twin.tasks_per_record = self.mod_revision, self.tasks_per_record
-        twin.priority_level, twin.start_deadline = self.priority_level, self.start_deadline
-        twin.chunk_mod_revisions = dict(self.chunk_mod_revisions)
-        return twin
+        copy = Job.__new__(Job)
+        copy.spec = self.spec
+        copy.submitted_at = self.submitted_at
+        copy.state = self.state
+        copy.cancelled_at = self.cancelled_at
+        copy.last_attempt = self.last_attempt
+        copy.tasks_done = self.tasks_done
+        copy.task_states = bytearray(self.task_states)
+        copy.placements = dict(self.placements)
+        copy.mod_revision = self.mod_revision
+        copy.tasks_per_record = self.tasks_per_record
+        copy.priority_level = self.priority_level
+        copy.start_deadline = self.start_deadline
+        copy.chunk_mod_revisions = dict(self.chunk_mod_revisions)
+        return copy
 
     @property
     def id(self) -> str:
@@ -113,15 +119,15 @@
 
     @property
     def tasks_queued(self) -> int:
-        """How many tasks have no place and are not done."""
+        """How many tasks have no placement and are not done."""
         return self.spec.tasks - self.tasks_done - len(self.placements)
 
     def next_queued_task(self, after: int) -> int:
-        """Return the first queued task behind index `after`, or -1."""
+        """Return the first queued task after index `after`, or -1."""
         return self.task_states.find(TaskState.QUEUED, after + 1)
 
     def placements_by_zone(self) -> dict[str, int]:
-        """Return how many tasks may be in each zone."""
+        """Return the number of placements in each zone."""
         counts: dict[str, int] = {}
         for placement in self.placements.values():
             counts[placement.zone] = counts.get(placement.zone, 0) + 1
@@ -129,29 +135,31 @@
 
 
 def transition_job(job: Job, to: JobState) -> None:
-    """Move a job to another state; the only place that does."""
-    if (job.state, to) not in _JOB_MOVES:
-        raise IllegalTransitionError(f"{job.id}: {job.state.value} -> {to.value}")
+    """Change a job's state; nothing else does."""
+    if (job.state, to) not in _JOB_TRANSITIONS:
+        raise IllegalTransitionError(f"job {job.id}: no transition from {job.state.value} to {to.value}")
     if to is JobState.DONE and job.tasks_done != job.spec.tasks:
-        raise IllegalTransitionError(f"{job.id}: done with {job.tasks_done} of {job.spec.tasks} tasks")
+        raise IllegalTransitionError(f"job {job.id}: done with {job.tasks_done} of {job.spec.tasks} tasks")
     if to is JobState.TERMINATED and job.placements:
-        raise IllegalTransitionError(f"{job.id}: gone with tasks still placed")
+        raise IllegalTransitionError(f"job {job.id}: terminated with {len(job.placements)} tasks still placed")
     job.state = to
 
 
 def transition_task(job: Job, index: int, to: TaskState, placement: TaskPlacement | None = None) -> None:
-    """Move a task to another state; the only place that does. PLACED to PLACED only adds a stop."""
-    now = TaskState(job.task_states[index])
-    if (now, to) not in _TASK_MOVES:
-        raise IllegalTransitionError(f"{job.id}/{index}: {now.name} -> {to.name}")
+    """Change a task's state; nothing else does. PLACED to PLACED only adds a grace period."""
+    state = TaskState(job.task_states[index])
+    if (state, to) not in _TASK_TRANSITIONS:
+        raise IllegalTransitionError(f"task {job.id}/{index}: no transition from {state.name} to {to.name}")
     if to is TaskState.PLACED:
         if placement is None:
-            raise IllegalTransitionError(f"{job.id}/{index}: no place given")
-        old = job.placements.get(index)
-        if old is None and job.state is not JobState.ACTIVE:
-            raise IllegalTransitionError(f"{job.id}/{index}: placed although the job is {job.state.value}")
-        if old is not None and (old.machine, old.attempt) != (placement.machine, placement.attempt):
-            raise IllegalTransitionError(f"{job.id}/{index}: moved without leaving {old.machine}")
+            raise IllegalTransitionError(f"task {job.id}/{index}: placed without a placement")
+        before = job.placements.get(index)
+        if before is None and job.state is not JobState.ACTIVE:
+            raise IllegalTransitionError(f"task {job.id}/{index}: placed although the job is {job.state.value}")
+        if before is not None and (before.machine, before.attempt) != (placement.machine, placement.attempt):
+            raise IllegalTransitionError(
+                f"task {job.id}/{index}: placed anew without leaving machine {before.machine}"
+            )
         job.placements[index] = placement
     else:
         del job.placements[index]
--- a/driftcleat/cluster/machines.py
+++ b/driftcleat/cluster/machines.py
@@ -1,4 +1,4 @@
-"""Machines as the leader sees them, with the one function for their state changes."""
+"""Machines as the leader knows them, with the one function for their state transitions."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class MachineState(StrEnum):
-    """A machine's life. DRAINING takes no new task; RETURNING has its return sent; GONE is proven."""
+    """A machine's states. DRAINING takes no new task; TERMINATING is requested, TERMINATED confirmed by the cloud."""
 
     BOOTING = "booting"
     UP = "up"
@@ -20,7 +20,7 @@
     TERMINATED = "gone"
 
 
-_MOVES = {
+_TRANSITIONS = {
     (MachineState.BOOTING, MachineState.UP),
     (MachineState.BOOTING, MachineState.TERMINATING),
     (MachineState.UP, MachineState.DRAINING),
@@ -40,7 +40,7 @@
 
 
 class Machine:
-    """One machine. What is committed about it is `tasks`; all else is learnt from reports and lists."""
+    """One machine. Of it, `tasks` is committed; all else comes from heartbeats and the cloud's lists."""
 
     __slots__ = (
         "address",
@@ -75,25 +75,29 @@
     )
 
     def __init__(
-        self, name: str, machine_type: MachineType | None, zone: str, spot: bool, addr: str, now: float
+        self, name: str, machine_type: MachineType | None, zone: str, spot: bool, address: str, now: float
     ) -> None:
-        self.name, self.type, self.zone, self.spot, self.address = name, machine_type, zone, spot, addr
+        self.name = name
+        self.type = machine_type
+        self.zone = zone
+        self.spot = spot
+        self.address = address
         self.state = MachineState.BOOTING
         self.created_at = now
         self.last_heartbeat_at = now
-        # Since when the cloud's list has called it running; None: never in this term.
+        # Since when the cloud lists it as running; None: not yet in this term.
         self.listed_running_since: float | None = None
         self.idle_since = now
         self.tasks_changed_at = now
         self.used_cpus = self.used_gpus = self.used_memory_gb = 0.0
         self.tasks: dict[TaskKey, TaskPlacement] = {}
         self.cached_images: OrderedDict[str, float] = OrderedDict()
-        # Images of which some task was seen past its fetch; the others in `images` may yet be given up.
+        # Cached images that some task has certainly fetched; the fetch of the others may yet be abandoned.
         self.fetched_images: set[str] = set()
         self.last_heartbeat: Heartbeat | None = None
         self.fence_acknowledged = False
-        # Whether its newest report shows all that is committed and nothing else, so that there is nothing to tell
-        # it: an equal report need not be looked at until something changes.
+        # Whether its last heartbeat shows all that is committed and nothing else, so that it needs no command: an
+        # equal heartbeat need not be examined until something changes.
         self.in_sync = False
         # Task phases of the last heartbeat, as on the wire: an unknown phase is accepted.
         self.reported_phases: dict[AttemptKey, str] = {}
@@ -103,13 +107,13 @@
         self.task_phases: dict[TaskKey, str] = {}
         self.failed_jobs: set[str] = set()
         self.no_placement_until = 0.0
-        # The newest report that was answered, and how often since then a later one did not show what it was told.
+        # The last heartbeat that got a response, and how many later ones do not show the effect of their responses.
         self.last_answered: HeartbeatOrder | None = None
         self.unacknowledged_responses = 0
         self.unacknowledged_since = now
 
     def add_task(self, key: TaskKey, placement: TaskPlacement, spec: JobSpec) -> None:
-        """Count a committed task."""
+        """Add a committed task, and what it uses."""
         self.in_sync = False
         if key not in self.tasks:
             self.used_cpus += spec.cpus
@@ -118,11 +122,11 @@
             self.record_image(spec.image, spec.image_gb)
         self.tasks[key] = placement
 
-    def remove_task(self, key: TaskKey, spec: JobSpec, now: float, others: Callable[[TaskKey], str | None]) -> None:
-        """Stop counting a task that is proven off; `others` tells the image of a task by its key.
+    def remove_task(self, key: TaskKey, spec: JobSpec, now: float, image_of: Callable[[TaskKey], str | None]) -> None:
+        """Remove a task that is proven to have left; `image_of` returns the image of another task by its key.
 
-        A worker gives a fetch up when no task waits for it any more: such an image is not here. Guards against
-        taking it for cached, seen in an incident: work was displaced for a machine that lacked the image.
+        A worker abandons a fetch when no task needs it any more: such an image is not cached. Guards against
+        taking it for cached, seen in an incident: tasks were preempted for a machine that lacked the image.
         """
         placement = self.tasks.pop(key, None)
         if placement is None:
@@ -131,7 +135,7 @@
         self.used_cpus -= spec.cpus
         self.used_gpus -= spec.gpus
         self.used_memory_gb -= spec.memory_gb
-        if spec.image not in self.fetched_images and all(others(other) != spec.image for other in self.tasks):
+        if spec.image not in self.fetched_images and all(image_of(other) != spec.image for other in self.tasks):
             self.cached_images.pop(spec.image, None)
         self.tasks_changed_at = now
         attempt = (key[0], key[1], placement.attempt)
@@ -144,7 +148,7 @@
             self.idle_since = now
 
     def record_image(self, image: str, size_gb: float) -> None:
-        """Remember that an image is (or will be) cached here, and which ones it pushes out."""
+        """Add an image that is (or will be) cached here, and drop those that it evicts."""
         self.cached_images[image] = size_gb
         self.cached_images.move_to_end(image)
         if self.type is not None:
@@ -153,9 +157,11 @@
 
 
 def transition_machine(machine: Machine, to: MachineState) -> None:
-    """Move a machine to another state; the only place that does."""
+    """Change a machine's state; nothing else does."""
     if machine.state is to:
         return
-    if (machine.state, to) not in _MOVES:
-        raise IllegalTransitionError(f"{machine.name}: {machine.state.value} -> {to.value}")
+    if (machine.state, to) not in _TRANSITIONS:
+        raise IllegalTransitionError(
+            f"machine {machine.name}: no transition from {machine.state.value} to {to.value}"
+        )
     machine.state = to
--- a/driftcleat/cluster/orphaned_tasks.py
+++ b/driftcleat/cluster/orphaned_tasks.py
@@ -1,35 +1,35 @@
-"""Attempts on machines that no record knows: their tasks must not start elsewhere while one is there."""
+"""Orphaned tasks: attempts on machines that no record knows. While one runs, its task must not start elsewhere."""
 
 from driftcleat.cluster.machines import TaskKey
 
 
 class OrphanedTasks:
-    """Tasks by the machine that reported such an attempt last."""
+    """Orphaned tasks by the machine whose heartbeat listed them last."""
 
     def __init__(self) -> None:
         self._machine_of: dict[TaskKey, str] = {}
-        # The same by machine, so that a report looks at its own machine's alone.
-        self._on: dict[str, set[TaskKey]] = {}
+        # The same by machine, so that a heartbeat examines those of its own machine alone.
+        self._tasks_on: dict[str, set[TaskKey]] = {}
 
     def __contains__(self, key: TaskKey) -> bool:
         return key in self._machine_of
 
     def record(self, key: TaskKey, machine: str) -> None:
-        """A machine reports an attempt that no record knows."""
+        """Record that a machine's heartbeat lists an attempt that no record knows."""
         before = self._machine_of.get(key)
         if before is not None and before != machine:
             self._discard(key, before)
         self._machine_of[key] = machine
-        self._on.setdefault(machine, set()).add(key)
+        self._tasks_on.setdefault(machine, set()).add(key)
 
     def keep_only(self, machine: str, live: set[TaskKey]) -> None:
-        """A machine has nothing but these tasks."""
-        for key in self._on.get(machine, set()) - live:
+        """Discard the orphaned tasks of a machine that are not among its live tasks."""
+        for key in self._tasks_on.get(machine, set()) - live:
             self._discard(key, machine)
 
     def _discard(self, key: TaskKey, machine: str) -> None:
         del self._machine_of[key]
-        keys = self._on[machine]
+        keys = self._tasks_on[machine]
         keys.discard(key)
         if not keys:
-            del self._on[machine]
+            del self._tasks_on[machine]
--- a/driftcleat/cluster/reconciliation.py
+++ b/driftcleat/cluster/reconciliation.py
@@ -1,4 +1,4 @@
-"""What the newest reports prove about placed tasks, put into a batch."""
+"""Reconciliation: appends to a batch what the last heartbeats prove about placed tasks."""
 
 import logging
 
@@ -10,22 +10,22 @@
 
 log = logging.getLogger(__name__)
 
-# A job whose tasks fail is retried after this long, twice as long after each further failure, up to the most.
-FIRST_RETRY_S = 0.5
-MOST_RETRY_S = 60.0
-MOST_DOUBLINGS = 10
-# A machine that had less room than our sums say gets no further task for so long.
-NO_ROOM_PAUSE_S = 2.0
+# Exponential back-off of a job whose tasks fail, in seconds.
+BASE_RETRY_S = 0.5
+MAX_RETRY_S = 60.0
+MAX_RETRY_EXPONENT = 10
+# A machine that had less room than its accounted usage says gets no further placement for so long.
+INSUFFICIENT_RESOURCES_PAUSE_S = 2.0
 
 
 def reconcile(cluster: ClusterState, machine: Machine, batch: Batch, now: float) -> bool:
-    """Put into the batch what the newest report proves; False if the batch was too full for some of it.
+    """Append to a batch what a machine's last heartbeat proves; False if the batch had no room for some of it.
 
-    What lies in records that the batch changes anyway still finds room: under low limits, where a batch holds two
-    records, that is most of what a burst of exits has to say.
+    Changes in records that the batch writes anyway still fit: under low limits, where a batch holds two records,
+    these are most of a burst of exits.
     """
     if machine.state is MachineState.TERMINATED:
-        return _all_lost(cluster, machine, batch)
+        return _release_all(machine, batch)
     heartbeat = machine.last_heartbeat
     if heartbeat is None or not machine.fence_acknowledged:
         return True
@@ -33,42 +33,42 @@
     exits = {
         (task.task, task.attempt): task for task in heartbeat.tasks if task.phase == wire_workers.TaskPhase.EXITED
     }
-    whole = True
+    complete = True
     for key, placement in list(machine.tasks.items()):
         job = batch.job(key[0])
         if job is None or job.placements.get(key[1]) is None:
             continue
         attempt = (key[0], key[1], placement.attempt)
-        state = machine.reported_phases.get(attempt)
-        if state is None:
-            whole = _absent(cluster, machine, job, key, placement, order, batch) and whole
+        phase = machine.reported_phases.get(attempt)
+        if phase is None:
+            complete = _reconcile_absent(machine, job, key, placement, order, batch) and complete
             continue
         machine.observed_attempts.add(attempt)
-        if state != wire_workers.TaskPhase.EXITED:
+        if phase != wire_workers.TaskPhase.EXITED:
             continue
         if not batch.has_room_for_exit(job, key[1]):
-            whole = batch.must_migrate_first(job) and whole
+            complete = batch.must_migrate_first(job) and complete
             continue
         exited = exits[(wire_workers.format_task_name(*key), placement.attempt)]
-        _exited(cluster, machine, job, key[1], exited.exit_reason or wire_workers.ExitReason.ERROR, batch, now)
-    return whole
+        _apply_exit(cluster, machine, job, key[1], exited.exit_reason or wire_workers.ExitReason.ERROR, batch, now)
+    return complete
 
 
-def _all_lost(cluster: ClusterState, machine: Machine, batch: Batch) -> bool:
-    whole = True
+def _release_all(machine: Machine, batch: Batch) -> bool:
+    """Release the tasks of a terminated machine; False if the batch had no room for some."""
+    complete = True
     for key in list(machine.tasks):
         job = batch.job(key[0])
         if job is None or job.placements.get(key[1]) is None:
             continue
         if not batch.has_room_for_exit(job, key[1]):
-            whole = batch.must_migrate_first(job) and whole
+            complete = batch.must_migrate_first(job) and complete
             continue
-        _leave(batch, job, key[1])
-    return whole
+        _release(batch, job, key[1])
+    return complete
 
 
-def _absent(
-    cluster: ClusterState,
+def _reconcile_absent(
     machine: Machine,
     job: Job,
     key: TaskKey,
@@ -76,10 +76,13 @@
     order: HeartbeatOrder,
     batch: Batch,
 ) -> bool:
-    """A task its machine does not list: proven off only if no start of it can still arrive."""
+    """Release a task that its machine does not list, if no start command for it can still arrive.
+
+    Returns False if the batch had no room.
+    """
     attempt = (key[0], key[1], placement.attempt)
-    offered = machine.starts_sent.get(attempt)
-    if offered is not None and offered >= order:
+    start_sent = machine.starts_sent.get(attempt)
+    if start_sent is not None and start_sent >= order:
         return True
     unwanted = job.state is not JobState.ACTIVE or job.placements[key[1]].stop_grace_s is not None
     draining = machine.state is not MachineState.UP
@@ -90,47 +93,49 @@
         return True
     if not batch.has_room_for_exit(job, key[1]):
         return batch.must_migrate_first(job)
-    _leave(batch, job, key[1])
+    _release(batch, job, key[1])
     return True
 
 
-def _exited(
-    cluster: ClusterState, machine: Machine, job: Job, index: int, why: str, batch: Batch, now: float
+def _apply_exit(
+    cluster: ClusterState, machine: Machine, job: Job, index: int, reason: str, batch: Batch, now: float
 ) -> None:
-    if why == wire_workers.ExitReason.DONE:
+    """Append a task's exit to the batch, and account for its failure."""
+    if reason == wire_workers.ExitReason.DONE:
         batch.transition_task(job.id, index, TaskState.DONE)
         batch.finish_job_if_complete(job.id)
         cluster.failure_counts.pop(job.id, None)
         machine.failed_jobs.clear()
     else:
-        _leave(batch, job, index)
-        if why in (
+        _release(batch, job, index)
+        if reason in (
             wire_workers.ExitReason.ERROR,
             wire_workers.ExitReason.UNKNOWN_JOB,
             wire_workers.ExitReason.OTHER_ATTEMPT_PRESENT,
         ):
-            _count_failure(cluster, machine, job, now, why == wire_workers.ExitReason.ERROR)
-        elif why == wire_workers.ExitReason.INSUFFICIENT_RESOURCES:
-            # Our sums and the worker's differ: let it report again before it gets more.
-            machine.no_placement_until = max(machine.no_placement_until, now + NO_ROOM_PAUSE_S)
-    log.debug("task %s/%d left %s: %s", job.id, index, machine.name, why)
-    cluster.listener.task_exited(machine, job, why)
+            _record_failure(cluster, machine, job, now, reason == wire_workers.ExitReason.ERROR)
+        elif reason == wire_workers.ExitReason.INSUFFICIENT_RESOURCES:
+            # Our accounting and the worker's differ: wait for further heartbeats before placing more.
+            machine.no_placement_until = max(machine.no_placement_until, now + INSUFFICIENT_RESOURCES_PAUSE_S)
+    log.debug("task %s/%d left machine %s: %s", job.id, index, machine.name, reason)
+    cluster.listener.task_exited(machine, job, reason)
 
 
-def _count_failure(cluster: ClusterState, machine: Machine, job: Job, now: float, blame: bool) -> None:
+def _record_failure(cluster: ClusterState, machine: Machine, job: Job, now: float, blame_machine: bool) -> None:
+    """Delay the next attempt of a job that failed; `blame_machine` counts it against the machine too."""
     count = cluster.failure_counts.get(job.id, 0) + 1
     cluster.failure_counts[job.id] = count
-    # A job with a mistake fails everywhere: it must not circle through all machines at full speed.
-    cluster.retry_at[job.id] = now + min(MOST_RETRY_S, FIRST_RETRY_S * 2 ** min(count, MOST_DOUBLINGS))
-    if blame:
+    # A faulty job fails on every machine: it must not cycle through all of them at full speed.
+    cluster.retry_at[job.id] = now + min(MAX_RETRY_S, BASE_RETRY_S * 2 ** min(count, MAX_RETRY_EXPONENT))
+    if blame_machine:
         machine.failed_jobs.add(job.id)
 
 
-def _leave(batch: Batch, job: Job, index: int) -> None:
-    """A task is proven off its machine without being done; the rest of its gang must go too."""
+def _release(batch: Batch, job: Job, index: int) -> None:
+    """Queue a task again that has left its machine without being done; the rest of its gang is stopped."""
     batch.transition_task(job.id, index, TaskState.QUEUED)
-    fresh = batch.jobs[job.id]
-    if fresh.is_gang and fresh.state is JobState.ACTIVE:
-        for other in list(fresh.placements):
+    changed = batch.jobs[job.id]
+    if changed.is_gang and changed.state is JobState.ACTIVE:
+        for other in list(changed.placements):
             batch.stop_task(job.id, other, 0.0)
     batch.finish_job_if_complete(job.id)
--- a/driftcleat/cluster/state.py
+++ b/driftcleat/cluster/state.py
@@ -1,7 +1,7 @@
-"""The leader's picture of one term: committed jobs, machines and their reports.
+"""The cluster state of one leader term: committed jobs, machines and their last heartbeats.
 
-Nothing here does I/O. A report is taken in by `observe`, what it proves is put into a batch by `reconciliation`, the
-batch is made visible by `commit`, and `commands` says what a worker is told.
+Nothing in this package does I/O. `heartbeat_intake` applies a heartbeat, `reconciliation` appends what it proves to a
+batch, `commit` applies the batch once the store has it, and `commands` returns a worker's commands.
 """
 
 from driftcleat.cluster.dependencies import DependencyGraph
@@ -16,94 +16,102 @@
 
 
 class ClusterState:
-    """One term's picture."""
+    """What the leader of one term knows; changed by the functions of this package alone."""
 
     def __init__(
         self,
-        token: int,
+        fencing_token: int,
         jobs: dict[str, Job],
-        types: dict[str, MachineType],
+        machine_types: dict[str, MachineType],
         now: float,
         lease_s: float = 0.0,
         ended: dict[str, str] | None = None,
     ) -> None:
-        """`ended` tells the final states of jobs that are over and that others need."""
-        self.fencing_token, self.lease_s = token, lease_s
+        """Begin with the committed jobs; `ended` holds the final states of ended jobs that these depend on."""
+        self.fencing_token = fencing_token
+        self.lease_s = lease_s
         self.jobs = jobs
         self.dependencies = DependencyGraph()
-        # When a job that waited for others became ready, on this controller's clock.
+        # When the last dependency of a job was done, on this controller's clock, in seconds.
         self.ready_at: dict[str, float] = {}
         self.job_dependencies = JobDependencies(jobs, self.dependencies, self.ready_at)
-        # Cancelled jobs of which tasks may still be somewhere.
+        # Cancelled jobs that still have placements.
         self.cancelled_jobs: set[str] = set()
-        self.machine_types = types
+        self.machine_types = machine_types
         self.machines: dict[str, Machine] = {}
+        # When the termination of a machine was confirmed, in seconds.
         self.terminated_machines: dict[str, float] = {}
         self.team_usage: dict[str, ResourceUsage] = {}
         self.machines_to_reconcile: set[str] = set()
         self.orphaned_tasks = OrphanedTasks()
+        # By job: when its tasks may be placed again after a failure, and how often they failed.
         self.retry_at: dict[str, float] = {}
         self.failure_counts: dict[str, int] = {}
-        # Tasks of machines that have not reported in this term, by machine name.
+        # Placements on machines that have sent no heartbeat in this term, by machine name.
         self.unconfirmed_placements: dict[str, dict[TaskKey, TaskPlacement]] = {}
-        # Images that machines had under earlier leaders, until they report.
+        # Images (name, GB) that machines had in earlier terms, until their first heartbeat.
         self.image_hints: dict[str, list[tuple[str, float]]] = {}
         self.listener: ClusterListener = NullListener()
-        for job in jobs.values():
+        # Attempts whose placement the batch in flight releases.
+        self.attempts_being_released: set[AttemptKey] = set()
+        # Jobs whose cancellation may or may not be committed: the outcome of its batch is unknown.
+        self.unconfirmed_cancellations: set[str] = set()
+        self.started_at = now
+        self._add_committed_jobs(ended or {})
+
+    def _add_committed_jobs(self, ended: dict[str, str]) -> None:
+        """Derive usage, unconfirmed placements and the dependency graph from the jobs of earlier terms."""
+        for job in self.jobs.values():
             usage = self.team_usage.setdefault(job.spec.team, ResourceUsage())
             for index, placement in job.placements.items():
                 usage.add(job.spec, 1)
                 self.unconfirmed_placements.setdefault(placement.machine, {})[(job.id, index)] = placement
-        for job in jobs.values():
-            self.job_dependencies.add_job(job, ended or {})
-        for job in jobs.values():
+        for job in self.jobs.values():
+            self.job_dependencies.add_job(job, ended)
+        for job in self.jobs.values():
             if job.state is JobState.CANCELLED:
                 self.dependencies.record_cancelled(job.id)
                 self.cancelled_jobs.add(job.id)
-        # Attempts that the batch under way takes off their machines.
-        self.attempts_being_released: set[AttemptKey] = set()
-        # Jobs whose cancellation may have been committed: nobody can say before the store answers again.
-        self.unconfirmed_cancellations: set[str] = set()
-        self.started_at = now
 
     def subscribe(self, listener: ClusterListener) -> None:
         """Send all further events to a listener; it replaces the one before."""
         self.listener = listener
 
     def record_external_end(self, job_id: str, state: JobState, now: float) -> None:
-        """A job that ours need, and that is homed elsewhere, has ended, or is certain to end as cancelled."""
+        """Apply the end, or the certain cancellation, of a job of another scheduler that jobs here depend on."""
         self.job_dependencies.record_external_end(job_id, state, now)
 
     def dependencies_met(self, job: Job) -> bool:
-        """Whether tasks of a job may be placed as far as other jobs go."""
+        """Whether all dependencies of a job are done."""
         return self.dependencies.dependencies_met(job.id)
 
-    def register_machine(self, name: str, type_name: str, zone: str, spot: bool, addr: str, now: float) -> Machine:
-        """Return the machine of that name, known from now on."""
+    def register_machine(self, name: str, type_name: str, zone: str, spot: bool, address: str, now: float) -> Machine:
+        """Return the machine of that name; a new one starts with its unconfirmed placements and image hints."""
         machine = self.machines.get(name)
         if machine is None:
-            machine = Machine(name, self.machine_types.get(type_name), zone, spot, addr, now)
+            machine = Machine(name, self.machine_types.get(type_name), zone, spot, address, now)
             self.machines[name] = machine
             for image, size_gb in self.image_hints.pop(name, ()):
                 machine.record_image(image, size_gb)
                 machine.fetched_images.add(image)
             for key, placement in self.unconfirmed_placements.pop(name, {}).items():
-                job = self.jobs.get(key[0])
-                if job is not None and job.placements.get(key[1]) == placement:
+                job_id, index = key
+                job = self.jobs.get(job_id)
+                if job is not None and job.placements.get(index) == placement:
                     machine.add_task(key, placement, job.spec)
         if machine.type is None:
             machine.type = self.machine_types.get(type_name)
-        if addr:
-            machine.address = addr
+        if address:
+            machine.address = address
         return machine
 
     def image_of(self, key: TaskKey) -> str | None:
-        """Return the image of a task whose job is known."""
+        """Return the image of a task, or None if its job is unknown."""
         job = self.jobs.get(key[0])
         return job.spec.image if job is not None else None
 
     def record_terminated(self, machine: Machine, now: float) -> None:
-        """The cloud has confirmed that a machine and all on it is gone."""
+        """Record that the cloud has confirmed the termination of a machine."""
         if machine.state is not MachineState.TERMINATING:
             transition_machine(machine, MachineState.TERMINATING)
         transition_machine(machine, MachineState.TERMINATED)
@@ -115,40 +123,40 @@
             del self.machines[machine.name]
 
     def may_be_on_machine(self, key: TaskKey, placement: TaskPlacement) -> bool:
-        """Whether the newest report leaves it open that a placed task is on its machine.
+        """Whether a placed task may be on its machine, by the machine's last heartbeat.
 
-        Guards against machines returned for cancelled tasks that are long gone, while the batch that would say so
-        waits for the store.
+        Guards against machines terminated for cancelled tasks that have long ended, while the batch that releases
+        them waits for the store.
         """
         machine = self.machines.get(placement.machine)
         if machine is None or machine.last_heartbeat is None or not machine.fence_acknowledged:
             return True
         attempt = (key[0], key[1], placement.attempt)
-        state = machine.reported_phases.get(attempt)
-        if state is None:
-            offered = machine.starts_sent.get(attempt)
-            return offered is not None and offered >= (
+        phase = machine.reported_phases.get(attempt)
+        if phase is None:
+            start_sent = machine.starts_sent.get(attempt)
+            return start_sent is not None and start_sent >= (
                 machine.last_heartbeat.worker_epoch,
                 machine.last_heartbeat.sequence,
             )
-        return state != wire_workers.TaskPhase.EXITED
+        return phase != wire_workers.TaskPhase.EXITED
 
     def has_uncommitted_exits(self, machine: Machine) -> bool:
-        """Whether the machine's newest report has exits that are not committed yet."""
+        """Whether a machine's last heartbeat lists exits that are not committed yet."""
         return not machine.in_sync and any(
-            state == wire_workers.TaskPhase.EXITED
-            and key[:2] in machine.tasks
-            and machine.tasks[key[:2]].attempt == key[2]
-            for key, state in machine.reported_phases.items()
+            phase == wire_workers.TaskPhase.EXITED
+            and attempt[:2] in machine.tasks
+            and machine.tasks[attempt[:2]].attempt == attempt[2]
+            for attempt, phase in machine.reported_phases.items()
         )
 
     def mark_out_of_sync(self, job: Job) -> None:
-        """What a job's machines are told may differ now, although they report what they did before."""
+        """Have the machines of a job get their commands anew, although their heartbeats may stay the same."""
         for placement in job.placements.values():
             machine = self.machines.get(placement.machine)
             if machine is not None:
                 machine.in_sync = False
 
     def must_not_run(self, job: Job) -> bool:
-        """Whether a job's tasks are to run no more."""
+        """Whether the tasks of a job must be stopped."""
         return job.state is not JobState.ACTIVE or job.id in self.unconfirmed_cancellations
--- a/driftcleat/cluster/usage.py
+++ b/driftcleat/cluster/usage.py
@@ -1,21 +1,24 @@
-"""What the tasks of one team may be using."""
+"""The resource usage of one team."""
 
 from driftcleat.wire.users import JobSpec
 
 
 class ResourceUsage:
-    """What a team's tasks may be using, by possible presence."""
+    """CPUs, GPUs and number of a team's placed tasks, also of those that may have ended already."""
 
     __slots__ = ("cpus", "gpus", "tasks")
 
     def __init__(self) -> None:
-        self.cpus = self.gpus = 0.0
+        self.cpus = 0.0
+        self.gpus = 0.0
         self.tasks = 0
 
     def add(self, spec: JobSpec, sign: int) -> None:
-        """Count a task in or out."""
+        """Add a task (`sign` 1) or remove one (`sign` -1)."""
         self.tasks += sign
         self.cpus += sign * spec.cpus
         self.gpus += sign * spec.gpus
         if self.tasks == 0:
-            self.cpus = self.gpus = 0.0
+            # Sums of decimal amounts drift; no task uses exactly nothing.
+            self.cpus = 0.0
+            self.gpus = 0.0
