--- a/driftcleat/cluster/commands.py
+++ b/driftcleat/cluster/commands.py
@@ -3,7 +3,13 @@
 from driftcleat.cluster.machines import Machine, MachineState
 from driftcleat.cluster.state import ClusterState
 from driftcleat.wire import workers as wire_workers
-from driftcleat.wire.workers import Command, Heartbeat
+from driftcleat.wire.workers import Command, CommandAction, Heartbeat, TaskPhase
+
+# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+EXITED = TaskPhase.EXITED
+START = CommandAction.START
+STOP = CommandAction.STOP
+FORGET = CommandAction.FORGET
 
 
 def commands_for_heartbeat(
@@ -32,12 +38,12 @@
         key = wire_workers.parse_task_name(task.task)
         placement = machine.tasks.get(key) if key is not None else None
         expected = placement is not None and placement.attempt == task.attempt
-        if task.phase == wire_workers.TaskPhase.EXITED:
+        if task.phase == EXITED:
             # The worker forgets an exit only once it is committed: the record has no such placement then.
             if not expected:
-                commands.append(Command(wire_workers.CommandAction.FORGET, task.task, task.attempt))
+                commands.append(Command(FORGET, task.task, task.attempt))
         elif not expected:
-            commands.append(Command(wire_workers.CommandAction.STOP, task.task, task.attempt, 0.0))
+            commands.append(Command(STOP, task.task, task.attempt, 0.0))
     commands.extend(stop_commands(cluster, machine))
     return commands
 
@@ -59,9 +65,7 @@
         if machine.unacknowledged_responses > 1:
             continue
         machine.starts_sent[attempt] = (heartbeat.worker_epoch, heartbeat.sequence)
-        commands.append(
-            Command(wire_workers.CommandAction.START, wire_workers.format_task_name(*key), placement.attempt)
-        )
+        commands.append(Command(START, wire_workers.format_task_name(*key), placement.attempt))
     return commands
 
 
@@ -77,7 +81,7 @@
         attempt = (key[0], key[1], placement.attempt)
         if attempt not in machine.observed_attempts or machine.reported_phases.get(attempt) in (
             None,
-            wire_workers.TaskPhase.EXITED,
+            EXITED,
         ):
             return False
     return True
@@ -91,10 +95,6 @@
         if job is None:
             continue
         grace = 0.0 if cluster.must_not_run(job) else placement.stop_grace_s
-        if grace is not None and machine.task_phases.get(key) != wire_workers.TaskPhase.EXITED:
-            commands.append(
-                Command(
-                    wire_workers.CommandAction.STOP, wire_workers.format_task_name(*key), placement.attempt, grace
-                )
-            )
+        if grace is not None and machine.task_phases.get(key) != EXITED:
+            commands.append(Command(STOP, wire_workers.format_task_name(*key), placement.attempt, grace))
     return commands
--- a/driftcleat/cluster/heartbeat_intake.py
+++ b/driftcleat/cluster/heartbeat_intake.py
@@ -5,10 +5,14 @@
 from driftcleat.cluster.machines import AttemptKey, Machine, MachineState, TaskKey, transition_machine
 from driftcleat.cluster.state import ClusterState
 from driftcleat.wire import workers as wire_workers
-from driftcleat.wire.workers import Heartbeat, TaskStatus
+from driftcleat.wire.workers import Heartbeat, TaskPhase, TaskStatus
 
 log = logging.getLogger(__name__)
 
+# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+EXITED = TaskPhase.EXITED
+FETCHING = TaskPhase.FETCHING
+
 
 def apply_heartbeat(cluster: ClusterState, heartbeat: Heartbeat, now: float) -> Machine | None:
     """Apply a heartbeat and return its machine; None if it is out of date or the machine is terminated."""
@@ -98,7 +102,7 @@
         if key is None:
             continue
         phases[(key[0], key[1], task.attempt)] = task.phase
-        if task.phase != wire_workers.TaskPhase.EXITED:
+        if task.phase != EXITED:
             live.add(key)
             placement = machine.tasks.get(key)
             if placement is None or placement.attempt != task.attempt:
@@ -115,7 +119,7 @@
     machine.task_phases[key] = task.phase
     log.debug("task %s on machine %s: %s", task.task, machine.name, task.phase)
     image = cluster.image_of(key)
-    if task.phase != wire_workers.TaskPhase.FETCHING and image is not None and image not in machine.fetched_images:
+    if task.phase != FETCHING and image is not None and image not in machine.fetched_images:
         machine.fetched_images.add(image)
         cluster.listener.images_changed(machine)
 
--- a/driftcleat/cluster/job_status.py
+++ b/driftcleat/cluster/job_status.py
@@ -2,8 +2,11 @@
 
 from driftcleat.cluster.jobs import Job, JobState
 from driftcleat.cluster.state import ClusterState
-from driftcleat.wire import workers as wire_workers
 from driftcleat.wire.users import JobStatus
+from driftcleat.wire.workers import TaskPhase
+
+# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+RUNNING = TaskPhase.RUNNING
 
 
 def user_job_status(cluster: ClusterState, job: Job) -> JobStatus:
@@ -16,6 +19,6 @@
     running = 0
     for index, placement in job.placements.items():
         machine = cluster.machines.get(placement.machine)
-        if machine is not None and machine.task_phases.get((job.id, index)) == wire_workers.TaskPhase.RUNNING:
+        if machine is not None and machine.task_phases.get((job.id, index)) == RUNNING:
             running += 1
     return JobStatus(job.id, "running" if running else "pending", job.tasks_done, running)
--- a/driftcleat/cluster/reconciliation.py
+++ b/driftcleat/cluster/reconciliation.py
@@ -7,9 +7,13 @@
 from driftcleat.cluster.machines import HeartbeatOrder, Machine, MachineState, TaskKey
 from driftcleat.cluster.state import ClusterState
 from driftcleat.wire import workers as wire_workers
+from driftcleat.wire.workers import TaskPhase
 
 log = logging.getLogger(__name__)
 
+# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+EXITED = TaskPhase.EXITED
+
 # Exponential back-off of a job whose tasks fail, in seconds.
 BASE_RETRY_S = 0.5
 MAX_RETRY_S = 60.0
@@ -30,9 +34,7 @@
     if heartbeat is None or not machine.fence_acknowledged:
         return True
     order = (heartbeat.worker_epoch, heartbeat.sequence)
-    exits = {
-        (task.task, task.attempt): task for task in heartbeat.tasks if task.phase == wire_workers.TaskPhase.EXITED
-    }
+    exits = {(task.task, task.attempt): task for task in heartbeat.tasks if task.phase == EXITED}
     complete = True
     for key, placement in list(machine.tasks.items()):
         job = batch.job(key[0])
@@ -44,7 +46,7 @@
             complete = _reconcile_absent(machine, job, key, placement, order, batch) and complete
             continue
         machine.observed_attempts.add(attempt)
-        if phase != wire_workers.TaskPhase.EXITED:
+        if phase != EXITED:
             continue
         if not batch.has_room_for_exit(job, key[1]):
             complete = batch.must_migrate_first(job) and complete
--- a/driftcleat/cluster/state.py
+++ b/driftcleat/cluster/state.py
@@ -11,8 +11,11 @@
 from driftcleat.cluster.machines import AttemptKey, Machine, MachineState, TaskKey, transition_machine
 from driftcleat.cluster.orphaned_tasks import OrphanedTasks
 from driftcleat.cluster.usage import ResourceUsage
-from driftcleat.wire import workers as wire_workers
 from driftcleat.wire.cloud import MachineType
+from driftcleat.wire.workers import TaskPhase
+
+# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+EXITED = TaskPhase.EXITED
 
 
 class ClusterState:
@@ -139,14 +142,12 @@
                 machine.last_heartbeat.worker_epoch,
                 machine.last_heartbeat.sequence,
             )
-        return phase != wire_workers.TaskPhase.EXITED
+        return phase != EXITED
 
     def has_uncommitted_exits(self, machine: Machine) -> bool:
         """Whether a machine's last heartbeat lists exits that are not committed yet."""
         return not machine.in_sync and any(
-            phase == wire_workers.TaskPhase.EXITED
-            and attempt[:2] in machine.tasks
-            and machine.tasks[attempt[:2]].attempt == attempt[2]
+            phase == EXITED and attempt[:2] in machine.tasks and machine.tasks[attempt[:2]].attempt == attempt[2]
             for attempt, phase in machine.reported_phases.items()
         )
 
--- a/driftcleat/scheduler/consolidation.py
+++ b/driftcleat/scheduler/consolidation.py
@@ -10,6 +10,9 @@
 from driftcleat.wire.users import JobKind, JobSpec
 from driftcleat.wire.workers import TaskPhase
 
+# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+RUNNING = TaskPhase.RUNNING
+
 # A machine of which more than this part is used is left alone.
 MAX_USED = 0.5 + ROUNDING_TOLERANCE
 
@@ -94,7 +97,7 @@
             job = self._cluster.jobs.get(job_id)
             if job is None or job.state is not JobState.ACTIVE or job.spec.kind is not JobKind.SERVICE:
                 return False
-            if machine.task_phases.get((job_id, index)) != TaskPhase.RUNNING or job.spec.single_zone:
+            if machine.task_phases.get((job_id, index)) != RUNNING or job.spec.single_zone:
                 return False
             counts = job.placements_by_zone()
             counts[machine.zone] -= 1
--- a/driftcleat/scheduler/machine_candidates.py
+++ b/driftcleat/scheduler/machine_candidates.py
@@ -9,6 +9,9 @@
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.workers import TaskPhase
 
+# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+FETCHING = TaskPhase.FETCHING
+
 # Report intervals without a heartbeat after which a machine is given no more tasks.
 FRESH_REPORTS = 2.0
 
@@ -66,7 +69,7 @@
             fetching_images = {
                 jobs[key[0]].spec.image
                 for key in machine.tasks
-                if key[0] in jobs and phases.get(key, TaskPhase.FETCHING) == TaskPhase.FETCHING
+                if key[0] in jobs and phases.get(key, FETCHING) == FETCHING
             }
         controllers_elsewhere = self._controllers_elsewhere.get(machine.zone)
         if controllers_elsewhere is None:
--- a/driftcleat/scheduler/preemption_planning.py
+++ b/driftcleat/scheduler/preemption_planning.py
@@ -13,6 +13,9 @@
 from driftcleat.wire.users import JobKind
 from driftcleat.wire.workers import TaskPhase
 
+# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+FETCHING = TaskPhase.FETCHING
+
 # The seconds of a replica that its preemption is reckoned to lose: more than any fetch and restart.
 REPLICA_LOSS_S = 1e4
 # Report intervals until a task that was preempted runs elsewhere.
@@ -71,7 +74,7 @@
             return weight * REPLICA_LOSS_S
         image_fetch_s = fetch_s(spec, machine.type) if machine.type is not None else spec.image_gb
         restart_s = self._platform.report_s * REPORTS_UNTIL_RESTART
-        if machine.task_phases.get(key, TaskPhase.FETCHING) == TaskPhase.FETCHING:
+        if machine.task_phases.get(key, FETCHING) == FETCHING:
             return weight * (restart_s + image_fetch_s)
         refetch_s = restart_s + image_fetch_s * self._tuning.refetch
         lost_run_s = spec.checkpoint_duration_s if spec.checkpoint_interval_s > 0 else spec.estimated_run_s
