--- a/driftcleat/capacity/candidate_pool.py
+++ b/driftcleat/capacity/candidate_pool.py
@@ -29,7 +29,7 @@
     def __init__(self, candidates: Iterable[Candidate] = ()) -> None:
         self.groups: dict[GroupKey, CandidateGroup] = {}
         for candidate in candidates:
-            self._add_group(candidate, [candidate.name])
+            self.add(candidate, [candidate.name])
 
     def add_to_group(self, key: GroupKey, name: str) -> bool:
         """Add a machine to its group; return False if there is none yet, so that a candidate has to be made."""
@@ -43,7 +43,8 @@
         """Open a group with its first machine."""
         self.groups[key] = CandidateGroup(candidate, [candidate.name])
 
-    def _add_group(self, candidate: Candidate, names: list[str]) -> None:
+    def add(self, candidate: Candidate, names: list[str]) -> None:
+        """Add machines that are like a candidate; the list of names may become the group's own."""
         key = (
             candidate.machine_type,
             candidate.zone,
@@ -94,7 +95,7 @@
                     used.update(taken)
                     smaller = replace(candidate, name=taken[0], fetching_images=set())
                     smaller.allocate(spec, tasks)
-                    self._add_group(smaller, taken)
+                    self.add(smaller, taken)
             demand.record_packed(candidate.zone, filled * per_machine + rest)
 
     def _preferred(self, demand: Demand) -> list[GroupKey]:
--- a/driftcleat/placement/placement_round.py
+++ b/driftcleat/placement/placement_round.py
@@ -162,8 +162,7 @@
     ) -> Candidate | None:
         """Return the best fit among the first sample of feasible candidates, from a random start on.
 
-        Nothing is reserved: the caller allocates. A shape that no candidate can take is remembered, and is not looked
-        for again in this round.
+        The caller allocates. A shape that no candidate can take is not looked for again in this round.
         """
         shape = _task_shape(spec, zone)
         if shape in self.unplaceable:
--- a/driftcleat/scheduler/free_capacity.py
+++ b/driftcleat/scheduler/free_capacity.py
@@ -53,27 +53,16 @@
         machine_type = self._cluster.machine_types.get(record.machine_type)
         if machine_type is None:
             return
-        key = (
-            machine_type.name,
-            record.zone,
-            record.spot,
-            False,
-            round(machine_type.cpus, ALIKE_DIGITS),
-            round(machine_type.gpus, ALIKE_DIGITS),
-            round(machine_type.memory_gb, ALIKE_DIGITS),
-            "",
-        )
-        for number in range(record.count):
-            name = f"{request.name}+{number}"
-            if not pool.add_to_group(key, name):
-                candidate = Candidate(
-                    name,
-                    machine_type.name,
-                    record.zone,
-                    record.spot,
-                    machine_type.cpus,
-                    machine_type.gpus,
-                    machine_type.memory_gb,
-                    controllers_elsewhere=self._platform.away(record.zone),
-                )
-                pool.open_group(key, candidate)
+        names = [f"{request.name}+{number}" for number in range(record.count)]
+        if names:
+            candidate = Candidate(
+                names[0],
+                machine_type.name,
+                record.zone,
+                record.spot,
+                machine_type.cpus,
+                machine_type.gpus,
+                machine_type.memory_gb,
+                controllers_elsewhere=self._platform.away(record.zone),
+            )
+            pool.add(candidate, names)
