--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -1,8 +1,11 @@
-"""Builds the parts of a controller: every part gets what it needs in its constructor, and is there afterwards."""
+"""Builds the parts of a controller: every part gets what it needs in its constructor, and is there afterwards.
+
+Records of parts are named tuples: to define a dataclass takes several times as long, and a start pays for each.
+"""
 
 import random
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from driftcleat.api import HeartbeatApi, UserApi
 from driftcleat.cloud.manager import FleetManager
@@ -46,8 +49,7 @@
 UserApiFactory = Callable[[Platform, Tuning, StoreClient, PeerClient, ActiveTerm, Clock, int, int], UserApi]
 
 
-@dataclass(frozen=True, slots=True)
-class Factories:
+class Factories(NamedTuple):
     """The parts in which a process with one controller, the engine of a share and a simulated controller differ."""
 
     network: NetworkFactory = ProcessNetwork
@@ -55,8 +57,7 @@
     users: UserApiFactory = UserApi
 
 
-@dataclass(frozen=True, slots=True)
-class BuildContext:
+class BuildContext(NamedTuple):
     """What parts are built from."""
 
     platform: Platform
@@ -67,8 +68,7 @@
     network: Network
 
 
-@dataclass(frozen=True, slots=True)
-class TermCallbacks:
+class TermCallbacks(NamedTuple):
     """What the election has its controller do."""
 
     # Begins the term with this fencing token.
@@ -78,8 +78,7 @@
     ask_peers: AskPeers
 
 
-@dataclass(frozen=True, slots=True)
-class ControllerParts:
+class ControllerParts(NamedTuple):
     """The parts of one controller."""
 
     network: Network
--- a/driftcleat/controller/clients.py
+++ b/driftcleat/controller/clients.py
@@ -1,7 +1,7 @@
 """The clients of one process. Each use has connections of its own, so a request that hangs blocks no other use."""
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from driftcleat.cloud.client import CloudClient
 from driftcleat.net import HttpClient, SocketBudget
@@ -14,8 +14,7 @@
 STORE_TIMEOUT = 0.5
 
 
-@dataclass(frozen=True, slots=True)
-class ControllerClients:
+class ControllerClients(NamedTuple):
     """What one controller, or the engine of one share, sends its requests with."""
 
     store: StoreClient
@@ -24,8 +23,7 @@
     peers: PeerClient
 
 
-@dataclass(frozen=True, slots=True)
-class ProcessClients:
+class ProcessClients(NamedTuple):
     """The clients of a process: `peers` is the HTTP client under every `PeerClient`."""
 
     store: StoreClient
--- a/driftcleat/controller/recovery.py
+++ b/driftcleat/controller/recovery.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from driftcleat import wire
 from driftcleat.cluster import ClusterState, Job
@@ -30,8 +30,7 @@
 from driftcleat.wire.state import KeyValue
 
 
-@dataclass(frozen=True, slots=True)
-class RecoveredTerm:
+class RecoveredTerm(NamedTuple):
     """A leader term as it begins."""
 
     scheduler: Scheduler
@@ -40,8 +39,7 @@
     machine_types_stored: bool
 
 
-@dataclass(frozen=True, slots=True)
-class _Records:
+class _Records(NamedTuple):
     """All that is stored, as read."""
 
     data_version: int
