--- a/driftcleat/cloud/client.py
+++ b/driftcleat/cloud/client.py
@@ -1,6 +1,5 @@
-"""The cloud's client: pooled connections, a time-out on every call, its rate kept on our side."""
+"""The cloud's client: typed requests over pooled connections, with a time-out each and a client-side rate limit."""
 
-import asyncio
 import logging
 from collections.abc import Callable
 from typing import TypeVar
@@ -15,73 +14,85 @@
 
 T = TypeVar("T")
 
-# The most machines that the cloud lists at once, and that it takes back at once.
-PAGE = 500
-MOST_RETURNED = 100
+# The most machines that the cloud lists in one response, and that it deletes for one request.
+LIST_PAGE_SIZE = 500
+MAX_MACHINES_PER_DELETE = 100
+# The part of the cloud's rate limit that is used, and the seconds whose requests it permits in one burst.
+RATE_LIMIT_SHARE = 0.9
+BURST_S = 2.0
+
+STATUS_OK = 200
+STATUS_UNAVAILABLE = 503
+# What the body of the response holds if the status is due to a lack of machines, not to an outage.
+NO_CAPACITY_TEXT = b"no capacity"
 
 
 class CloudError(DriftcleatError):
-    """The cloud gave no usable answer; the request may still be carried out."""
+    """The cloud gave no usable response; the request may still be carried out."""
 
 
 class NoCapacityError(CloudError):
-    """None available of this type, zone and kind."""
+    """The cloud has no machine of the requested type, zone and kind."""
 
 
 class CloudClient:
-    """Speaks to the cloud."""
+    """Sends requests to the cloud. All of them raise `CloudError` if there is no usable response."""
 
     def __init__(
         self, client: HttpClient, address: str, rps: float, timeout_s: float, clock: Callable[[], float]
     ) -> None:
-        self.client, self.address, self.timeout_s, self.clock = client, address, timeout_s, clock
+        """Create a client that sends at most `rps` requests a second, each of which may take `timeout_s`."""
+        self.client = client
+        self.address = address
+        self.timeout_s = timeout_s
         self.malformed_responses = 0
-        # The cloud permits bursts worth two seconds.
-        self.requests = TokenBucket(rps * 0.9, clock, burst_s=2.0)
+        self.rate_limit = TokenBucket(rps * RATE_LIMIT_SHARE, clock, burst_s=BURST_S)
 
     async def _call(self, method: str, path: str, body: bytes | None, kind: type[T]) -> T:
-        while (delay := self.requests.delay_s(1)) > 0:
-            await asyncio.sleep(delay)
-        self.requests.consume(1)
+        """Send one request within the rate limit and decode its response."""
+        await self.rate_limit.acquire(1)
         try:
             answer = await self.exchange(method, path, body)
         except (HttpError, TimeoutError) as error:
-            raise CloudError(f"no answer: {error!r}") from None
-        if answer.status == 503 and b"no capacity" in answer.body:
-            raise NoCapacityError(answer.body.decode("utf-8", "replace"))
-        if answer.status != 200:
-            raise CloudError(f"status {answer.status}")
+            raise CloudError(f"{method} {path}: no response: {error!r}") from None
+        if answer.status == STATUS_UNAVAILABLE and NO_CAPACITY_TEXT in answer.body:
+            raise NoCapacityError(f"{method} {path}: {answer.body.decode('utf-8', 'replace')}")
+        if answer.status != STATUS_OK:
+            raise CloudError(f"{method} {path}: status {answer.status}")
         try:
             return wire.decode(answer.body, kind)
         except wire.WireError as error:
             self.malformed_responses += 1
-            log.warning("cloud: malformed answer: %s", error)
-            raise CloudError(f"malformed answer: {error}") from None
+            log.warning("cloud: %s %s: malformed response: %s", method, path, error)
+            raise CloudError(f"{method} {path}: malformed response: {error}") from None
 
     async def exchange(self, method: str, path: str, body: bytes | None) -> HttpAnswer:
-        """Send one request."""
+        """Send one request and return its response, whatever its status; `HttpError` if there is none."""
         return await self.client.request(method, self.address, path, body, self.timeout_s)
 
     async def list_machine_types(self) -> tuple[messages.MachineType, ...]:
-        """Return the types on offer."""
+        """Return the machine types on offer."""
         return (await self._call("GET", "/machine_types", None, messages.MachineTypesResponse)).types
 
     async def create_machines(self, request: messages.CreateMachinesRequest) -> tuple[str, ...]:
-        """Rent machines; repeated under the same name it gives the same answer."""
+        """Create machines and return their names; the request is idempotent by its id.
+
+        `NoCapacityError` if the cloud has none of them; it may also create fewer than requested.
+        """
         return (await self._call("POST", "/rentals", wire.encode(request), messages.CreateMachinesResponse)).machines
 
     async def delete_machines(self, names: list[str]) -> None:
-        """Return machines; once this returns they are gone with all that is on them."""
+        """Delete at most `MAX_MACHINES_PER_DELETE` machines; no task runs on them once this returns."""
         await self._call("POST", "/rentals/return", wire.encode(messages.DeleteMachinesRequest(names)), object)
 
     async def list_machines(self) -> list[messages.ListedMachine]:
-        """Return the whole machine list, as it was some time ago."""
-        out: list[messages.ListedMachine] = []
+        """Return the whole machine list in order of names, as it was up to the list's lag ago."""
+        machines: list[messages.ListedMachine] = []
         after = ""
         while True:
-            path = f"/rentals?page={PAGE}" + (f"&from={after}" if after else "")
+            path = f"/rentals?page={LIST_PAGE_SIZE}" + (f"&from={after}" if after else "")
             page = await self._call("GET", path, None, messages.MachineListResponse)
-            out.extend(page.machines)
+            machines.extend(page.machines)
             if not page.more or not page.machines:
-                return out
+                return machines
             after = page.machines[-1].name
--- a/driftcleat/cloud/manager.py
+++ b/driftcleat/cloud/manager.py
@@ -7,7 +7,7 @@
 from driftcleat import wire
 from driftcleat.api.heartbeats import HeartbeatApi
 from driftcleat.capacity.sizing import CapacityPlan, MachineOffer
-from driftcleat.cloud.client import MOST_RETURNED, PAGE, CloudClient, CloudError, NoCapacityError
+from driftcleat.cloud.client import LIST_PAGE_SIZE, MAX_MACHINES_PER_DELETE, CloudClient, CloudError, NoCapacityError
 from driftcleat.cluster import Machine, MachineState, transition_machine
 from driftcleat.leadership import ActiveTerm
 from driftcleat.runtime.background import Background
@@ -116,11 +116,11 @@
 
         Guards against a return for a cancelled task that waits behind the pages of thousands of machines.
         """
-        pages = machines // PAGE + 1
+        pages = machines // LIST_PAGE_SIZE + 1
         return max(
             2.0 / self.platform.cloud_rps,
             self.platform.list_lag_s / 2,
-            pages / (self._cloud.requests.rate * LIST_SHARE),
+            pages / (self._cloud.rate_limit.rate * LIST_SHARE),
         )
 
     def _take_list(self, scheduler: Scheduler, machines: list[ListedMachine]) -> None:
@@ -215,7 +215,7 @@
 
     def _most_rented(self, pause_s: float) -> int:
         """Return how many machines the cloud can be asked for until the fleet is sized again."""
-        return max(MAX_MACHINES_PER_REQUEST, round(MAX_MACHINES_PER_REQUEST * self._cloud.requests.rate * pause_s))
+        return max(MAX_MACHINES_PER_REQUEST, round(MAX_MACHINES_PER_REQUEST * self._cloud.rate_limit.rate * pause_s))
 
     def _size(self, scheduler: Scheduler, now: float, most_rented: int) -> None:
         """Return machines that are not to be kept, and rent those that are needed."""
@@ -320,7 +320,7 @@
         """Return the machines of the next call: first those that keep a cancelled task, whose time is short."""
         fencing = sorted(self.returning & self.fencing)
         others = sorted(self.returning - self.fencing) if may_decide else []
-        return (fencing + others)[:MOST_RETURNED]
+        return (fencing + others)[:MAX_MACHINES_PER_DELETE]
 
     async def _return_loop(self) -> None:
         while True:
--- a/driftcleat/sharing/cloud.py
+++ b/driftcleat/sharing/cloud.py
@@ -102,7 +102,7 @@
         self._clock = clock
         self._unlisted_since: dict[str, float] = {}
         # This share's part of the cloud's calls, by which the sizes of plans and the pace of lists go.
-        self.requests = TokenBucket(platform.cloud_rps * 0.9, clock, burst_s=2.0)
+        self.rate_limit = TokenBucket(platform.cloud_rps * 0.9, clock, burst_s=2.0)
 
     @property
     def malformed_responses(self) -> int:  # type: ignore[override]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 from driftcleat import wire
 from driftcleat.api import UserApi
 from driftcleat.capacity.sizing import CapacityPlan, MachineOffer
-from driftcleat.cloud.client import MOST_RETURNED
+from driftcleat.cloud.client import MAX_MACHINES_PER_DELETE
 from driftcleat.cloud.manager import FleetManager
 from driftcleat.controller.network import MAX_PEER_BODY
 from driftcleat.controller.overload import OverloadDetector
@@ -93,7 +93,7 @@
 def manager(cloud_rps: float) -> FleetManager:
     """Return the loops around a cloud with that rate, without the cloud."""
     none: Any = None
-    cloud: Any = SimpleNamespace(requests=TokenBucket(cloud_rps, lambda: 0.0))
+    cloud: Any = SimpleNamespace(rate_limit=TokenBucket(cloud_rps, lambda: 0.0))
     return FleetManager(SITE, Tuning(), cloud, none, none, none, none, none, lambda: 0.0)
 
 
@@ -128,7 +128,7 @@
     loops.returning = {f"vm-{number:06d}" for number in range(4000)}
     loops.fencing = {f"vm-{number:06d}" for number in range(3900, 3950)}
     first = loops._next_returns(may_decide=True)
-    assert len(first) == MOST_RETURNED and set(first[:50]) == loops.fencing
+    assert len(first) == MAX_MACHINES_PER_DELETE and set(first[:50]) == loops.fencing
     assert set(loops._next_returns(may_decide=False)) == loops.fencing
 
 
--- a/tools/load/fleet.py
+++ b/tools/load/fleet.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 
 from driftcleat import wire
-from driftcleat.cloud.client import PAGE
+from driftcleat.cloud.client import LIST_PAGE_SIZE
 from driftcleat.net import HttpClient, HttpError
 from driftcleat.wire.workers import Heartbeat, HeartbeatResponse
 from tests.standins import LiveWorld
@@ -98,7 +98,9 @@
         rows = self.listed_machines(lambda name: f"{self.addresses['workers']}/{name}")
         after = request.query.get("from", "")
         rows = [row for row in rows if row["nameId"] > after]
-        return web.Response(body=wire.encode({"bollards": rows[:PAGE], "truncated": len(rows) > PAGE}))
+        return web.Response(
+            body=wire.encode({"bollards": rows[:LIST_PAGE_SIZE], "truncated": len(rows) > LIST_PAGE_SIZE})
+        )
 
     def check_start(self, worker: PlainWorker, task: Running) -> None:
         """Count a start."""
