--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -90,7 +90,6 @@
 LONG_MODULES = {
     "api.users": 393,
     "capacity.sizing": 331,
-    "cloud.manager": 347,
     "cluster.state": 415,
     "leadership.election": 460,
     "store.records": 343,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -98,8 +98,8 @@
 
 
 def test_as_many_machines_are_rented_as_the_cloud_takes_until_the_next_round() -> None:
-    assert manager(0.1)._most_rented(0.5) == MAX_MACHINES_PER_REQUEST
-    assert manager(4.0)._most_rented(2.0) == 8 * MAX_MACHINES_PER_REQUEST
+    assert manager(0.1).autoscaler.max_scale_out(0.5) == MAX_MACHINES_PER_REQUEST
+    assert manager(4.0).autoscaler.max_scale_out(2.0) == 8 * MAX_MACHINES_PER_REQUEST
 
 
 def test_one_need_for_many_machines_is_several_requests_of_what_the_cloud_takes() -> None:
@@ -120,16 +120,16 @@
     for machines in (100, 700, 4000, 6000):
         loops = manager(2.0)
         pages = machines // 500 + 1
-        assert pages / loops._list_pause(machines) <= 2.0 / 3 + 1e-9
+        assert pages / loops.inventory.list_pause_s(machines) <= 2.0 / 3 + 1e-9
 
 
 def test_machines_that_keep_a_cancelled_task_are_returned_first() -> None:
     loops = manager(2.0)
-    loops.returning = {f"vm-{number:06d}" for number in range(4000)}
-    loops.fencing = {f"vm-{number:06d}" for number in range(3900, 3950)}
-    first = loops._next_returns(may_decide=True)
-    assert len(first) == MAX_MACHINES_PER_DELETE and set(first[:50]) == loops.fencing
-    assert set(loops._next_returns(may_decide=False)) == loops.fencing
+    loops.terminator.to_delete = {f"vm-{number:06d}" for number in range(4000)}
+    loops.terminator.to_fence = {f"vm-{number:06d}" for number in range(3900, 3950)}
+    first = loops.terminator.next_batch(may_decide=True)
+    assert len(first) == MAX_MACHINES_PER_DELETE and set(first[:50]) == loops.terminator.to_fence
+    assert set(loops.terminator.next_batch(may_decide=False)) == loops.terminator.to_fence
 
 
 def test_records_are_read_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -255,7 +255,7 @@
         scheduler = controller.scheduler
         assert scheduler is not None
         sizes = Mock()
-        controller.fleet_manager._size = sizes  # type: ignore[method-assign]
+        controller.fleet_manager.autoscaler.scale = sizes  # type: ignore[method-assign]
         await sim.rest(20.0)
         usual = sizes.call_count
         scheduler.pacing.overload_pause_s = lambda: 2.0
