--- a/driftcleat/api/answers.py
+++ b/driftcleat/api/answers.py
@@ -1,9 +1,10 @@
-"""Answers to requests, and how they become bytes."""
+"""HTTP responses: their content, their encoding, and those that ask the client to retry."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
 
 from driftcleat import wire
+from driftcleat.errors import DriftcleatError
 from driftcleat.wire.users import ErrorResponse
 
 _REASONS = {status.value: status.phrase for status in HTTPStatus}
@@ -11,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A status with a JSON body."""
+    """An HTTP response: a status with a JSON body."""
 
     status: int
     body: bytes
     retry_after_s: int | None = None
-    # Whether the connection is closed, so that the next request may come to another controller.
+    # Whether the connection is closed, so that the client may send its next request to another controller.
     close: bool = False
 
     @classmethod
@@ -28,12 +29,44 @@
         retry_after_s: int | None = None,
         close: bool = False,
     ) -> "Answer":
-        """Return an error's answer."""
+        """Return the response for an error; `field` names the field of the request that is invalid."""
         return cls(status, wire.encode(ErrorResponse(text, field)), retry_after_s, close)
 
 
+class RequestRefusedError(DriftcleatError):
+    """A request that is not carried out; `response` is what its user gets."""
+
+    def __init__(self, response: Answer) -> None:
+        super().__init__(f"request refused: status {response.status}")
+        self.response = response
+
+
+@dataclass(frozen=True, slots=True)
+class RetryResponses:
+    """Responses to requests that cannot be carried out now; all tell the client when to retry."""
+
+    # Value of the Retry-After header, in seconds.
+    retry_s: int
+
+    def unavailable(self, reason: str) -> Answer:
+        """Return the response when the request cannot be carried out now."""
+        return Answer.error(503, reason, retry_after_s=self.retry_s)
+
+    def unavailable_here(self, reason: str) -> Answer:
+        """Return the response when another controller may be able to serve the client: the connection is closed."""
+        return Answer.error(503, reason, retry_after_s=self.retry_s, close=True)
+
+    def store_unavailable(self) -> Answer:
+        """Return the response when records cannot be read."""
+        return self.unavailable("the state service does not answer")
+
+    def too_many_pending(self) -> Answer:
+        """Return the response when the queue of requests that wait for a commit is full."""
+        return Answer.error(429, "too many requests are waiting", retry_after_s=self.retry_s)
+
+
 def encode_answer(answer: Answer, close: bool, with_body: bool = True) -> bytes:
-    """Return an answer as it goes over the wire."""
+    """Return the bytes of a response; without its body for a HEAD request."""
     retry = f"Retry-After: {answer.retry_after_s}\r\n" if answer.retry_after_s is not None else ""
     closing = "Connection: close\r\n" if close else ""
     head = (
--- /dev/null
+++ b/driftcleat/api/commit_wait.py
@@ -0,0 +1,45 @@
+"""Requests that wait for the commit of their batch."""
+
+import asyncio
+from collections.abc import Callable
+
+from driftcleat.api.deadline import Deadline
+from driftcleat.leadership import ActiveTerm
+from driftcleat.scheduler import PendingRequest, Scheduler
+from driftcleat.wire.users import JobStatus
+
+# Completes a pending request with the job's committed status.
+Answerer = Callable[[JobStatus | None], None]
+
+
+class CommitWaiter:
+    """Queues requests for the next batch and waits for its commit."""
+
+    def __init__(self, active_term: ActiveTerm[Scheduler], max_wait_s: float) -> None:
+        self._active_term = active_term
+        self._max_wait_s = max_wait_s
+        self._outstanding: set[asyncio.Future[JobStatus | None]] = set()
+
+    async def commit(
+        self,
+        enqueue: Callable[[PendingRequest], None],
+        make_request: Callable[[Answerer], PendingRequest],
+        deadline: Deadline,
+    ) -> JobStatus | None:
+        """Enqueue a request; return the job's status after the commit, None if there is none in time."""
+        future: asyncio.Future[JobStatus | None] = asyncio.get_running_loop().create_future()
+        enqueue(make_request(lambda status: None if future.done() else future.set_result(status)))
+        self._outstanding.add(future)
+        self._active_term.wake_committer()
+        try:
+            return await asyncio.wait_for(future, min(self._max_wait_s, deadline.left_s))
+        except TimeoutError:
+            return None
+        finally:
+            self._outstanding.discard(future)
+
+    def drop_outstanding(self) -> None:
+        """Complete all waiting requests without a status: whether they are committed is unknown, users retry."""
+        for future in self._outstanding:
+            if not future.done():
+                future.set_result(None)
--- a/driftcleat/api/deadline.py
+++ b/driftcleat/api/deadline.py
@@ -1,10 +1,10 @@
-"""The moment by which a request must have its answer."""
+"""The deadline of a request."""
 
 from collections.abc import Callable
 
 
 class Deadline:
-    """A moment on the steady clock that every step of one request keeps to."""
+    """A point on the monotonic clock that bounds all steps of one request together."""
 
     __slots__ = ("_clock", "_ends_at")
 
@@ -14,5 +14,5 @@
 
     @property
     def left_s(self) -> float:
-        """Return the seconds that are left, never less than none."""
+        """Return the remaining time in seconds, at least 0."""
         return max(0.0, self._ends_at - self._clock())
--- /dev/null
+++ b/driftcleat/api/forwarding.py
@@ -0,0 +1,80 @@
+"""Forwarding of users' requests from a follower to the leader."""
+
+import logging
+from typing import Protocol
+
+from driftcleat.api.answers import Answer, RetryResponses
+from driftcleat.api.user_requests import UserRequest, is_cancellation
+from driftcleat.leadership import ActiveTerm
+from driftcleat.peers.client import PeerError
+from driftcleat.scheduler import Scheduler
+from driftcleat.wire import peers as peer_messages
+
+log = logging.getLogger(__name__)
+
+# Fraction of a poll's remaining time that the leader has for it; the rest is left to read the records.
+LEADER_POLL_FRACTION = 0.7
+
+
+class ForwardingClient(Protocol):
+    """Sends a request to another controller; `PeerError` if there is no usable response."""
+
+    async def send(
+        self, label: str, message: peer_messages.ForwardRequest, timeout_s: float
+    ) -> peer_messages.PeerMessage:
+        """Send a request; return the response."""
+
+
+class LeaderForwarder:
+    """Forwards requests to the leader, a bounded number at once."""
+
+    def __init__(
+        self,
+        label: str,
+        peers: ForwardingClient,
+        active_term: ActiveTerm[Scheduler],
+        responses: RetryResponses,
+        max_in_progress: int,
+    ) -> None:
+        """Set up forwarding from the controller `label`."""
+        self._label = label
+        self._peers = peers
+        self._active_term = active_term
+        self._responses = responses
+        self._max_in_progress = max_in_progress
+        self._in_progress = 0
+        # Requests refused since too many others waited for the leader.
+        self.requests_shed = 0
+
+    @property
+    def is_saturated(self) -> bool:
+        """Return whether as many requests as allowed wait for the leader."""
+        return self._in_progress >= self._max_in_progress
+
+    @property
+    def knows_other_leader(self) -> bool:
+        """Return whether another controller is known as the leader."""
+        return self._active_term.leader not in (None, self._label)
+
+    async def forward(self, request: UserRequest, body: bytes = b"") -> Answer:
+        """Return the leader's response to a request; of a poll or a cancellation the body is not sent."""
+        leader = self._active_term.leader
+        if request.forwarded or leader is None or leader == self._label:
+            return self._responses.unavailable_here("no leader")
+        if self.is_saturated and not is_cancellation(request.path):
+            self.requests_shed += 1
+            return self._responses.unavailable("too many requests wait for the leader")
+        message = peer_messages.ForwardRequest(request.method, request.path, body.decode("utf-8", "replace"))
+        # A poll that the leader does not answer can still be answered from the records.
+        timeout_s = request.deadline.left_s * (LEADER_POLL_FRACTION if request.method == "GET" else 1.0)
+        self._in_progress += 1
+        try:
+            answer = await self._peers.send(leader, message, timeout_s)
+        except PeerError as error:
+            log.debug("controller %s: forwarding to it failed: %s", leader, error)
+            return self._responses.unavailable_here("the leader does not answer")
+        finally:
+            self._in_progress -= 1
+        if not isinstance(answer, peer_messages.ForwardResponse):
+            return self._responses.unavailable("the leader's answer is not one")
+        return Answer(answer.status, answer.body.encode(), answer.retry_after_s)
--- /dev/null
+++ b/driftcleat/api/job_records.py
@@ -0,0 +1,53 @@
+"""Reads of single jobs from the store, with a cache of final states."""
+
+from collections import OrderedDict
+
+from driftcleat import wire
+from driftcleat.cluster import Job
+from driftcleat.store.client import StoreClient
+from driftcleat.store.decoding import decode_head
+from driftcleat.store.keys import ENDED_JOBS_PREFIX, JOBS_PREFIX
+from driftcleat.store.records import EndedJobRecord
+from driftcleat.wire.users import JobStatus
+
+# States that a job never leaves.
+FINAL_STATES = ("done", "cancelled")
+MAX_CACHED_FINAL_STATES = 5000
+
+
+class JobRecords:
+    """Reads records of jobs; reads raise `StoreError`, or `wire.WireError` for a record that cannot be decoded."""
+
+    def __init__(self, store: StoreClient, max_wait_s: float) -> None:
+        """A read that would wait longer than `max_wait_s` for the store's rate limit is not tried."""
+        self._store = store
+        self.max_wait_s = max_wait_s
+        self._final_statuses: OrderedDict[str, JobStatus] = OrderedDict()
+
+    def cached_final_status(self, job_id: str) -> JobStatus | None:
+        """Return the final status of a job if it is cached."""
+        return self._final_statuses.get(job_id)
+
+    def cache_if_final(self, status: JobStatus) -> None:
+        """Cache a status if its state is final; the oldest entries are dropped."""
+        if status.state not in FINAL_STATES:
+            return
+        self._final_statuses[status.id] = status
+        while len(self._final_statuses) > MAX_CACHED_FINAL_STATES:
+            self._final_statuses.popitem(last=False)
+
+    async def read_head(self, job_id: str) -> Job | None:
+        """Return a job as its head record describes it; None if the store has no such record."""
+        key_value = await self._store.get(JOBS_PREFIX + job_id, self.max_wait_s)
+        return decode_head(key_value) if key_value is not None else None
+
+    async def read_final_status(self, job_id: str) -> JobStatus | None:
+        """Return the final status of a job from the cache or the store; None if it has not ended."""
+        status = self._final_statuses.get(job_id)
+        if status is not None:
+            return status
+        key_value = await self._store.get(ENDED_JOBS_PREFIX + job_id, self.max_wait_s)
+        if key_value is None:
+            return None
+        record = wire.decode(bytes(key_value.value), EndedJobRecord)
+        return JobStatus(job_id, record.state, record.tasks_done, 0)
--- /dev/null
+++ b/driftcleat/api/job_status.py
@@ -0,0 +1,99 @@
+"""Polls of a job's status: from the cache, the leader's cluster state, or the records."""
+
+from driftcleat import wire
+from driftcleat.api.answers import Answer, RetryResponses
+from driftcleat.api.dependencies import DependencyLookup
+from driftcleat.api.forwarding import LeaderForwarder
+from driftcleat.api.job_records import FINAL_STATES, JobRecords
+from driftcleat.api.leader_lookup import LeaderLookup
+from driftcleat.api.user_requests import UserRequest
+from driftcleat.cluster import Job, JobState
+from driftcleat.leadership import ActiveTerm
+from driftcleat.scheduler import Scheduler
+from driftcleat.store.errors import StoreError
+from driftcleat.wire.users import JobStatus
+
+
+class JobStatusPolls:
+    """Answers polls, at the leader and at followers."""
+
+    def __init__(
+        self,
+        active_term: ActiveTerm[Scheduler],
+        records: JobRecords,
+        leader_lookup: LeaderLookup,
+        dependencies: DependencyLookup,
+        forwarder: LeaderForwarder,
+        responses: RetryResponses,
+    ) -> None:
+        self._active_term = active_term
+        self._records = records
+        self._leader_lookup = leader_lookup
+        self._dependencies = dependencies
+        self._forwarder = forwarder
+        self._responses = responses
+
+    async def poll(self, request: UserRequest) -> Answer:
+        """Return the response to a poll."""
+        scheduler = self._active_term.scheduler
+        status = self._status_in_memory(request.job_id, scheduler)
+        if status is not None:
+            return self._respond(status)
+        if not self._active_term.may_decide and not request.forwarded and self._forwarder.knows_other_leader:
+            saturated = self._forwarder.is_saturated
+            answer = await self._forwarder.forward(request)
+            if saturated or answer.status in (200, 404):
+                # The records are read for a leader that does not answer, not for one that is overloaded: it needs the
+                # store's capacity itself.
+                return answer
+        return await self._poll_records(request.job_id, scheduler)
+
+    def _status_in_memory(self, job_id: str, scheduler: Scheduler | None) -> JobStatus | None:
+        """Return a status that needs no read; of a leader that may not decide, only a final one is valid."""
+        status = self._records.cached_final_status(job_id)
+        if status is None and scheduler is not None:
+            status = scheduler.admission.lookup(job_id)
+            if status is not None and status.state not in FINAL_STATES and not self._active_term.may_decide:
+                return None
+        return status
+
+    async def _poll_records(self, job_id: str, scheduler: Scheduler | None) -> Answer:
+        """Answer from the records: the head first, so that a job that ends between the two reads is still found."""
+        try:
+            if scheduler is None or not self._active_term.may_decide:
+                job = await self._records.read_head(job_id)
+                if job is not None:
+                    return self._respond(
+                        JobStatus(job_id, await self._recorded_state(job), job.tasks_done, len(job.placements))
+                    )
+            status = await self._records.read_final_status(job_id)
+        except (StoreError, wire.WireError):
+            return self._responses.store_unavailable()
+        if status is None and scheduler is not None:
+            status = scheduler.admission.lookup(job_id)
+        if status is not None:
+            return self._respond(status)
+        if scheduler is not None and not self._leader_lookup.is_current(scheduler):
+            return self._responses.unavailable("leadership changed")
+        return Answer.error(404, "no such job")
+
+    async def _recorded_state(self, job: Job) -> str:
+        """Return the state that users see of a job with this head record."""
+        if job.state is JobState.CANCELLED or await self._dependencies.has_cancelled_dependency(job.spec):
+            return "cancelled"
+        return "running" if job.placements else "pending"
+
+    def _respond(self, status: JobStatus) -> Answer:
+        """Return the response with a status, which is cached if it is final."""
+        self._records.cache_if_final(status)
+        return Answer(
+            200,
+            wire.encode(
+                {
+                    "nameId": status.id,
+                    "bearing": status.state,
+                    "done": status.done or 0,
+                    "running": status.running or 0,
+                }
+            ),
+        )
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -6,11 +6,11 @@
 import random
 from collections.abc import Awaitable, Callable
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from driftcleat import wire
+from driftcleat.api.job_records import FINAL_STATES
 from driftcleat.api.server import Handler
-from driftcleat.api.users import FINAL, UserApi
 from driftcleat.cluster import JobState
 from driftcleat.controller.assembly import Factories
 from driftcleat.controller.clients import ControllerClients, store_limits
@@ -24,7 +24,7 @@
 from driftcleat.sharing.election import ShareElection
 from driftcleat.sharing.keys import in_share
 from driftcleat.sharing.messages import ShareStatus
-from driftcleat.sharing.needs import ShareUserApi
+from driftcleat.sharing.needs import build_share_user_api
 from driftcleat.sharing.share_states import state_elsewhere
 from driftcleat.sharing.share_store import ShareStore
 from driftcleat.store.errors import StoreError
@@ -58,7 +58,7 @@
         factories = Factories(
             network=partial(_share_network, host, share),
             election=partial(ShareElection, share, host.view, host.process_lease),
-            users=partial(_share_users, host, share),
+            users=partial(build_share_user_api, host, share),
         )
         super().__init__(own, tuning, rng, host.clock, host.wall, factories)
         self.host = host
@@ -192,7 +192,7 @@
         """Return whether a job of another share is done or cancelled; None if neither."""
         home = await self.host.claims.home(job_id)
         state = await state_elsewhere(self.host.store, home, job_id) if home is not None else None
-        return JobState(state) if state in FINAL else None
+        return JobState(state) if state in FINAL_STATES else None
 
 
 def _share_network(
@@ -208,11 +208,6 @@
     return SharedNetwork(clients, host.front)
 
 
-def _share_users(host: "SharingHost", share: int, *arguments: Any) -> ShareUserApi:
-    """Return the users' interface of one share, in place of the one that these arguments are for."""
-    return ShareUserApi.beside(UserApi(*arguments), share, host)
-
-
 def _needs_elsewhere(scheduler: Scheduler) -> set[str]:
     needs = (
         set().union(*scheduler.cluster.dependencies.unmet_dependencies.values())
--- a/driftcleat/sharing/routing.py
+++ b/driftcleat/sharing/routing.py
@@ -29,7 +29,7 @@
         host = self._host
         users = host.first_engine.users
         try:
-            async with asyncio.timeout(users.time_for(method, False)):
+            async with asyncio.timeout(users.time_limit_s(method, False)):
                 share = await self._share_for(method, path, body)
                 if isinstance(share, Answer):
                     return share
@@ -53,7 +53,7 @@
         job_id = path[len(JOBS_PATH) + 1 :].partition("/")[0]
         if not path.startswith(JOBS_PATH + "/") or not is_job_id(job_id):
             return FIRST_SHARE
-        home = await host.claims.home(job_id, host.first_engine.users.most_wait_s)
+        home = await host.claims.home(job_id, host.first_engine.users.max_store_wait_s)
         return home if home is not None else Answer.error(404, "no such job")
 
     async def _share_for_submission(self, body: bytes) -> int | Answer:
@@ -70,7 +70,7 @@
             spec = parse_submission(raw)
         except InvalidFieldError as error:
             # A job accepted before is known whatever its repeat looks like.
-            home = await host.claims.home(job_id, host.first_engine.users.most_wait_s)
+            home = await host.claims.home(job_id, host.first_engine.users.max_store_wait_s)
             return home if home is not None else Answer.error(400, str(error), error.field)
         # Most submissions are new: the claim is tried without a look for an older one, which would cost three reads.
         return await host.claims.claim(job_id, await self._choose(spec))
@@ -80,7 +80,7 @@
         host = self._host
         homes: Counter[int] = Counter()
         for need in spec.dependencies or ():
-            home = await host.claims.home(need, host.first_engine.users.most_wait_s)
+            home = await host.claims.home(need, host.first_engine.users.max_store_wait_s)
             if home is not None:
                 homes[home] += 1
         if homes:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -81,14 +81,13 @@
 }
 # Arrows that run up: importing module and imported module, with the reason.
 UPWARD_IMPORTS = {
-    ("api.users", "peers.client"): "a follower's users are served through the leader's peer interface",
+    ("api.forwarding", "peers.client"): "a follower's users are served through the leader's peer interface",
     ("runtime.metrics", "controller.controller"): "the status is made of all parts of a controller",
 }
 # Packages within which modules import one another in a ring.
 RINGS = {"sharing": "the host makes its parts, and each part is given the host"}
 # Modules of more lines than `LONGEST_MODULE`, with those they have: they may not grow.
 LONG_MODULES = {
-    "api.users": 393,
     "capacity.sizing": 331,
     "cloud.manager": 347,
     "cluster.state": 415,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -45,12 +45,12 @@
         return messages.ForwardResponse(200, "{}", None)
 
 
-def user_api(peers: HangingPeers, most_in_progress: int, most_passed_on: int) -> UserApi:
+def user_api(peers: HangingPeers, max_in_progress: int, max_forwarded: int) -> UserApi:
     """Return a follower's side for users."""
     current: Any = SimpleNamespace(scheduler=None, may_decide=False, leader="b")
     none: Any = None
     clock = asyncio.get_running_loop().time
-    return UserApi(SITE, Tuning(), none, peers, current, clock, most_in_progress, most_passed_on)  # type: ignore[arg-type]
+    return UserApi(SITE, Tuning(), none, peers, current, clock, max_in_progress, max_forwarded)
 
 
 @pytest.mark.parametrize(("in_progress", "passed_on"), [(2, 9), (9, 2)])
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -364,7 +364,7 @@
         second = await on_share(sim, 2, 2, hands=1, tows=[first])
         follower = sim.controllers[others(sim.owner(2))[0]].engines[2]
         with pytest.raises(StoreUnavailableError):
-            await follower.users._cancelled_by_need(sim.specs[second])
+            await follower.users.dependencies.has_cancelled_dependency(sim.specs[second])
 
     play(story)
 
