--- a/driftcleat/api/forwarding.py
+++ b/driftcleat/api/forwarding.py
@@ -71,7 +71,7 @@
         try:
             answer = await self._peers.send(leader, message, timeout_s)
         except PeerError as error:
-            log.debug("controller %s: forwarding to it failed: %s", leader, error)
+            log.debug("user request not forwarded: %s", error)
             return self._responses.unavailable_here("the leader does not answer")
         finally:
             self._in_progress -= 1
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -129,7 +129,7 @@
         )
         self.commit_pipeline.start_term(found.marker_mod_revision)
         self.active_term.scheduler = scheduler = found.scheduler
-        self.peer_api.note_version(self.platform.label, DATA_VERSION)
+        self.peer_api.record_data_version(self.platform.label, DATA_VERSION)
         self.fleet_manager.start_term(found.machine_types_stored)
         log.info(
             "term %d: recovered: %d jobs, %d open scale-outs",
--- a/driftcleat/peers/__init__.py
+++ b/driftcleat/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Controllers talk to each other: forwarding users' requests and asking who is served by the store."""
+"""Messages between controllers: forwarded user requests, pings, and views of the store and the leader."""
 
 from driftcleat.peers.client import PeerClient
 
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -1,4 +1,4 @@
-"""The server side between controllers: questions about who leads, and users' requests that are passed on."""
+"""The server for messages of other controllers: pings, views, and forwarded user requests."""
 
 import asyncio
 import logging
@@ -19,17 +19,19 @@
 
 log = logging.getLogger(__name__)
 
-# The most bytes of an answer that name cancelled jobs, what one name takes, and so how many are named: a follower
-# that is not told all of them cannot keep the leases of workers that are cut off together with it.
-NAMES_BYTES = 128 * 1024
-NAME_BYTES = 16
-MOST_NAMED = NAMES_BYTES // NAME_BYTES
-# How long the store may take before a question about it is answered, of the leader's lease.
-STORE_WAIT = 0.3
+# Size limit of the list of cancelled jobs in a response, and the encoded size of one job id. If there are more, none
+# is listed: a follower without the whole list cannot extend the leases of workers in its partition.
+MAX_CANCELLED_JOBS_BYTES = 128 * 1024
+JOB_ID_BYTES = 16
+MAX_CANCELLED_JOBS = MAX_CANCELLED_JOBS_BYTES // JOB_ID_BYTES
+# Fraction of the leader lease's time to live that a read of the store may take before a view is sent without it.
+STORE_READ_FRACTION = 0.3
+# The age of what never happened.
+NEVER_S = -1.0
 
 
 class PeerApi:
-    """Answers the other controllers."""
+    """Answers messages of the other controllers."""
 
     def __init__(
         self,
@@ -40,10 +42,14 @@
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
-        self._platform, self._store, self._users = platform, store, users
-        self._active_term, self._metrics, self._clock = active_term, metrics, clock
-        # The data versions that the other controllers have said they can write.
-        self._versions: dict[str, int] = {}
+        self._platform = platform
+        self._store = store
+        self._users = users
+        self._active_term = active_term
+        self._metrics = metrics
+        self._clock = clock
+        # The data version that each controller can write, as it announced it.
+        self._data_versions: dict[str, int] = {}
 
     async def answer(self, body: bytes) -> Answer:
         """Answer one message."""
@@ -51,35 +57,35 @@
             message: messages.PeerMessage = wire.decode(body, messages.PeerMessage)  # type: ignore[arg-type]
         except wire.WireError as error:
             self._metrics.malformed_peer_messages += 1
-            log.info("malformed message of a controller: %s", error)
+            log.info("controller message rejected: malformed: %s", error)
             return Answer.error(400, str(error))
         if isinstance(message, messages.ForwardRequest):
-            return Answer(200, wire.encode(await self._carry_out(message)))
+            return Answer(200, wire.encode(await self._handle_forwarded(message)))
         if isinstance(message, messages.Ping):
-            self.note_version(message.sender, message.data_version)
+            self.record_data_version(message.sender, message.data_version)
             return Answer(200, wire.encode(self._pong()))
         if isinstance(message, messages.ViewRequest):
-            self.note_version(message.sender, message.data_version)
+            self.record_data_version(message.sender, message.data_version)
             return Answer(200, wire.encode(await self._view()))
         return Answer.error(400, "not a question")
 
-    async def _carry_out(self, message: messages.ForwardRequest) -> messages.ForwardResponse:
-        """Answer a user's request that another controller passes on."""
+    async def _handle_forwarded(self, message: messages.ForwardRequest) -> messages.ForwardResponse:
+        """Answer a user's request that another controller forwards."""
         answer = await self._users.handle(message.method, message.path, message.body.encode(), forwarded=True)
         if answer is None:
             answer = Answer.error(404, "no such path")
         return messages.ForwardResponse(answer.status, answer.body.decode(), answer.retry_after_s)
 
-    def note_version(self, label: str, version: int) -> None:
-        """A controller has said which data version it can write; once all write ours, it may begin.
+    def record_data_version(self, label: str, version: int) -> None:
+        """Record which data version a controller can write; once all can write ours, request the migration's latch.
 
-        Nobody goes back after it was upgraded, so answers may be gathered over time.
+        A controller is never downgraded, so versions announced at different times may be combined.
         """
-        self._versions[label] = version
+        self._data_versions[label] = version
         scheduler = self._active_term.scheduler
         if scheduler is None or scheduler.migration.latch_requested:
             return
-        if all(self._versions.get(peer.label, 1) >= DATA_VERSION for peer in self._platform.peers):
+        if all(self._data_versions.get(peer.label, 1) >= DATA_VERSION for peer in self._platform.peers):
             scheduler.migration.request_latch()
             self._active_term.wake_committer()
 
@@ -95,10 +101,10 @@
         )
 
     async def _view(self) -> messages.ViewResponse:
-        """Return how we see the store, asked just now."""
+        """Return our view of the store, after a read just now, and of the leader."""
         election = self._active_term.election
         try:
-            await asyncio.wait_for(self._store.get(LEADER_KEY), election.ttl_s * STORE_WAIT)
+            await asyncio.wait_for(self._store.get(LEADER_KEY), election.ttl_s * STORE_READ_FRACTION)
         except (StoreError, TimeoutError):
             pass
         return messages.ViewResponse(
@@ -114,14 +120,15 @@
         )
 
     def _age(self, moment: float | None) -> float:
-        """Return how long ago something happened; negative: never."""
-        return self._clock() - moment if moment is not None else -1.0
+        """Return the seconds since a moment; negative if there is none."""
+        return self._clock() - moment if moment is not None else NEVER_S
 
     def _leader_status(self) -> messages.LeaderStatus | None:
-        """Tell how we stand, if we lead."""
-        scheduler, election = self._active_term.scheduler, self._active_term.election
+        """Return our status as a leader, with the cancelled jobs that are still placed; None if we do not lead."""
+        scheduler = self._active_term.scheduler
+        election = self._active_term.election
         if scheduler is None or not election.is_leader:
             return None
         cancelled = sorted(scheduler.cancellations.jobs_still_placed())
-        named = cancelled if len(cancelled) <= MOST_NAMED else None
-        return messages.LeaderStatus(self._clock() - election.last_confirmed_at, named)
+        listed = cancelled if len(cancelled) <= MAX_CANCELLED_JOBS else None
+        return messages.LeaderStatus(self._clock() - election.last_confirmed_at, listed)
--- a/driftcleat/peers/survey.py
+++ b/driftcleat/peers/survey.py
@@ -1,41 +1,52 @@
-"""What the other controllers say of the store and of who leads, gathered for the election."""
+"""Survey of the other controllers' views of the store and the leader, for the election."""
 
 from collections.abc import Callable
+from typing import NamedTuple
 
-from driftcleat.leadership import ActiveTerm, PeerSurvey, Role
+from driftcleat.leadership import ActiveTerm, PeerSurvey
+from driftcleat.leadership.role import LEADING_ROLES
 from driftcleat.peers.client import PeerClient
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform
 from driftcleat.wire import peers as messages
 
-# Roles in which a controller answers reports in its own right.
-LEADING_ROLES = frozenset((Role.RECOVERING.value, Role.LEADER.value, Role.UNCONFIRMED_LEADER.value))
-# A controller that the store served so many seconds ago is served by it.
-SERVED_S = 0.5
-# How long to wait for answers: to a question about the store of the leader's lease, to a ping of a report interval.
-VIEW_WAIT = 0.4
-PING_WAIT = 1 / 10
+# A controller reaches the store if its last successful request was at most this long ago.
+MAX_STORE_SUCCESS_AGE_S = 0.5
+# Timeouts of messages: of a view request as a fraction of the leader lease's time to live, of a ping as a fraction of
+# the report interval.
+VIEW_TIMEOUT_FRACTION = 0.4
+PING_TIMEOUT_FRACTION = 1 / 10
+
+
+class LeaderContact(NamedTuple):
+    """What the most recently confirmed leader among those asked has said."""
+
+    # On our clock; minus infinity if no leader answered.
+    confirmed_at: float
+    cancelled_jobs: frozenset[str]
 
 
 class PeerSurveyor:
-    """Asks the other controllers."""
+    """Asks the other controllers about the store and the leader."""
 
     def __init__(
         self, platform: Platform, peers: PeerClient, active_term: ActiveTerm[Scheduler], clock: Callable[[], float]
     ) -> None:
-        self._platform, self._peers = platform, peers
-        self._active_term, self._clock = active_term, clock
+        self._platform = platform
+        self._peers = peers
+        self._active_term = active_term
+        self._clock = clock
 
     async def ask_all(self) -> PeerSurvey:
-        """Ask the other controllers how they see the store and who leads."""
+        """Ask all other controllers for their views of the store and the leader."""
         asked_at = self._clock()
-        views = await self._peers.views(self._active_term.election.ttl_s * VIEW_WAIT)
+        views = await self._peers.views(self._active_term.election.ttl_s * VIEW_TIMEOUT_FRACTION)
         highest = max(views, key=lambda view: view.fencing_token, default=None)
-        contact_at, cancelled = _contact(asked_at, [view.leader_status for view in views])
+        contact = _leader_contact(asked_at, [view.leader_status for view in views])
         return PeerSurvey(
-            peer_reaches_store=any(_served(view) or view.role in LEADING_ROLES for view in views),
-            leader_confirmed_at=contact_at,
-            cancelled_jobs=cancelled,
+            peer_reaches_store=any(_reaches_store(view) or view.role in LEADING_ROLES for view in views),
+            leader_confirmed_at=contact.confirmed_at,
+            cancelled_jobs=contact.cancelled_jobs,
             highest_fencing_token=highest.fencing_token if highest else 0,
             leader=highest.leader if highest else None,
             all_have_read_leader_key=len(views) == len(self._platform.peers)
@@ -43,17 +54,18 @@
         )
 
     async def ask_leader(self) -> PeerSurvey:
-        """Ask the leader how it stands."""
-        asked_at, leader = self._clock(), self._active_term.leader
+        """Ask the leader when its leadership was last confirmed."""
+        asked_at = self._clock()
+        leader = self._active_term.leader
         if leader is None or leader not in self._peers.addresses:
             return PeerSurvey()
-        pongs = await self._peers.ping([leader], self._platform.report_s * PING_WAIT)
-        contact_at, cancelled = _contact(asked_at, [pong.leader_status for pong in pongs])
-        return PeerSurvey(leader_confirmed_at=contact_at, cancelled_jobs=cancelled)
+        pongs = await self._peers.ping([leader], self._platform.report_s * PING_TIMEOUT_FRACTION)
+        contact = _leader_contact(asked_at, [pong.leader_status for pong in pongs])
+        return PeerSurvey(leader_confirmed_at=contact.confirmed_at, cancelled_jobs=contact.cancelled_jobs)
 
     async def reaches_leader(self) -> bool:
-        """Ask the leader whether it leads; if it does not, learn from the others who does."""
-        timeout_s = self._platform.report_s * PING_WAIT
+        """Return whether the known leader says that it leads; if not, ask the others for the leader."""
+        timeout_s = self._platform.report_s * PING_TIMEOUT_FRACTION
         leader = self._active_term.leader
         if leader is not None and leader in self._peers.addresses:
             pongs = await self._peers.ping([leader], timeout_s)
@@ -65,15 +77,15 @@
         return False
 
 
-def _contact(asked_at: float, statuses: list[messages.LeaderStatus | None]) -> tuple[float, frozenset[str]]:
-    """Return as of when the surest leader that was asked was certain, and the cancelled jobs it named."""
+def _leader_contact(asked_at: float, statuses: list[messages.LeaderStatus | None]) -> LeaderContact:
+    """Return what the last confirmed leader says; a status without the list of cancelled jobs does not count."""
     known = [status for status in statuses if status is not None and status.cancelled_jobs is not None]
     if not known:
-        return float("-inf"), frozenset()
-    surest = min(known, key=lambda status: status.confirmed_age_s)
-    return asked_at - surest.confirmed_age_s, frozenset(surest.cancelled_jobs or ())
+        return LeaderContact(float("-inf"), frozenset())
+    latest = min(known, key=lambda status: status.confirmed_age_s)
+    return LeaderContact(asked_at - latest.confirmed_age_s, frozenset(latest.cancelled_jobs or ()))
 
 
-def _served(view: messages.ViewResponse) -> bool:
-    """Whether the store has served this controller just now."""
-    return 0 <= view.store_success_age_s < SERVED_S
+def _reaches_store(view: messages.ViewResponse) -> bool:
+    """Return whether the store has answered this controller just now."""
+    return 0 <= view.store_success_age_s < MAX_STORE_SUCCESS_AGE_S
--- a/driftcleat/workers/__init__.py
+++ b/driftcleat/workers/__init__.py
@@ -1,4 +1,4 @@
-"""Workers: taking reports in and sending commands straight to machines."""
+"""Command requests sent to workers directly."""
 
 from driftcleat.workers.commands import WorkerClient
 
--- a/driftcleat/workers/commands.py
+++ b/driftcleat/workers/commands.py
@@ -1,6 +1,6 @@
-"""Commands sent straight to workers: stops that cannot wait for a report, and our token after a take-over.
+"""The client for command requests to workers: stops that cannot wait for a heartbeat, and the fencing token.
 
-Starts never go this way: a command held back by a cut is carried out late, a report's answer never is.
+Starts are never sent this way: a request delayed by a partition is carried out late, a heartbeat response never is.
 """
 
 import asyncio
@@ -12,52 +12,67 @@
 
 log = logging.getLogger(__name__)
 
+# The timeout is divided by this for a likely unreachable worker.
+UNREACHABLE_TIMEOUT_DIVISOR = 3
+HTTP_CONFLICT = 409
+
 
 class WorkerClient:
-    """Speaks to workers' own addresses.
+    """Sends command requests to workers' own addresses, a bounded number at once.
 
-    Machines that may well be silent have slots of their own and less time. Guards against a stop that a cancellation
-    waits for behind hundreds of calls to machines that are gone, each taking its full time.
+    Likely unreachable workers have their own half of the fan-out limit and a shorter timeout. Guards against a stop
+    of a cancelled job that is queued behind hundreds of requests to terminated machines, each of which takes its full
+    timeout.
     """
 
-    def __init__(self, client: HttpClient, timeout_s: float, at_once: int) -> None:
-        self.client, self.timeout_s = client, timeout_s
-        self.prompt, self.likely_unreachable = (
-            asyncio.Semaphore(max(1, at_once // 2)),
-            asyncio.Semaphore(max(1, at_once // 2)),
-        )
-        self.asking: set[str] = set()
+    def __init__(self, client: HttpClient, timeout_s: float, fan_out_limit: int) -> None:
+        """Set up a client with at most `fan_out_limit` requests in flight."""
+        half = max(1, fan_out_limit // 2)
+        self._client = client
+        self._timeout_s = timeout_s
+        self._reachable_slots = asyncio.Semaphore(half)
+        self._unreachable_slots = asyncio.Semaphore(half)
+        # Addresses of likely unreachable workers with a request in flight.
+        self.unreachable_in_flight: set[str] = set()
 
     async def send(
-        self, addr: str, token: int, session_number: int, commands: list[Command], likely_unreachable: bool = False
+        self,
+        address: str,
+        fencing_token: int,
+        worker_epoch: int,
+        commands: list[Command],
+        likely_unreachable: bool = False,
     ) -> Heartbeat | None:
-        """Send commands; return the report of a worker that refused them, None if it took them or is silent.
+        """Send commands; return the heartbeat of a worker that refused them, None if it took them or did not respond.
 
-        What goes to a `likely_unreachable` machine is left out while an earlier call to it is still open.
+        Nothing is sent to a `likely_unreachable` worker while an earlier request to it is in flight.
         """
-        if likely_unreachable and addr in self.asking:
+        request = CommandRequest(fencing_token, worker_epoch, commands)
+        if not likely_unreachable:
+            body = wire.encode(request)
+            async with self._reachable_slots:
+                return await self._post(address, body, self._timeout_s)
+        if address in self.unreachable_in_flight:
             return None
-        body = wire.encode(CommandRequest(token, session_number, commands))
-        if likely_unreachable:
-            self.asking.add(addr)
+        body = wire.encode(request)
+        self.unreachable_in_flight.add(address)
         try:
-            async with self.likely_unreachable if likely_unreachable else self.prompt:
-                return await self._post(addr, body, self.timeout_s / 3 if likely_unreachable else self.timeout_s)
+            async with self._unreachable_slots:
+                return await self._post(address, body, self._timeout_s / UNREACHABLE_TIMEOUT_DIVISOR)
         finally:
-            if likely_unreachable:
-                self.asking.discard(addr)
+            self.unreachable_in_flight.discard(address)
 
-    async def _post(self, addr: str, body: bytes, timeout_s: float) -> Heartbeat | None:
+    async def _post(self, address: str, body: bytes, timeout_s: float) -> Heartbeat | None:
         try:
-            answer = await self.exchange(addr, body, timeout_s)
-            if answer.status == 409:
+            answer = await self.exchange(address, body, timeout_s)
+            if answer.status == HTTP_CONFLICT:
                 return wire.decode(answer.body, Heartbeat)
         except (HttpError, TimeoutError, wire.WireError) as error:
-            log.debug("worker %s: %r", addr, error)
+            log.debug("worker %s: command request failed: %r", address, error)
         return None
 
-    async def exchange(self, addr: str, body: bytes, timeout_s: float) -> HttpAnswer:
-        """Send one request."""
-        # Several workers may be behind one port, told apart by the path in their address.
-        host, slash, path = addr.partition("/")
-        return await self.client.request("POST", host, f"{slash}{path}/commands", body, timeout_s)
+    async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpAnswer:
+        """Send one request; a subclass may replace the transport."""
+        # Several workers may share a port: the path in the address tells them apart.
+        host, slash, path = address.partition("/")
+        return await self._client.request("POST", host, f"{slash}{path}/commands", body, timeout_s)
--- a/driftcleat/workers/dispatch.py
+++ b/driftcleat/workers/dispatch.py
@@ -1,4 +1,4 @@
-"""Commands that do not wait for a report: stops of committed decisions, and a new leader's token."""
+"""Dispatch of commands that do not wait for a heartbeat: committed stops, and a new leader's fencing token."""
 
 import asyncio
 import logging
@@ -9,19 +9,21 @@
 from driftcleat.runtime.background import Background, in_slices
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.wire.workers import Command
+from driftcleat.wire.workers import Command, Heartbeat
 from driftcleat.workers.commands import WorkerClient
 
 log = logging.getLogger(__name__)
 
-# The first session of every worker: what is tried when its real one is not known.
-FIRST_SESSION = 1
-# Machines that a scan looks at before it lets others go on.
-MACHINES_AT_ONCE = 100
+# The worker epoch that every worker begins with: tried when the current one is not known.
+FIRST_WORKER_EPOCH = 1
+# Machines that a scan visits before it yields to the event loop.
+MACHINES_PER_SLICE = 100
+# Pause while this controller does not lead: the report interval divided by this.
+IDLE_PAUSE_DIVISOR = 10
 
 
 class StopDispatcher:
-    """Sends stops straight to workers: once as soon as they are committed, and again with each scan."""
+    """Sends stops to workers directly: as soon as they are committed, and again with each scan."""
 
     def __init__(
         self,
@@ -32,9 +34,12 @@
         background: Background,
         clock: Callable[[], float],
     ) -> None:
-        self._platform, self._tuning = platform, tuning
-        self._workers, self._active_term = workers, active_term
-        self._background, self._clock = background, clock
+        self._platform = platform
+        self._tuning = tuning
+        self._workers = workers
+        self._active_term = active_term
+        self._background = background
+        self._clock = clock
 
     async def run(self) -> None:
         """Send stops as soon as they are committed."""
@@ -42,19 +47,19 @@
             await self._active_term.wait_for_commit()
             scheduler = self._active_term.scheduler
             if scheduler is None:
-                await asyncio.sleep(self._platform.report_s / 10)
+                await asyncio.sleep(self._platform.report_s / IDLE_PAUSE_DIVISOR)
                 continue
             while scheduler.urgent_stops:
                 self._send_stops(scheduler, scheduler.urgent_stops.pop())
 
     async def scan(self) -> None:
-        """Go through all machines again and again, and resend their stops."""
+        """Visit all machines periodically and resend their stops."""
         while True:
             await asyncio.sleep(self._platform.report_s * self._tuning.scan)
             scheduler = self._active_term.scheduler
             if scheduler is None or not self._active_term.election.may_answer_heartbeats:
                 continue
-            async for name in in_slices(list(scheduler.cluster.machines), MACHINES_AT_ONCE):
+            async for name in in_slices(list(scheduler.cluster.machines), MACHINES_PER_SLICE):
                 self._send_stops(scheduler, name)
             self._active_term.wake_committer()
 
@@ -64,29 +69,39 @@
             return
         commands = stop_commands(scheduler.cluster, machine)
         if commands:
-            unlikely = scheduler.reachability.likely_unreachable(machine, self._clock())
+            likely_unreachable = scheduler.reachability.likely_unreachable(machine, self._clock())
             sending = self._send(
                 machine.address,
                 machine.last_heartbeat.worker_epoch,
                 scheduler.cluster.fencing_token,
                 commands,
-                unlikely,
+                likely_unreachable,
             )
             self._background.spawn(sending)
 
-    async def _send(self, addr: str, session: int, token: int, commands: list[Command], unlikely: bool) -> None:
-        refusal = await self._workers.send(addr, token, session, commands, unlikely)
+    async def _send(
+        self,
+        address: str,
+        worker_epoch: int,
+        fencing_token: int,
+        commands: list[Command],
+        likely_unreachable: bool,
+    ) -> None:
+        refusal = await self._workers.send(address, fencing_token, worker_epoch, commands, likely_unreachable)
         if refusal is not None and refusal.fencing_token > self._active_term.election.fencing_token:
-            self._active_term.election.request_step_down(f"a worker has seen token {refusal.fencing_token}")
+            self._step_down(address, refusal)
 
-    async def announce_fencing_token(self, addr: str) -> None:
-        """Make a worker see our token, so that it leaves a leader before us."""
-        election = self._active_term.election
-        token = election.fencing_token
-        refusal = await self._workers.send(addr, token, FIRST_SESSION, [], likely_unreachable=True)
+    async def announce_fencing_token(self, address: str) -> None:
+        """Make a worker see our fencing token, so that it no longer accepts an earlier leader."""
+        token = self._active_term.election.fencing_token
+        refusal = await self._workers.send(address, token, FIRST_WORKER_EPOCH, [], likely_unreachable=True)
         if refusal is None:
             return
         if refusal.fencing_token > token:
-            election.request_step_down(f"a worker has seen token {refusal.fencing_token}")
-        elif refusal.worker_epoch != FIRST_SESSION:
-            await self._workers.send(addr, token, refusal.worker_epoch, [], likely_unreachable=True)
+            self._step_down(address, refusal)
+        elif refusal.worker_epoch != FIRST_WORKER_EPOCH:
+            await self._workers.send(address, token, refusal.worker_epoch, [], likely_unreachable=True)
+
+    def _step_down(self, address: str, refusal: Heartbeat) -> None:
+        """Step down: a worker has seen a later leader."""
+        self._active_term.election.request_step_down(f"worker {address} has seen term {refusal.fencing_token}")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -179,10 +179,10 @@
             await asyncio.wait_for(client.send(f"127.0.0.1:{port}/heard", 1, 1, []), 60)
             assert asked.is_set() and not any(task.done() for task in hanging)
             await asyncio.wait_for(client.send(f"127.0.0.1:{port}/silent/0", 1, 1, [], likely_unreachable=True), 60)
-            assert len(client.asking) == 50, "one open call to a likely_unreachable machine is enough"
+            assert len(client.unreachable_in_flight) == 50, "one open call to a likely_unreachable machine is enough"
             free.set()
             await asyncio.gather(*hanging)
-            assert not client.asking
+            assert not client.unreachable_in_flight
         finally:
             await http.close()
             await runner.cleanup()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,7 +16,7 @@
 from driftcleat.controller.network import MAX_PEER_BODY
 from driftcleat.controller.overload import OverloadDetector
 from driftcleat.net import SocketBudget
-from driftcleat.peers.server import MOST_NAMED
+from driftcleat.peers.server import MAX_CANCELLED_JOBS
 from driftcleat.placement.victims import PreemptibleTasks
 from driftcleat.scheduler.scale_out import MAX_MACHINES_PER_REQUEST
 from driftcleat.settings import Tuning
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("message", ["view", "pong"])
 def test_the_largest_message_between_controllers_is_taken(message: str) -> None:
-    names = [f"req-{number:06d}" for number in range(999_999 - MOST_NAMED, 999_999)]
+    names = [f"req-{number:06d}" for number in range(999_999 - MAX_CANCELLED_JOBS, 999_999)]
     status = messages.LeaderStatus(1.0, names)
     sent: messages.PeerMessage = messages.Pong("a", True, "a", 7, status, 2)
     if message == "view":
