--- a/driftcleat/cluster/heartbeat_intake.py
+++ b/driftcleat/cluster/heartbeat_intake.py
@@ -5,7 +5,7 @@
 from driftcleat.cluster.machines import AttemptKey, Machine, MachineState, TaskKey, transition_machine
 from driftcleat.cluster.state import ClusterState
 from driftcleat.wire import workers as wire_workers
-from driftcleat.wire.workers import Heartbeat, TaskStatus
+from driftcleat.wire.workers import Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -91,6 +91,12 @@
         return
     if new_epoch:
         machine.task_phases.clear()
+    _apply_phases(cluster, machine, heartbeat)
+    cluster.machines_to_reconcile.add(machine.name)
+
+
+def _apply_phases(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> None:
+    """Apply the phases of a heartbeat's tasks: orphaned ones, changed ones, and images that are cached by now."""
     phases: dict[AttemptKey, str] = {}
     live: set[TaskKey] = set()
     for task in heartbeat.tasks:
@@ -104,20 +110,18 @@
             if placement is None or placement.attempt != task.attempt:
                 cluster.orphaned_tasks.record(key, machine.name)
             elif machine.task_phases.get(key) != task.phase:
-                _apply_phase(cluster, machine, key, task)
+                machine.task_phases[key] = task.phase
+                log.debug("task %s on machine %s: %s", task.task, machine.name, task.phase)
+                image = cluster.image_of(key)
+                if (
+                    task.phase != wire_workers.TaskPhase.FETCHING
+                    and image is not None
+                    and image not in machine.fetched_images
+                ):
+                    machine.fetched_images.add(image)
+                    cluster.listener.images_changed(machine)
     machine.reported_phases = phases
     cluster.orphaned_tasks.keep_only(machine.name, live)
-    cluster.machines_to_reconcile.add(machine.name)
-
-
-def _apply_phase(cluster: ClusterState, machine: Machine, key: TaskKey, task: TaskStatus) -> None:
-    """Apply the new phase of a placed task; past its fetch, its image is cached on the machine."""
-    machine.task_phases[key] = task.phase
-    log.debug("task %s on machine %s: %s", task.task, machine.name, task.phase)
-    image = cluster.image_of(key)
-    if task.phase != wire_workers.TaskPhase.FETCHING and image is not None and image not in machine.fetched_images:
-        machine.fetched_images.add(image)
-        cluster.listener.images_changed(machine)
 
 
 def needs_reconciliation(cluster: ClusterState, machine: Machine) -> bool:
