--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -32,7 +32,7 @@
         connections: ConnectionLimiter[Any],
     ) -> None:
         self._label = platform.label
-        self._max_wait_s = platform.report_s * tuning.answer
+        self._max_wait_s = platform.report_s * tuning.max_response_delay_intervals
         self._active_term = active_term
         self._metrics = metrics
         self._clock = clock
--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -72,7 +72,7 @@
         self._max_in_progress = max_in_progress
         self._in_progress = 0
         self._requests_shed = 0
-        self.retry_s = max(1, round(tuning.retry * platform.report_s))
+        self.retry_s = max(1, round(tuning.retry_after_intervals * platform.report_s))
         self.max_store_wait_s = platform.report_s / STORE_WAIT_DIVISOR
         responses = self._responses = RetryResponses(self.retry_s)
         records = JobRecords(store, self.max_store_wait_s)
@@ -106,8 +106,16 @@
     def time_limit_s(self, method: str, forwarded: bool) -> float:
         """Return the time limit of a request in seconds; that of a forwarded one ends before the follower's."""
         if method == "GET":
-            return self._platform.report_s * self._tuning.poll * (FORWARDED_POLL_FRACTION if forwarded else 1.0)
-        return self._platform.report_s * self._tuning.request * (FORWARDED_FRACTION if forwarded else 1.0)
+            return (
+                self._platform.report_s
+                * self._tuning.poll_timeout_intervals
+                * (FORWARDED_POLL_FRACTION if forwarded else 1.0)
+            )
+        return (
+            self._platform.report_s
+            * self._tuning.request_timeout_intervals
+            * (FORWARDED_FRACTION if forwarded else 1.0)
+        )
 
     async def handle(self, method: str, path: str, body: bytes, forwarded: bool = False) -> Answer | None:
         """Answer a request under /v1 before its deadline; None if there is no such path.
--- a/driftcleat/cloud/autoscaler.py
+++ b/driftcleat/cloud/autoscaler.py
@@ -67,7 +67,7 @@
             spent_s = self._clock() - started_at
             self._metrics.record_part(METRICS_PART, spent_s)
             # Scaling can wait, heartbeats cannot: on a small share of a processor it is done less often.
-            earned_s = spent_s / (self._platform.core_share * self._tuning.effort)
+            earned_s = spent_s / (self._platform.core_share * self._tuning.capacity_planning_cpu_share)
             pause_s = max(min_pause_s, min(earned_s, self._platform.report_s))
             if scheduler is not None:
                 pause_s += scheduler.pacing.overload_pause_s()
@@ -116,7 +116,7 @@
     def _check_heartbeats(self, scheduler: Scheduler, now: float) -> None:
         """Step down if no worker reaches this leader any more, although some did in this term."""
         silent_s = now - self._heartbeats.last_heartbeat_at
-        if silent_s <= self._platform.lease_s * self._tuning.no_reports:
+        if silent_s <= self._platform.lease_s * self._tuning.heartbeat_loss_timeout_leases:
             return
         if any(machine.last_heartbeat is not None for machine in scheduler.cluster.machines.values()):
             self._heartbeats.last_heartbeat_at = now
--- a/driftcleat/controller/routes.py
+++ b/driftcleat/controller/routes.py
@@ -30,7 +30,7 @@
         self._metrics = parts.metrics
         self._status = StatusReport(platform.label, clock, parts)
         # For how long a controller stays ready without having reached a leader.
-        self._ready_s = platform.lease_s * tuning.ready
+        self._ready_s = platform.lease_s * tuning.readiness_grace_leases
         self._leader_reached_at = float("-inf")
 
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
--- a/driftcleat/leadership/leader_loop.py
+++ b/driftcleat/leadership/leader_loop.py
@@ -37,7 +37,7 @@
         self._callbacks = callbacks
         # How long we do not campaign after we stepped down in favour of another controller: a worker lease.
         self._back_off_s = platform.lease_s
-        self._keep_alive_pause_s = state.ttl_s * tuning.renew
+        self._keep_alive_pause_s = state.ttl_s * tuning.keep_alive_pause_ttls
         self._step_down_reason: str | None = None
         # Set to end the pause between two keep-alives.
         self._wake = asyncio.Event()
--- a/driftcleat/leadership/permissions.py
+++ b/driftcleat/leadership/permissions.py
@@ -42,8 +42,8 @@
         self.label = platform.label
         self.clock = clock
         # The leader lease: its full time to live, and what is left of ours.
-        self.ttl_s = platform.lease_s * tuning.ttl
-        self.lease = LeaseClock(self.ttl_s, tuning.drift)
+        self.ttl_s = platform.lease_s * tuning.leader_ttl_leases
+        self.lease = LeaseClock(self.ttl_s, tuning.clock_drift_share)
         # Our own latest term; 0 before the first.
         self.fencing_token = 0
         # The controller that leads as far as known.
@@ -65,7 +65,11 @@
         # Worker leases kept by a controller that cannot hear of cancellations must end within the time that a
         # cancellation has.
         self.max_unconfirmed_s = max(
-            0.0, min(platform.lease_s * tuning.uncertain, platform.cancel_s - platform.lease_s - platform.report_s)
+            0.0,
+            min(
+                platform.lease_s * tuning.max_unconfirmed_leases,
+                platform.cancel_s - platform.lease_s - platform.report_s,
+            ),
         )
 
     # -- permissions --------------------------------------------------------------------------------------
--- a/driftcleat/scheduler/admission.py
+++ b/driftcleat/scheduler/admission.py
@@ -36,7 +36,7 @@
 
     def __init__(self, context: SchedulerContext, arrivals: ArrivalRates) -> None:
         # The most requests that may be pending at once.
-        self.max_waiting = context.tuning.queue * context.platform.write_rps
+        self.max_waiting = context.tuning.max_waiting_write_seconds * context.platform.write_rps
         self._cluster = context.cluster
         self._layout = context.layout
         self._wall = context.wall
--- a/driftcleat/scheduler/batch_builder.py
+++ b/driftcleat/scheduler/batch_builder.py
@@ -97,12 +97,14 @@
             available_operations
             - MARKER_OPERATIONS
             - user_operations
-            - self._platform.write_rps * self._tuning.reserve
+            - self._platform.write_rps * self._tuning.user_write_share
             - follow_up_operations
         )
         _limit_operations(batch, budget)
         scheduling_operations = self._append_scheduling(batch, now, may_place=not user_operations)
-        _limit_operations(batch, budget - scheduling_operations - self._platform.write_rps * self._tuning.tidy)
+        _limit_operations(
+            batch, budget - scheduling_operations - self._platform.write_rps * self._tuning.maintenance_write_share
+        )
         self._garbage_collector.append_to(batch)
         self._migration.prioritise(batch.awaiting_migration)
         self.in_flight.record(batch)
--- a/driftcleat/scheduler/cancellations.py
+++ b/driftcleat/scheduler/cancellations.py
@@ -39,7 +39,10 @@
 
     def machines_to_fence(self) -> set[str]:
         """Return machines that may still hold a cancelled task, and must be deleted before the deadline for it."""
-        wait_s = max(0.0, self._platform.cancel_s * self._tuning.fence - CLOCKS_INVOLVED * self._platform.clock_off_s)
+        wait_s = max(
+            0.0,
+            self._platform.cancel_s * self._tuning.cancel_fence_share - CLOCKS_INVOLVED * self._platform.clock_off_s,
+        )
         return set().union(*self.jobs_still_placed(wait_s).values())
 
     def stop_unconfirmed(self, batch: Batch) -> bool:
--- a/driftcleat/scheduler/consolidation.py
+++ b/driftcleat/scheduler/consolidation.py
@@ -64,7 +64,7 @@
             and machine.type is not None
             and bool(machine.tasks)
             and machine.name not in in_flight
-            and now - machine.tasks_changed_at >= machine.type.boot_s * self._tuning.consolidate
+            and now - machine.tasks_changed_at >= machine.type.boot_s * self._tuning.consolidation_quiet_boot_times
         )
 
     def _wasted(self, machine: Machine) -> float | None:
--- a/driftcleat/scheduler/expected_demand.py
+++ b/driftcleat/scheduler/expected_demand.py
@@ -37,7 +37,7 @@
             if not machine_types or self._can_wait(spec, machine_types):
                 continue
             jobs = jobs_per_s * min(machine_type.boot_s for machine_type in machine_types)
-            tasks = round(jobs * self._tuning.headroom * mean_tasks)
+            tasks = round(jobs * self._tuning.arrival_headroom_ratio * mean_tasks)
             if tasks > 0:
                 demands.append(Demand(spec, tasks, {}))
         return demands
@@ -45,7 +45,8 @@
     def _can_wait(self, spec: JobSpec, machine_types: list[MachineType]) -> bool:
         """Tell whether a job meets its class's objectives although a machine must boot and fetch its image first."""
         ready_s = self._platform.report_s + min(
-            machine_type.boot_s * self._tuning.boots + fetch_s(spec, machine_type) for machine_type in machine_types
+            machine_type.boot_s * self._tuning.expected_boot_ratio + fetch_s(spec, machine_type)
+            for machine_type in machine_types
         )
         limits_s = [
             (objective.kind, objective.within_s)
@@ -56,5 +57,5 @@
             limits_s.append((FINISH_OBJECTIVE, spec.deadline_s))
         if not limits_s:
             return spec.priority.level > URGENT_LEVEL
-        run_s = spec.estimated_run_s * self._tuning.doubt
+        run_s = spec.estimated_run_s * self._tuning.expected_run_ratio
         return all(ready_s + (run_s if kind == FINISH_OBJECTIVE else 0.0) <= within_s for kind, within_s in limits_s)
--- a/driftcleat/scheduler/pacing.py
+++ b/driftcleat/scheduler/pacing.py
@@ -43,7 +43,7 @@
     @property
     def budget_s(self) -> float:
         """Return the seconds that one round may take."""
-        return self._platform.report_s * self._tuning.budget
+        return self._platform.report_s * self._tuning.round_budget_intervals
 
     def record_change(self) -> None:
         """Request a round at once: capacity or work came or went, so it may place more than the last one did."""
@@ -70,5 +70,5 @@
     def end(self, began_at: float, now: float) -> None:
         """End a round, and pause in proportion to its time: heartbeats and users are served meanwhile."""
         spent_s = min(now - began_at, MAX_CHARGED_BUDGETS * self.budget_s)
-        pause_s = spent_s / (self._platform.core_share * self._tuning.share) + self.overload_pause_s()
+        pause_s = spent_s / (self._platform.core_share * self._tuning.placement_cpu_share) + self.overload_pause_s()
         self._pause_until = began_at + pause_s
--- a/driftcleat/scheduler/placement_pass.py
+++ b/driftcleat/scheduler/placement_pass.py
@@ -70,7 +70,7 @@
         self._booting = self._booting_offers(now)
         placement_round = PlacementRound(
             self._candidates.all(now, _smallest_request(queued.jobs)),
-            round(self._tuning.sample),
+            round(self._tuning.placement_sample_machines),
             self._rng,
             lambda job_id, index: (job_id, index) in self._cluster.orphaned_tasks,
         )
@@ -110,7 +110,7 @@
             for machine in self._cluster.machines.values()
             if machine.state is MachineState.BOOTING
             and machine.type is not None
-            and now - machine.created_at < machine.type.boot_s * self._tuning.late
+            and now - machine.created_at < machine.type.boot_s * self._tuning.boot_timeout_boot_times
         }
 
     def _resumed(self, jobs: list[Job]) -> list[Job]:
@@ -218,7 +218,7 @@
                 and allowed(job.spec, offer.machine_type, offer.zone, offer.spot)
                 and fits(job.spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
             ):
-                return self._queued_s(job) < machine_type.boot_s * self._tuning.patience
+                return self._queued_s(job) < machine_type.boot_s * self._tuning.image_wait_boot_times
         return False
 
     def _queued_s(self, job: Job) -> float:
--- a/driftcleat/scheduler/preemption.py
+++ b/driftcleat/scheduler/preemption.py
@@ -75,7 +75,7 @@
         counts = _counts_with_image(job, state)
         if sum(counts.values()) >= spec.tasks - job.tasks_done or not self._is_fetched_anywhere(spec.image):
             return False
-        max_cost = fetch_s(spec, machine_type) * size(spec) * self._tuning.evict
+        max_cost = fetch_s(spec, machine_type) * size(spec) * self._tuning.image_preemption_cost_ratio
         preemptible = self._planner.preemptible(batch, state).machines(job)
         machines = [machine for machine in preemptible if spec.image in machine.fetched_images]
         if not self._preempt_on(batch, job, state, machines, max_cost, counts):
@@ -99,7 +99,7 @@
 
     def _sample(self, machines: list[Machine], image: str) -> list[Machine]:
         """Return a random sample of machines, those that have the image first."""
-        max_machines = round(self._tuning.sample)
+        max_machines = round(self._tuning.placement_sample_machines)
         if len(machines) <= max_machines:
             return machines
         shuffled = self._rng.sample(machines, len(machines))
--- a/driftcleat/scheduler/preemption_planning.py
+++ b/driftcleat/scheduler/preemption_planning.py
@@ -60,7 +60,7 @@
             if plan is not None:
                 is_cached = spec.image in machine.fetched_images
                 fetch_cost = 0.0 if is_cached else fetch_s(spec, machine_type) * size(spec)
-                plans.append(replace(plan, cost=plan.cost + fetch_cost * self._tuning.evict))
+                plans.append(replace(plan, cost=plan.cost + fetch_cost * self._tuning.image_preemption_cost_ratio))
         return sorted(plans, key=lambda plan: (plan.cost, plan.candidate.name))
 
     def _preemption_cost(self, job: Job, machine: Machine, key: TaskKey) -> float:
@@ -76,6 +76,6 @@
         restart_s = self._platform.report_s * REPORTS_UNTIL_RESTART
         if machine.task_phases.get(key, FETCHING) == FETCHING:
             return weight * (restart_s + image_fetch_s)
-        refetch_s = restart_s + image_fetch_s * self._tuning.refetch
+        refetch_s = restart_s + image_fetch_s * self._tuning.preempted_fetch_loss_share
         lost_run_s = spec.checkpoint_duration_s if spec.checkpoint_interval_s > 0 else spec.estimated_run_s
         return weight * (refetch_s + lost_run_s)
--- a/driftcleat/scheduler/queue.py
+++ b/driftcleat/scheduler/queue.py
@@ -53,7 +53,7 @@
     def _placement_allowance_s(self) -> float:
         """Return how long it takes to place a job that needs a new machine: it boots, and its heartbeat arrives."""
         boot_s = min((machine_type.boot_s for machine_type in self._cluster.machine_types.values()), default=0.0)
-        return boot_s * self._tuning.boots + self._platform.report_s
+        return boot_s * self._tuning.expected_boot_ratio + self._platform.report_s
 
     def _sort(self) -> QueuedJobs:
         """Return the queue; a job is guaranteed while its team's demand up to it, by age, is within its guarantee."""
--- a/driftcleat/scheduler/queued_demand.py
+++ b/driftcleat/scheduler/queued_demand.py
@@ -39,7 +39,7 @@
             quota.consume(job.spec, tasks)
             if latency_sensitive(job.spec):
                 # Machines differ in how long they boot: with none to spare, the last replicas wait for the slowest.
-                tasks += round(tasks * self._tuning.slack)
+                tasks += round(tasks * self._tuning.service_headroom_share)
             shape = self._shape(job, job.id in queued.order.guaranteed)
             known = by_shape.get(shape) if shape is not None else None
             if known is not None:
--- a/driftcleat/scheduler/reachability.py
+++ b/driftcleat/scheduler/reachability.py
@@ -54,7 +54,11 @@
         """Return which machines are silent, by zone, as of now."""
         lease_s = self._platform.lease_s
         tuning = self._tuning
-        failures = FailureDetector(lease_s * tuning.lost, lease_s * tuning.partitioned, tuning.correlated)
+        failures = FailureDetector(
+            lease_s * tuning.machine_loss_timeout_leases,
+            lease_s * tuning.partition_timeout_leases,
+            tuning.correlated_failure_share,
+        )
         # A machine heard since then is not silent: a cheap test first, since by far the most are like that.
         heard_since = now - failures.counted_s
         silent: dict[str, int] = {}
@@ -96,7 +100,7 @@
         Only their termination proves the tasks gone.
         """
         silent_s = now - self._cluster.started_at
-        if silent_s <= self._platform.lease_s * self._tuning.lost:
+        if silent_s <= self._platform.lease_s * self._tuning.machine_loss_timeout_leases:
             return set()
         failures = self.detect_failures(now)
         return {
--- a/driftcleat/scheduler/scale_in.py
+++ b/driftcleat/scheduler/scale_in.py
@@ -79,7 +79,10 @@
     def _is_surplus(self, machine: Machine, view: FleetView) -> bool:
         now = view.now
         if machine.state is MachineState.BOOTING and machine.listed_running_since is None:
-            return view.settled and now - machine.created_at > self._boot_s(machine) * self._tuning.late
+            return (
+                view.settled
+                and now - machine.created_at > self._boot_s(machine) * self._tuning.boot_timeout_boot_times
+            )
         silent_s = self._reachability.silent_s(machine, now)
         if silent_s > view.failures.alone_s:
             given_up = silent_s > view.failures.tolerated_s(machine.zone) or machine.name in view.replaceable
@@ -101,7 +104,7 @@
             return True
         return (
             machine.name not in plan.machines_in_use
-            and now - machine.idle_since > self._boot_s(machine) * self._tuning.idle
+            and now - machine.idle_since > self._boot_s(machine) * self._tuning.idle_timeout_boot_times
         )
 
     def _are_many_unresponsive(self, now: float) -> bool:
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -67,7 +67,7 @@
         self.counters = context.counters
         self.urgent_stops = context.urgent_stops
         now = clock()
-        self._arrivals = ArrivalRates(platform.report_s * tuning.window, platform.report_s)
+        self._arrivals = ArrivalRates(platform.report_s * tuning.arrival_window_intervals, platform.report_s)
         self.pacing = RoundPacing(platform, tuning, now + _heartbeat_wait_s(platform, brand_new), overload_pause_s)
         self.admission = Admission(context, self._arrivals)
         self.queue = JobQueue(platform, tuning, cluster)
@@ -112,7 +112,7 @@
     @property
     def target_batch_operations(self) -> float:
         """Return how many operations the store's write rate should allow before a batch without users is built."""
-        return self.platform.write_rps * self.tuning.reserve + self.platform.txn_ops / 2
+        return self.platform.write_rps * self.tuning.user_write_share + self.platform.txn_ops / 2
 
     @property
     def has_work(self) -> bool:
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -121,8 +121,8 @@
 
     def _assemble(self) -> None:
         platform = self.platform
-        ttl_s = platform.lease_s * self.tuning.ttl
-        self.process_lease = ProcessLease(self.store, ttl_s, ttl_s * self.tuning.renew, self.clock)
+        ttl_s = platform.lease_s * self.tuning.leader_ttl_leases
+        self.process_lease = ProcessLease(self.store, ttl_s, ttl_s * self.tuning.keep_alive_pause_ttls, self.clock)
         self.claims = Claims(self.store)
         self.view = SharingView(self.store, self.labels, platform.lease_s * VIEW_WAIT)
         self.view.on_change = self._note_change
--- a/driftcleat/workers/dispatch.py
+++ b/driftcleat/workers/dispatch.py
@@ -55,7 +55,7 @@
     async def scan(self) -> None:
         """Visit all machines periodically and resend their stops."""
         while True:
-            await asyncio.sleep(self._platform.report_s * self._tuning.scan)
+            await asyncio.sleep(self._platform.report_s * self._tuning.command_scan_intervals)
             scheduler = self._active_term.scheduler
             if scheduler is None or not self._active_term.election.may_answer_heartbeats:
                 continue
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -403,7 +403,7 @@
     for number in range(4):
         scheduler.garbage_collector.put_later(f"driftcleat/machines/vm-{number}", number)
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
-    few = scheduler.platform.write_rps * scheduler.tuning.reserve
+    few = scheduler.platform.write_rps * scheduler.tuning.user_write_share
     batch = scheduler.build_batch(few)
     assert batch.created == {"req-000001"} and not batch.puts, "what is left is kept for users"
     scheduler.apply_commit(batch, 9, [])
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -349,7 +349,7 @@
 
     add(full_settings(), "")
     for entry in dataclasses.fields(Tuning):
-        found.update((entry.name, f"{entry.metadata['section']}.{entry.name}"))
+        found.update((entry.metadata["key"], f"{entry.metadata['section']}.{entry.metadata['key']}"))
     return found
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -235,7 +235,14 @@
     cluster = ClusterState(token, {}, dict(TYPES), 0.0)
     now = [0.0]
     scheduler = Scheduler(
-        site, Tuning(budget=0.2), cluster, layout, random.Random(1), lambda: now[0], lambda: now[0], brand_new=True
+        site,
+        Tuning(round_budget_intervals=0.2),
+        cluster,
+        layout,
+        random.Random(1),
+        lambda: now[0],
+        lambda: now[0],
+        brand_new=True,
     )
     for number in range(30):
         apply_heartbeat(cluster, Heartbeat(f"vm-{number:06d}", "h:1", "big", "north", False, 1, 1, token, ()), 0.0)
@@ -497,14 +504,14 @@
     late = scheduler.cluster.register_machine("vm-2", "big", "north", False, "", now[0])
     empty = CapacityPlan({}, set())
     assert scheduler.select_scale_in(empty, now[0]) == []
-    now[0] += BIG.boot_s * scheduler.tuning.late + 0.1
+    now[0] += BIG.boot_s * scheduler.tuning.boot_timeout_boot_times + 0.1
     heard = scheduler.cluster.machines["vm-1"]
     heard.last_heartbeat_at = now[0]
     assert {machine.name for machine in scheduler.select_scale_in(empty, now[0])} == {"vm-1", "vm-2"}, (
         "one idle, one late"
     )
     assert scheduler.select_scale_in(CapacityPlan({}, {"vm-1"}), now[0]) == [late], "what the queue needs is kept"
-    heard.last_heartbeat_at = now[0] - SITE.lease_s * scheduler.tuning.lost - 0.1
+    heard.last_heartbeat_at = now[0] - SITE.lease_s * scheduler.tuning.machine_loss_timeout_leases - 0.1
     assert heard in scheduler.select_scale_in(CapacityPlan({}, {"vm-1"}), now[0]), "silent for longer than its lease"
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -271,7 +271,7 @@
 def partly_silent(now: list[float], silent: int) -> Scheduler:
     """Return a term in which the first so many machines of the north are silent for longer than one alone may be."""
     term = fleet_term(now, 20)
-    now[0] += SITE.lease_s * term.tuning.lost + 0.1
+    now[0] += SITE.lease_s * term.tuning.machine_loss_timeout_leases + 0.1
     hear(term, now, "north", 2, lambda number: number >= silent)
     hear(term, now, "south", 2)
     term.cluster.machines["vm-1"].last_heartbeat_at = now[0]
@@ -307,7 +307,7 @@
     }, "waiting helps nobody once their work has room elsewhere"
     for machine in term.cluster.machines.values():
         machine.used_cpus, machine.used_gpus = 16.0, 4.0
-    now[0] += SITE.lease_s * term.tuning.partitioned
+    now[0] += SITE.lease_s * term.tuning.partition_timeout_leases
     assert "vm-north-0" in {machine.name for machine in term.select_scale_in(kept(term), now[0])}, "not for ever"
 
 
@@ -348,7 +348,7 @@
     for number in range(20):
         machine = term.cluster.register_machine(f"vm-north-{number}", "big", "north", False, "h:1", now[0])
         machine.created_at, machine.listed_running_since = now[0] - 900.0, now[0]
-    now[0] += SITE.lease_s * term.tuning.lost + 0.1
+    now[0] += SITE.lease_s * term.tuning.machine_loss_timeout_leases + 0.1
     hear(term, now, "south", 2)
     term.cluster.machines["vm-1"].last_heartbeat_at = now[0]
     assert term.select_scale_in(kept(term), now[0]) == []
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -95,15 +95,23 @@
     path = tmp_path / "ops.ini"
     path.write_text("[placement]\nsample = 5\n[fleet]\nidle = 2\n")
     tuning = load_tuning(str(path))
-    assert (tuning.sample, tuning.idle, tuning.ttl) == (5, 2, Tuning().ttl)
+    assert (tuning.placement_sample_machines, tuning.idle_timeout_boot_times, tuning.leader_ttl_leases) == (
+        5,
+        2,
+        Tuning().leader_ttl_leases,
+    )
 
 
 def test_a_renamed_operator_setting_is_accepted_under_its_old_name(tmp_path: Path) -> None:
     path = tmp_path / "ops.ini"
     path.write_text("[leadership]\ndeaf = 0.5\nhold = 3\n[fleet]\nmany = 0.1\ncut = 5\nthin = 7\n")
     tuning = load_tuning(str(path))
-    assert (tuning.no_reports, tuning.uncertain) == (0.5, 3)
-    assert (tuning.correlated, tuning.partitioned, tuning.consolidate) == (0.1, 5, 7)
+    assert (tuning.heartbeat_loss_timeout_leases, tuning.max_unconfirmed_leases) == (0.5, 3)
+    assert (
+        tuning.correlated_failure_share,
+        tuning.partition_timeout_leases,
+        tuning.consolidation_quiet_boot_times,
+    ) == (0.1, 5, 7)
 
 
 def test_the_command_line_checks_and_reports(tmp_path: Path) -> None:
--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -56,7 +56,7 @@
     """Say each operators' key with its older name, default and bounds, and what refuses a value beyond them."""
     for entry in dataclasses.fields(Tuning):
         about = entry.metadata
-        names = entry.name if about["alias"] is None else f"{entry.name} (once {about['alias']})"
+        names = about["key"] if about["alias"] is None else f"{about['key']} (once {about['alias']})"
         bounds = f"{about['low']:g} to {about['high']:g}"
         yield f"{about['section']}.{names} = {entry.default:g}, {bounds}: {about['help']}"
 
@@ -65,7 +65,7 @@
     path = folder / "ops.ini"
     for entry in dataclasses.fields(Tuning):
         about = entry.metadata
-        for name in filter(None, (entry.name, about["alias"])):
+        for name in filter(None, (about["key"], about["alias"])):
             for value in (about["low"], about["high"], about["high"] * 2 + 1, "many"):
                 said = _refusal(load_tuning, path, f"[{about['section']}]\n{name} = {value}\n")
                 yield f"{about['section']}.{name} = {value}: {said}"
