--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -79,7 +79,9 @@
         parse_job_id(raw)
     except InvalidFieldError as error:
         wrong_field = error.field
-    assert wrong_field in ("body", "nameId") if wrong_field is not None else is_job_id(raw["nameId"])
+    else:
+        assert is_job_id(raw["nameId"])
+    assert wrong_field in (None, "body", "nameId")
 
 
 def test_deep_nesting_is_malformed_not_a_crash() -> None:
