--- a/driftcleat/wire/__init__.py
+++ b/driftcleat/wire/__init__.py
@@ -1,7 +1,10 @@
-"""Wire formats, the only place that knows how messages look in JSON.
+"""The wire formats: the only package that knows the protocols' JSON.
 
-The platform's own names (`helm`, `hands`, `bollard`) end here: the structs carry the field's terms
-(token, tasks, machine) and clients of driftcleat may use this package by itself.
+Each struct is one message, or a part of one, of `PROTOCOL-driftcleat.md`. The protocols name their fields in words of
+their own (`helm`, `hands`, `bollard`): `name=` gives the protocol's field, and that mapping is made here once. The
+attributes have the field's terms (`fencing_token`, `tasks`, `machine`), as in `docs/glossary.md`.
+
+Clients of driftcleat may use this package by itself.
 """
 
 from typing import Any, TypeVar
@@ -15,13 +18,17 @@
 _encoder = msgspec.json.Encoder()
 
 
+class WireError(DriftcleatError, ValueError):
+    """A message that does not conform to its protocol."""
+
+
 def encode(value: Any) -> bytes:
     """Return the JSON text of a struct or of plain data."""
     return _encoder.encode(value)
 
 
 def decode(data: bytes, kind: type[T]) -> T:
-    """Return `data` as a `kind`; `WireError` when it is anything else."""
+    """Return JSON text as a `kind`; `WireError` when it is not one."""
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -29,12 +36,8 @@
 
 
 def convert(value: Any, kind: type[T]) -> T:
-    """Return plain data that was decoded before as a `kind`; `WireError` when it does not fit."""
+    """Return plain data that is decoded already as a `kind`; `WireError` when it is not one."""
     try:
         return msgspec.convert(value, kind)
     except (msgspec.MsgspecError, RecursionError) as error:
         raise WireError(str(error)) from None
-
-
-class WireError(DriftcleatError, ValueError):
-    """A message that is not what its interface says."""
--- a/driftcleat/wire/cloud.py
+++ b/driftcleat/wire/cloud.py
@@ -1,10 +1,10 @@
-"""Messages between the leader and the cloud: types, rentals, the machine list."""
+"""Messages between the leader and the cloud: machine types, scale out, scale in, the machine list."""
 
 import msgspec
 
 
 class MachineType(msgspec.Struct, frozen=True):
-    """What the cloud says of one type of machine."""
+    """One machine type of `GET /machine_types`; prices are per hour."""
 
     name: str = msgspec.field(name="label")
     cpus: float = msgspec.field(name="cores")
@@ -19,13 +19,13 @@
 
 
 class MachineTypesResponse(msgspec.Struct, frozen=True):
-    """All types on offer."""
+    """The response of `GET /machine_types`."""
 
     types: tuple[MachineType, ...] = msgspec.field(name="builds")
 
 
 class CreateMachinesRequest(msgspec.Struct, frozen=True):
-    """A rental, carried out once under its name."""
+    """The request of `POST /rentals`; the cloud carries it out at most once for each `request_id`."""
 
     request_id: str = msgspec.field(name="charter")
     machine_type: str = msgspec.field(name="build")
@@ -35,19 +35,19 @@
 
 
 class CreateMachinesResponse(msgspec.Struct, frozen=True):
-    """The names of the machines rented."""
+    """The response of `POST /rentals`: the names of the machines created, which may be fewer than asked for."""
 
     machines: tuple[str, ...] = msgspec.field(name="bollards")
 
 
 class DeleteMachinesRequest(msgspec.Struct, frozen=True):
-    """Machines to be deleted."""
+    """The request of `POST /rentals/return`; unknown names are ignored."""
 
     machines: list[str] = msgspec.field(name="bollards")
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """One machine in the cloud's list, as it was some time ago."""
+    """One machine of `GET /rentals`, as it was some seconds ago; `state` is `starting`, `running` or `failed`."""
 
     name: str = msgspec.field(name="nameId")
     address: str = msgspec.field(name="addr")
@@ -59,7 +59,7 @@
 
 
 class MachineListResponse(msgspec.Struct, frozen=True):
-    """A page of the machine list."""
+    """The response of `GET /rentals`: a page of the machine list in order of names."""
 
     machines: tuple[ListedMachine, ...] = msgspec.field(name="bollards")
     more: bool = msgspec.field(name="truncated", default=False)
--- a/driftcleat/wire/job_ids.py
+++ b/driftcleat/wire/job_ids.py
@@ -1,36 +1,42 @@
-"""Job ids: their form, and the packing of several of them into a short text."""
+"""Job ids: their form, and a compact encoding of many of them."""
 
 import re
+from typing import TypeGuard
 
-ID_PATTERN = re.compile(r"req-[0-9]{1,18}\Z", re.ASCII)
+_PREFIX = "req-"
+_PATTERN = re.compile(_PREFIX + r"[0-9]{1,18}\Z", re.ASCII)
 
 
-def is_job_id(text: object) -> bool:
-    """Tell whether `text` has the form every job id has."""
-    return isinstance(text, str) and ID_PATTERN.match(text) is not None
+def is_job_id(text: object) -> TypeGuard[str]:
+    """Tell whether `text` has the form of a job id, such as `req-000412`."""
+    return isinstance(text, str) and _PATTERN.match(text) is not None
 
 
 def encode_job_ids(job_ids: tuple[str, ...]) -> str:
-    """Return job ids as a short text; their order is lost."""
-    by_length: dict[int, list[int]] = {}
+    """Return job ids as a compact text; their order is lost.
+
+    Ids are grouped by their number of digits. A group is `DIGITS:STEP,STEP,...`, the steps between its sorted numbers
+    in hexadecimal; groups are separated by semicolons.
+    """
+    numbers_by_digits: dict[int, list[int]] = {}
     for job_id in job_ids:
         digits = job_id.partition("-")[2]
-        by_length.setdefault(len(digits), []).append(int(digits))
-    parts = []
-    for length, numbers in sorted(by_length.items()):
+        numbers_by_digits.setdefault(len(digits), []).append(int(digits))
+    groups = []
+    for digit_count, numbers in sorted(numbers_by_digits.items()):
         numbers.sort()
-        steps = [number - before for before, number in zip([0, *numbers], numbers, strict=False)]
-        parts.append(f"{length}:" + ",".join(f"{step:x}" for step in steps))
-    return ";".join(parts)
+        steps = [number - previous for previous, number in zip([0, *numbers], numbers, strict=False)]
+        groups.append(f"{digit_count}:" + ",".join(f"{step:x}" for step in steps))
+    return ";".join(groups)
 
 
 def decode_job_ids(text: str) -> tuple[str, ...]:
-    """Return the job ids that `pack_ids` wrote."""
-    out: list[str] = []
-    for part in text.split(";") if text else ():
-        length, _, steps = part.partition(":")
+    """Return the job ids of a text that `encode_job_ids` wrote, in order within each number of digits."""
+    job_ids: list[str] = []
+    for group in text.split(";") if text else ():
+        digit_count, _, steps = group.partition(":")
         number = 0
         for step in steps.split(","):
             number += int(step, 16)
-            out.append(f"req-{number:0{int(length)}d}")
-    return tuple(out)
+            job_ids.append(f"{_PREFIX}{number:0{int(digit_count)}d}")
+    return tuple(job_ids)
--- a/driftcleat/wire/job_spec_parsing.py
+++ b/driftcleat/wire/job_spec_parsing.py
@@ -1,4 +1,7 @@
-"""Parses and validates the job specification of a submission."""
+"""Parses and validates submissions.
+
+The texts of `InvalidFieldError` go to the user, so they name fields as the protocol does.
+"""
 
 import math
 from typing import Any
@@ -10,21 +13,38 @@
 from driftcleat.wire.users import JobSpec
 
 MAX_TASKS = 100_000
-MAX_TEXT = 200
-MAX_TYPES = 64
+# The most bytes of a name, in UTF-8.
+MAX_TEXT_BYTES = 200
+MAX_MACHINE_TYPES = 64
+# The largest amount of a resource, and the longest duration in seconds.
 MAX_AMOUNT = 1e9
 
+# The protocol's names of the attributes of `JobSpec`.
+_WIRE_NAMES = dict(zip(JobSpec.__struct_fields__, JobSpec.__struct_encode_fields__, strict=True))
+# Attributes of `JobSpec` that are names, or amounts.
+_TEXTS = ("job_class", "team", "image", "zone")
+_AMOUNTS = (
+    "cpus",
+    "gpus",
+    "memory_gb",
+    "image_gb",
+    "estimated_run_s",
+    "checkpoint_interval_s",
+    "checkpoint_duration_s",
+    "deadline_s",
+)
+
 
 class InvalidFieldError(WireError):
-    """A submission with a field that is missing or invalid."""
+    """A submission with a field that is missing or invalid; `field` is its name in the protocol."""
 
-    def __init__(self, field: str, why: str) -> None:
-        super().__init__(f"{field}: {why}")
+    def __init__(self, field: str, reason: str) -> None:
+        super().__init__(f"{field}: {reason}")
         self.field = field
 
 
 def parse_object(body: bytes) -> dict[str, Any]:
-    """Return the body's JSON object; `InvalidFieldError` (field `body`) for anything else."""
+    """Return the JSON object of a request's body; `InvalidFieldError` (field `body`) if it is anything else."""
     try:
         return decode(body, dict[str, Any])
     except WireError:
@@ -32,16 +52,22 @@
 
 
 def parse_job_id(raw: dict[str, Any]) -> str:
-    """Return the object's job id, checked before all other fields."""
-    job_id = raw.get("nameId")
-    if not isinstance(job_id, str) or not is_job_id(job_id):
-        raise InvalidFieldError("nameId", "must have the form req-000412")
-    return job_id
+    """Return a submission's job id, which is checked before all other fields."""
+    return _require_job_id(raw.get(_WIRE_NAMES["id"]))
 
 
 def parse_submission(raw: dict[str, Any]) -> JobSpec:
-    """Return the checked submission; `InvalidFieldError` names the first field that is wrong."""
+    """Return the validated specification of a submission; `InvalidFieldError` names the first invalid field."""
+    spec = _convert(raw)
+    _validate(spec)
+    dependencies = tuple(dict.fromkeys(spec.dependencies)) if spec.dependencies else None
+    return msgspec.structs.replace(spec, dependencies=dependencies)
+
+
+def _convert(raw: dict[str, Any]) -> JobSpec:
+    """Return a specification whose fields have the right types."""
     known = {field.encode_name: field for field in msgspec.structs.fields(JobSpec)}
+    # One field at a time, since an error of the whole does not name its field.
     for name, field in known.items():
         if name not in raw:
             if field.required:
@@ -51,38 +77,40 @@
             msgspec.convert(raw[name], field.type)
         except (msgspec.MsgspecError, RecursionError) as error:
             raise InvalidFieldError(name, str(error)) from None
-    job = msgspec.convert({name: raw[name] for name in known if name in raw}, JobSpec)
-    _check_ranges(job)
-    return msgspec.structs.replace(
-        job, dependencies=tuple(dict.fromkeys(job.dependencies)) if job.dependencies else None
-    )
-
-
-def _check_ranges(job: JobSpec) -> None:
-    parse_job_id({"nameId": job.id})
-    for name, text in (("cargo", job.job_class), ("crew", job.team), ("hull", job.image), ("harbor", job.zone)):
-        if text is not None and not 0 < len(text.encode("utf-8", "replace")) <= MAX_TEXT:
-            raise InvalidFieldError(name, f"must have 1 to {MAX_TEXT} bytes")
-    if not 1 <= job.tasks <= MAX_TASKS:
-        raise InvalidFieldError("hands", f"must be 1 to {MAX_TASKS}")
-    amounts = (
-        ("cores", job.cpus),
-        ("accelerators", job.gpus),
-        ("memGb", job.memory_gb),
-        ("imageGb", job.image_gb),
-        ("voyageS", job.estimated_run_s),
-        ("mooringS", job.checkpoint_interval_s),
-        ("stowS", job.checkpoint_duration_s),
-        ("tideS", job.deadline_s),
-    )
-    for name, amount in amounts:
+    return msgspec.convert({name: raw[name] for name in known if name in raw}, JobSpec)
+
+
+def _validate(spec: JobSpec) -> None:
+    """Check the values of all fields; the order decides which invalid field is reported."""
+    _require_job_id(spec.id)
+    for attribute in _TEXTS:
+        text = getattr(spec, attribute)
+        if text is not None and not _is_text(text):
+            raise _invalid(attribute, f"must have 1 to {MAX_TEXT_BYTES} bytes")
+    if not 1 <= spec.tasks <= MAX_TASKS:
+        raise _invalid("tasks", f"must be 1 to {MAX_TASKS}")
+    for attribute in _AMOUNTS:
+        amount = getattr(spec, attribute)
         if amount is not None and not (math.isfinite(amount) and 0 <= amount <= MAX_AMOUNT):
-            raise InvalidFieldError(name, "must be a number that is not negative")
-    for need in job.dependencies or ():
-        if not is_job_id(need):
-            raise InvalidFieldError("tows", "must be null or a list of job ids")
-    if job.machine_types is not None:
-        if not 1 <= len(job.machine_types) <= MAX_TYPES:
-            raise InvalidFieldError("builds", f"must be null or name 1 to {MAX_TYPES} types")
-        if any(not 0 < len(text.encode("utf-8", "replace")) <= MAX_TEXT for text in job.machine_types):
-            raise InvalidFieldError("builds", f"each must have 1 to {MAX_TEXT} bytes")
+            raise _invalid(attribute, "must be a number that is not negative")
+    if not all(map(is_job_id, spec.dependencies or ())):
+        raise _invalid("dependencies", "must be null or a list of job ids")
+    if spec.machine_types is not None:
+        if not 1 <= len(spec.machine_types) <= MAX_MACHINE_TYPES:
+            raise _invalid("machine_types", f"must be null or name 1 to {MAX_MACHINE_TYPES} types")
+        if not all(map(_is_text, spec.machine_types)):
+            raise _invalid("machine_types", f"each must have 1 to {MAX_TEXT_BYTES} bytes")
+
+
+def _require_job_id(value: object) -> str:
+    if not is_job_id(value):
+        raise _invalid("id", "must have the form req-000412")
+    return value
+
+
+def _is_text(text: str) -> bool:
+    return 0 < len(text.encode("utf-8", "replace")) <= MAX_TEXT_BYTES
+
+
+def _invalid(attribute: str, reason: str) -> InvalidFieldError:
+    return InvalidFieldError(_WIRE_NAMES[attribute], reason)
--- a/driftcleat/wire/peers.py
+++ b/driftcleat/wire/peers.py
@@ -1,32 +1,34 @@
-"""Messages between controllers: tagged tuples (array-like structs, the tag first).
+"""Messages between controllers: arrays, the tag first.
 
-A version that does not know a trailing field ignores it, one that misses it takes its default: so versions that run
-side by side understand one another. `data_version` is the newest version of the records that the speaker can write.
+The protocol leaves them to us. Versions that run side by side understand one another: a version ignores trailing
+fields that it does not know, and uses the default of those that are missing. So fields are added only at the end, and
+with a default. `data_version` is the newest data version of the records that the sender can write.
 """
 
 import msgspec
 
 
 class ViewRequest(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """Asks a controller how it sees the world."""
+    """Asks a controller for its view of leadership and of the state service."""
 
     sender: str
     data_version: int = 1
 
 
 class LeaderStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a leader tells of its term: how long ago it was certain that nobody led after it, and the cancelled jobs
-    of which tasks may still be on machines (None if they are too many to name)."""
+    """What a leader reports of its term."""
 
+    # The age of its last confirmed leadership, in seconds.
     confirmed_age_s: float
+    # Cancelled jobs that may still have tasks on machines; None if they are too many to name.
     cancelled_jobs: list[str] | None
 
 
 class ViewResponse(msgspec.Struct, frozen=True, array_like=True, tag="view"):
-    """How a controller sees the world; ages in seconds, negative when it never happened.
+    """A controller's view; ages are in seconds, and negative for what never happened.
 
-    `confirms` says that the speaker has read a leader key since it was started: only then does it know that it has
-    led under no higher token than `token`, in an earlier life either.
+    `has_read_leader_key` tells that the sender has read the leader key since it was started. Only then does it know
+    that it has led under no higher token than `fencing_token`, also in an earlier incarnation.
     """
 
     sender: str
@@ -41,14 +43,14 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="ping"):
-    """Asks who leads, as far as the other knows; costs no call to the store."""
+    """Asks who leads, as far as the receiver knows; it answers without a request to the state service."""
 
     sender: str
     data_version: int = 1
 
 
 class Pong(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
-    """Who leads, as far as the sender knows, and whether it is itself the one."""
+    """Answers a `Ping`: who leads as far as the sender knows, and whether it leads itself."""
 
     sender: str
     leads: bool
@@ -59,7 +61,7 @@
 
 
 class ForwardRequest(msgspec.Struct, frozen=True, array_like=True, tag="forward"):
-    """A user's request, passed on to the leader."""
+    """A user's request, forwarded to the leader."""
 
     method: str
     path: str
@@ -67,7 +69,7 @@
 
 
 class ForwardResponse(msgspec.Struct, frozen=True, array_like=True, tag="forwarded"):
-    """The leader's answer to a user's request."""
+    """The leader's answer to a forwarded request."""
 
     status: int
     body: str
--- a/driftcleat/wire/state.py
+++ b/driftcleat/wire/state.py
@@ -6,7 +6,7 @@
 
 
 class KeyValue(msgspec.Struct, frozen=True):
-    """A key with its value, version and lease."""
+    """The response of `GET /store/{key}`, and a row of `GET /store`; the value is left undecoded."""
 
     value: msgspec.Raw = msgspec.field(name="v")
     mod_revision: int = msgspec.field(name="entry")
@@ -15,7 +15,7 @@
 
 
 class KeyValuePage(msgspec.Struct, frozen=True):
-    """Keys under a prefix, in order."""
+    """The response of `GET /store`: keys under a prefix, in order."""
 
     key_values: tuple[KeyValue, ...] = msgspec.field(name="rows")
     revision: int = msgspec.field(name="logline")
@@ -23,14 +23,14 @@
 
 
 class Compare(msgspec.Struct, frozen=True):
-    """A key that must have a version (0: must not exist)."""
+    """A condition of a transaction: the key has this mod revision (0: it does not exist)."""
 
     key: str
     mod_revision: int = msgspec.field(name="entry")
 
 
 class Put(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Write a key."""
+    """An operation of a transaction: write a key, attached to a lease if one is given."""
 
     key: str = msgspec.field(name="put")
     value: Any = msgspec.field(name="v")
@@ -38,44 +38,44 @@
 
 
 class Delete(msgspec.Struct, frozen=True):
-    """Delete a key."""
+    """An operation of a transaction: delete a key."""
 
     key: str = msgspec.field(name="remove")
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Changes that happen together or not at all."""
+    """The request of `POST /txn`: if all compares hold, all operations are carried out, or else none."""
 
     compares: list[Compare] = msgspec.field(name="if")
     operations: list[Put | Delete | Any] = msgspec.field(name="then")
 
 
 class TransactionCommitted(msgspec.Struct, frozen=True):
-    """The revision of a transaction that was carried out."""
+    """The response of `POST /txn` for a transaction that was carried out."""
 
     revision: int = msgspec.field(name="logline")
 
 
 class CompareFailure(msgspec.Struct, frozen=True):
-    """The keys whose conditions did not hold."""
+    """The 409 response of `POST /txn`: the keys whose compares failed."""
 
     failed_keys: tuple[str, ...] = msgspec.field(name="failed")
 
 
 class LeaseGrantRequest(msgspec.Struct, frozen=True):
-    """Asks for a lease."""
+    """The request of `POST /leases`."""
 
     ttl_ms: int = msgspec.field(name="ttlMs")
 
 
 class LeaseGrantResponse(msgspec.Struct, frozen=True):
-    """The lease granted."""
+    """The response of `POST /leases`."""
 
     lease_id: int = msgspec.field(name="berth")
 
 
 class WatchResponse(msgspec.Struct, frozen=True):
-    """What changed under a prefix."""
+    """The response of `GET /watch`: the changes under a prefix up to `revision`; none if the time ran out."""
 
     revision: int = msgspec.field(name="logline")
     events: tuple[Any, ...] = msgspec.field(name="log", default=())
--- a/driftcleat/wire/users.py
+++ b/driftcleat/wire/users.py
@@ -4,19 +4,23 @@
 
 import msgspec
 
+# The most bytes of a request's body.
 MAX_BODY = 64 * 1024
 
 
 class JobKind(StrEnum):
-    """How a job's tasks belong together."""
+    """How a job's tasks belong together; the protocol's `rig`."""
 
+    # Independent tasks.
     ARRAY = "array"
+    # All tasks run at the same time, or none does.
     GANG = "group"
+    # Replicas that run until the job is cancelled.
     SERVICE = "daemon"
 
 
 class Priority(StrEnum):
-    """A job's priority, in the platform's words."""
+    """A job's priority; the protocol's `rank`."""
 
     CRITICAL = "critical"
     HIGH = "high"
@@ -25,7 +29,7 @@
 
     @property
     def level(self) -> int:
-        """0 is the most urgent."""
+        """The priority as a number; 0 is the most urgent."""
         return _LEVELS[self]
 
 
@@ -33,7 +37,7 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True):
-    """A job as its user describes it."""
+    """The request of `POST /v1/jobs`: a job as its user specifies it. Resources are per task."""
 
     id: str = msgspec.field(name="nameId")
     job_class: str = msgspec.field(name="cargo")
@@ -50,26 +54,30 @@
     spread: bool = msgspec.field(name="spread")
     spot: bool = msgspec.field(name="driftwood")
     estimated_run_s: float = msgspec.field(name="voyageS")
+    # 0: the tasks save no checkpoints.
     checkpoint_interval_s: float = msgspec.field(name="mooringS")
     checkpoint_duration_s: float = msgspec.field(name="stowS")
+    # None: any machine type, any zone.
     machine_types: tuple[str, ...] | None = msgspec.field(name="builds", default=None)
     zone: str | None = msgspec.field(name="harbor", default=None)
+    # Counted from the submission.
     deadline_s: float | None = msgspec.field(name="tideS", default=None)
-    # Jobs that must be done before any task of this one starts; each once.
+    # Ids of jobs that must be done before any task of this one starts; distinct.
     dependencies: tuple[str, ...] | None = msgspec.field(name="tows", default=None)
 
 
 class JobStatus(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A job's state as users see it."""
+    """The response of `POST /v1/jobs`, `GET /v1/jobs/{id}` and `POST /v1/jobs/{id}/cancel`."""
 
     id: str = msgspec.field(name="nameId")
     state: str = msgspec.field(name="bearing")
+    # Numbers of tasks.
     done: int | None = None
     running: int | None = None
 
 
 class ErrorResponse(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Why a request was not carried out, and which field is to blame."""
+    """The response to a request that failed: why, and which field is invalid, by its name in the protocol."""
 
     error: str
     field: str | None = None
--- a/driftcleat/wire/workers.py
+++ b/driftcleat/wire/workers.py
@@ -1,24 +1,28 @@
-"""Messages between workers and controllers: reports, redirects, commands."""
+"""Messages between workers and controllers: heartbeats, redirects, commands."""
 
 from enum import StrEnum
 
 import msgspec
 
+# The most digits of a task's index that are accepted; a job's largest has five (see `job_spec_parsing.MAX_TASKS`).
+MAX_INDEX_DIGITS = 6
+
 
 class CommandAction(StrEnum):
-    """What a command asks a worker to do with one attempt of a task."""
+    """What a command asks a worker to do with one attempt of a task; the protocol's `signal`."""
 
     START = "start"
     STOP = "kill"
-    # The attempt's exit is committed: the worker need not report it any more.
+    # The attempt's exit is committed: the worker need not report it any longer.
     FORGET = "forget"
 
 
 class TaskPhase(StrEnum):
-    """What an attempt of a task is doing on its machine, as the worker reports it."""
+    """The phase of an attempt as its worker reports it; the protocol's `bearing`."""
 
+    # Waits for its image.
     FETCHING = "pulling"
-    # A gang's task that waits for the other members to start.
+    # A gang's task that waits for the others of its attempt.
     WAITING = "waiting"
     RUNNING = "running"
     CHECKPOINTING = "saving"
@@ -26,21 +30,23 @@
 
 
 class ExitReason(StrEnum):
-    """Why an attempt of a task has ended."""
+    """Why an attempt of a task has ended; the protocol's `wreck`."""
 
     DONE = "done"
     STOPPED = "stopped"
+    # Another task of the gang is gone.
     GANG_MEMBER_LOST = "mates_gone"
+    # The gang was not complete within `gang_wait_s`.
     GANG_INCOMPLETE = "alone"
     ERROR = "error"
-    # A start that the worker refused: not enough is free, another attempt of the task is there, no such job.
+    # The worker refused the start: resources are missing, another attempt is present, the job or task is unknown.
     INSUFFICIENT_RESOURCES = "no_room"
     OTHER_ATTEMPT_PRESENT = "busy"
     UNKNOWN_JOB = "unknown"
 
 
 class TaskStatus(msgspec.Struct, frozen=True):
-    """One task as its machine reports it."""
+    """One attempt of a task in a `Heartbeat`."""
 
     task: str = msgspec.field(name="hand")
     attempt: int = msgspec.field(name="launch")
@@ -50,7 +56,10 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """All that one machine says of itself."""
+    """The request of `POST /agent/beat`, and the worker's answer to `POST /commands` and `GET /inspect`.
+
+    The newer of two messages of a machine has the larger (`worker_epoch`, `sequence`).
+    """
 
     machine: str = msgspec.field(name="bollard")
     address: str = msgspec.field(name="addr")
@@ -65,7 +74,7 @@
 
 
 class Command(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A command about one attempt of one task."""
+    """A command for one attempt of one task, in a `HeartbeatResponse` or `CommandRequest`."""
 
     action: str = msgspec.field(name="signal")
     task: str = msgspec.field(name="hand")
@@ -74,14 +83,14 @@
 
 
 class HeartbeatResponse(msgspec.Struct, frozen=True):
-    """The answer to a report."""
+    """The response of `POST /agent/beat`; the worker carries out the commands in order."""
 
     fencing_token: int = msgspec.field(name="helm")
     commands: list[Command] = msgspec.field(name="signals")
 
 
 class CommandRequest(msgspec.Struct, frozen=True):
-    """Commands sent to a worker's own address."""
+    """The request of `POST /commands`, sent to a worker's own address."""
 
     fencing_token: int = msgspec.field(name="helm")
     worker_epoch: int = msgspec.field(name="watch")
@@ -89,19 +98,22 @@
 
 
 class Redirect(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Says that another controller takes the reports."""
+    """The 421 response of `POST /agent/beat`: another controller takes heartbeats, by its name if it is known."""
 
     leader: str | None = msgspec.field(name="harbormaster", default=None)
 
 
 def format_task_name(job: str, index: int) -> str:
-    """Return a task's name on the wire."""
+    """Return the protocol's name of a task, such as `req-000412/3`."""
     return f"{job}/{index}"
 
 
 def parse_task_name(name: str) -> tuple[str, int] | None:
-    """Return job id and index of a task name, or None if it is not one."""
+    """Return job id and index of a task's name, or None if it is not one.
+
+    A plain tuple, since this runs for every task of every heartbeat that changes.
+    """
     job, slash, index = name.rpartition("/")
-    if not slash or not index.isascii() or not index.isdigit() or len(index) > 6:
+    if not slash or not index.isascii() or not index.isdigit() or len(index) > MAX_INDEX_DIGITS:
         return None
     return job, int(index)
