--- a/driftcleat/api/submissions.py
+++ b/driftcleat/api/submissions.py
@@ -11,7 +11,7 @@
 from driftcleat.api.leader_lookup import LeaderLookup
 from driftcleat.api.user_requests import UserRequest
 from driftcleat.leadership import ActiveTerm
-from driftcleat.scheduler import PendingRequest, Scheduler, never_fits
+from driftcleat.scheduler import PendingRequest, Scheduler, unschedulable_reason
 from driftcleat.settings import Platform
 from driftcleat.wire.job_spec_parsing import InvalidFieldError, parse_job_id, parse_object, parse_submission
 from driftcleat.wire.users import JobSpec, JobStatus
@@ -73,7 +73,7 @@
             raise RequestRefusedError(Answer.error(400, str(error), error.field)) from None
         if not scheduler.cluster.machine_types:
             raise RequestRefusedError(self._responses.unavailable("the machine types are not known yet"))
-        reason = never_fits(spec, scheduler.cluster.machine_types, self._platform)
+        reason = unschedulable_reason(spec, scheduler.cluster.machine_types, self._platform)
         if reason is not None:
             raise RequestRefusedError(Answer.error(422, reason))
         if not scheduler.layout.spec_fits(spec):
--- a/driftcleat/cloud/autoscaler.py
+++ b/driftcleat/cloud/autoscaler.py
@@ -82,7 +82,7 @@
             self._terminator.fence(scheduler.find_or_register_machine(name, now))
         if self._active_term.deciding_scheduler is None or not scheduler.cluster.machine_types:
             return
-        for name in scheduler.reachability.never_reported(now):
+        for name in scheduler.reachability.presumed_lost_without_heartbeat(now):
             self._terminator.terminate(scheduler.find_or_register_machine(name, now), "no heartbeat in this term")
         if now < scheduler.pacing.placement_starts_at:
             return
--- a/driftcleat/cloud/provisioner.py
+++ b/driftcleat/cloud/provisioner.py
@@ -40,7 +40,7 @@
             scheduler = self._active_term.deciding_scheduler
             if scheduler is None:
                 continue
-            for request in list(scheduler.scale_out.open.values()):
+            for request in list(scheduler.scale_out.open_requests.values()):
                 if self._active_term.deciding_scheduler is not scheduler:
                     break
                 await self._send(scheduler, request)
@@ -70,7 +70,7 @@
         if self._active_term.scheduler is scheduler:
             if machines and len(machines) < record.count:
                 self._record_refusal(scheduler, request)
-            scheduler.scale_out.record_answer(request, machines, self._clock())
+            scheduler.scale_out.record_response(request, machines, self._clock())
             self._active_term.wake_committer()
             self._active_term.state_changed.set()
 
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -135,7 +135,7 @@
             "term %d: recovered: %d jobs, %d open scale-outs",
             token,
             len(scheduler.cluster.jobs),
-            len(scheduler.scale_out.open),
+            len(scheduler.scale_out.open_requests),
         )
         self.active_term.wake_committer()
 
--- a/driftcleat/controller/recovery.py
+++ b/driftcleat/controller/recovery.py
@@ -88,7 +88,7 @@
         rng,
         clock,
         wall,
-        brand_new=records.batch_marker is None,
+        is_new_store=records.batch_marker is None,
         overload_pause_s=overload_pause_s,
     )
     _restore_machine_images(scheduler, records)
--- a/driftcleat/controller/status.py
+++ b/driftcleat/controller/status.py
@@ -66,7 +66,7 @@
         "classes": _jobs_by_class(scheduler.cluster),
         "waiting_submissions": scheduler.admission.waiting_submissions,
         "waiting_cancellations": scheduler.admission.waiting_cancellations,
-        "open_rentals": len(scheduler.scale_out.open),
+        "open_rentals": len(scheduler.scale_out.open_requests),
     }
 
 
--- a/driftcleat/scheduler/admission.py
+++ b/driftcleat/scheduler/admission.py
@@ -21,10 +21,10 @@
 class PendingRequest:
     """A submission (with `spec`) or a cancellation (with `job_id`) that is not committed yet.
 
-    `answer` is called once with the job's committed status, or None for a job that this term does not know.
+    `respond` is called once with the job's committed status, or None for a job that this term does not know.
     """
 
-    answer: Callable[[JobStatus | None], None]
+    respond: Callable[[JobStatus | None], None]
     spec: JobSpec | None = None
     job_id: str = ""
     # Final states of the submission's dependencies that had ended before, by job id.
@@ -39,7 +39,7 @@
         self.max_waiting = context.tuning.max_waiting_write_seconds * context.platform.write_rps
         self._cluster = context.cluster
         self._layout = context.layout
-        self._wall = context.wall
+        self._wall_clock = context.wall_clock
         self._arrivals = arrivals
         self._submissions: deque[PendingRequest] = deque()
         self._cancellations: deque[PendingRequest] = deque()
@@ -103,7 +103,7 @@
                     continue
                 if not batch.has_room(job, ends=True):
                     break
-                batch.cancel_job(request.job_id, self._wall())
+                batch.cancel_job(request.job_id, self._wall_clock())
             self._take_first(self._cancellations, batch, request.job_id)
         self._cancellations.extend(postponed)
 
@@ -115,7 +115,7 @@
                 continue
             if not batch.has_room(job, ends=True):
                 return
-            batch.cancel_job(job_id, self._wall())
+            batch.cancel_job(job_id, self._wall_clock())
 
     def append_submissions(self, batch: Batch, now: float) -> None:
         """Append pending submissions; one of a known job id creates nothing, so that users may repeat requests."""
@@ -136,7 +136,7 @@
 
     def _create_job(self, batch: Batch, spec: JobSpec, request: PendingRequest, now: float) -> bool:
         """Create a job in a batch; False if the batch is too full."""
-        job = Job(spec, self._wall())
+        job = Job(spec, self._wall_clock())
         self._layout.assign_tasks_per_record(job)
         if not batch.has_room(job):
             return False
@@ -145,7 +145,7 @@
         }
         batch.create_job(job, {dependency for dependency, state in states.items() if state is not JobState.DONE})
         if JobState.CANCELLED in states.values():
-            batch.cancel_job(job.id, self._wall())
+            batch.cancel_job(job.id, self._wall_clock())
         elif not batch.unmet_dependencies[job.id]:
             self._arrivals.record(spec, now)
         log.debug("job %s: accepted: class %s, %d tasks", spec.id, spec.job_class, spec.tasks)
@@ -167,4 +167,4 @@
         return JobState(request.ended_dependencies.get(dependency, JobState.ACTIVE.value))
 
     def _answer(self, request: PendingRequest, job_id: str) -> None:
-        request.answer(self.lookup(job_id))
+        request.respond(self.lookup(job_id))
--- a/driftcleat/scheduler/cancellations.py
+++ b/driftcleat/scheduler/cancellations.py
@@ -14,7 +14,7 @@
         self._platform = context.platform
         self._tuning = context.tuning
         self._cluster = context.cluster
-        self._wall = context.wall
+        self._wall_clock = context.wall_clock
         self._urgent_stops = context.urgent_stops
 
     def jobs_still_placed(self, older_than_s: float = 0.0) -> dict[str, set[str]]:
@@ -22,7 +22,7 @@
 
         Only jobs that were cancelled at least `older_than_s` ago are looked at.
         """
-        wall = self._wall()
+        wall = self._wall_clock()
         machines_by_job: dict[str, set[str]] = {}
         for job_id in self._cluster.cancelled_jobs:
             job = self._cluster.jobs[job_id]
--- a/driftcleat/scheduler/consolidation.py
+++ b/driftcleat/scheduler/consolidation.py
@@ -6,7 +6,7 @@
 from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate, spread_limit
 from driftcleat.scheduler.context import SchedulerContext
 from driftcleat.scheduler.machine_candidates import MachineCandidates
-from driftcleat.scheduler.scale_in import SOME_GPUS
+from driftcleat.scheduler.scale_in import MIN_FREE_GPUS
 from driftcleat.wire.users import JobKind, JobSpec
 from driftcleat.wire.workers import TaskPhase
 
@@ -44,7 +44,7 @@
             if wasted is None or wasted <= best_wasted:
                 continue
             if busy is None:
-                busy = [candidate for candidate in self._candidates.all(now, SOME_GPUS) if candidate.busy]
+                busy = [candidate for candidate in self._candidates.available(now, MIN_FREE_GPUS) if candidate.busy]
             if self._fits_on(machine, busy):
                 best = machine
                 best_wasted = wasted
--- a/driftcleat/scheduler/context.py
+++ b/driftcleat/scheduler/context.py
@@ -32,7 +32,7 @@
 class SchedulerContext:
     """Settings, cluster state, record layout, clocks, and the source of random numbers.
 
-    `clock` is monotonic, `wall` is the time of day; both return seconds.
+    `clock` is monotonic, `wall_clock` is the time of day; both return seconds.
     """
 
     platform: Platform
@@ -41,7 +41,7 @@
     layout: RecordLayout
     rng: random.Random
     clock: Callable[[], float]
-    wall: Callable[[], float]
+    wall_clock: Callable[[], float]
     counters: Counters = field(default_factory=Counters)
     # Names of machines to send stop commands to without waiting for their next heartbeat. `Scheduler` and
     # `Cancellations` add to this one set; the stop dispatcher empties it, through `Scheduler.urgent_stops`.
--- a/driftcleat/scheduler/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -36,8 +36,8 @@
         self.expected = ExpectedDemand(context, arrivals)
         self.free_capacity = FreeCapacity(context, scale_out)
 
-    def plan(self, now: float, failures: FailureDetector, max_rented: int) -> CapacityPlan:
-        """Return what to rent, at most `max_rented` machines, and which present machines the demand uses."""
+    def plan(self, now: float, failures: FailureDetector, max_machines: int) -> CapacityPlan:
+        """Return what to rent, at most `max_machines` machines, and which present machines the demand uses."""
         demands = self.queued.demands()
         demands.extend(self.presumed_lost.demands(failures, now))
         demands.extend(self.expected.demands(now))
@@ -54,6 +54,6 @@
             self.free_capacity.pool(),
             self._cluster.machine_types,
             is_refused,
-            max_rented,
+            max_machines,
             self._platform.away,
         )
--- a/driftcleat/scheduler/eligibility.py
+++ b/driftcleat/scheduler/eligibility.py
@@ -6,7 +6,7 @@
 from driftcleat.wire.users import JobKind, JobSpec
 
 
-def never_fits(spec: JobSpec, types: dict[str, MachineType], platform: Platform) -> str | None:
+def unschedulable_reason(spec: JobSpec, types: dict[str, MachineType], platform: Platform) -> str | None:
     """Return the reason why a job can never run, for its user; None if it may.
 
     `types` are the cloud's machine types by name. The reason starts with the field of the submission that is wrong.
--- a/driftcleat/scheduler/estimates.py
+++ b/driftcleat/scheduler/estimates.py
@@ -15,6 +15,6 @@
     return spec.image_gb / max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
 
 
-def size(spec: JobSpec) -> float:
+def task_weight(spec: JobSpec) -> float:
     """Return the weight of one task's seconds, in accelerators: its dominant resource."""
     return max(spec.gpus, spec.cpus / CPUS_PER_GPU, MIN_SIZE)
--- a/driftcleat/scheduler/machine_candidates.py
+++ b/driftcleat/scheduler/machine_candidates.py
@@ -44,7 +44,7 @@
             and machine.last_heartbeat_at >= now - self._platform.report_s * FRESH_REPORTS
         )
 
-    def all(self, now: float, at_least: Resources = NOTHING) -> list[Candidate]:
+    def available(self, now: float, at_least: Resources = NOTHING) -> list[Candidate]:
         """Return the machines that take tasks and have at least these resources free."""
         cpus, gpus, memory_gb = (needed - ROUNDING_TOLERANCE for needed in at_least)
         candidates = []
@@ -57,10 +57,10 @@
                 and machine_type.memory_gb - machine.used_memory_gb >= memory_gb
                 and self.takes_tasks(machine, now)
             ):
-                candidates.append(self.of(machine, machine_type, now))
+                candidates.append(self.candidate_for(machine, machine_type, now))
         return candidates
 
-    def of(self, machine: Machine, machine_type: MachineType, now: float) -> Candidate:
+    def candidate_for(self, machine: Machine, machine_type: MachineType, now: float) -> Candidate:
         """Return one machine as a candidate, with its images and its reservation."""
         fetching_images: set[str] = set()
         if machine.tasks:
--- a/driftcleat/scheduler/placement_pass.py
+++ b/driftcleat/scheduler/placement_pass.py
@@ -46,7 +46,7 @@
         self._layout = context.layout
         self._rng = context.rng
         self._clock = context.clock
-        self._wall = context.wall
+        self._wall_clock = context.wall_clock
         self._counters = context.counters
         self._queue = queue
         self._candidates = candidates
@@ -69,7 +69,7 @@
         self._preemption.reservations.expire(now, self._cluster.jobs)
         self._booting = self._booting_offers(now)
         placement_round = PlacementRound(
-            self._candidates.all(now, _smallest_request(queued.jobs)),
+            self._candidates.available(now, _smallest_request(queued.jobs)),
             round(self._tuning.placement_sample_machines),
             self._rng,
             lambda job_id, index: (job_id, index) in self._cluster.orphaned_tasks,
@@ -224,7 +224,7 @@
     def _queued_s(self, job: Job) -> float:
         """Return for how long a job could have run, as far as its dependencies go."""
         ready_at = self._cluster.ready_at.get(job.id)
-        return self._wall() - job.submitted_at if ready_at is None else self._clock() - ready_at
+        return self._wall_clock() - job.submitted_at if ready_at is None else self._clock() - ready_at
 
 
 def _smallest_request(jobs: list[Job]) -> Resources:
--- a/driftcleat/scheduler/preemption.py
+++ b/driftcleat/scheduler/preemption.py
@@ -5,7 +5,7 @@
 from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.drains import MachineDrainer
-from driftcleat.scheduler.estimates import fetch_s, size
+from driftcleat.scheduler.estimates import fetch_s, task_weight
 from driftcleat.scheduler.gang_preemption import GangPreemption
 from driftcleat.scheduler.machine_candidates import MachineCandidates
 from driftcleat.scheduler.nominations import Nominations
@@ -75,7 +75,7 @@
         counts = _counts_with_image(job, state)
         if sum(counts.values()) >= spec.tasks - job.tasks_done or not self._is_fetched_anywhere(spec.image):
             return False
-        max_cost = fetch_s(spec, machine_type) * size(spec) * self._tuning.image_preemption_cost_ratio
+        max_cost = fetch_s(spec, machine_type) * task_weight(spec) * self._tuning.image_preemption_cost_ratio
         preemptible = self._planner.preemptible(batch, state).machines(job)
         machines = [machine for machine in preemptible if spec.image in machine.fetched_images]
         if not self._preempt_on(batch, job, state, machines, max_cost, counts):
--- a/driftcleat/scheduler/preemption_planning.py
+++ b/driftcleat/scheduler/preemption_planning.py
@@ -7,7 +7,7 @@
 from driftcleat.placement.preemption_plan import PreemptionPlan, plan_preemption
 from driftcleat.placement.victims import PreemptibleTasks
 from driftcleat.scheduler.context import SchedulerContext
-from driftcleat.scheduler.estimates import fetch_s, size
+from driftcleat.scheduler.estimates import fetch_s, task_weight
 from driftcleat.scheduler.machine_candidates import MachineCandidates
 from driftcleat.scheduler.round_state import RoundState
 from driftcleat.wire.users import JobKind
@@ -59,7 +59,7 @@
             plan = plan_preemption(spec, candidate, preemptible.victims(machine, job))
             if plan is not None:
                 is_cached = spec.image in machine.fetched_images
-                fetch_cost = 0.0 if is_cached else fetch_s(spec, machine_type) * size(spec)
+                fetch_cost = 0.0 if is_cached else fetch_s(spec, machine_type) * task_weight(spec)
                 plans.append(replace(plan, cost=plan.cost + fetch_cost * self._tuning.image_preemption_cost_ratio))
         return sorted(plans, key=lambda plan: (plan.cost, plan.candidate.name))
 
@@ -69,7 +69,7 @@
         A fetch under way is lost whole; what a running task has fetched may be, if it is restarted elsewhere.
         """
         spec = job.spec
-        weight = size(spec)
+        weight = task_weight(spec)
         if spec.kind is JobKind.SERVICE:
             return weight * REPLICA_LOSS_S
         image_fetch_s = fetch_s(spec, machine.type) if machine.type is not None else spec.image_gb
--- a/driftcleat/scheduler/presumed_lost_demand.py
+++ b/driftcleat/scheduler/presumed_lost_demand.py
@@ -30,7 +30,7 @@
                 failures.correlated(machine.zone)
                 and not failures.partitioned(machine.zone)
                 and self._reachability.is_running(machine)
-                and self._reachability.silent_s(machine, now) > self._platform.lease_s
+                and self._reachability.heartbeat_age_s(machine, now) > self._platform.lease_s
             ):
                 for job_id, _ in machine.tasks:
                     lost_tasks[job_id] = lost_tasks.get(job_id, 0) + 1
--- a/driftcleat/scheduler/reachability.py
+++ b/driftcleat/scheduler/reachability.py
@@ -39,7 +39,7 @@
             machine.state is MachineState.BOOTING and machine.listed_running_since is not None
         )
 
-    def silent_s(self, machine: Machine, now: float) -> float:
+    def heartbeat_age_s(self, machine: Machine, now: float) -> float:
         """Return for how many seconds a running machine has not been heard.
 
         One that the list calls running and that this term has not heard yet counts as silent, not as booting. Guards
@@ -68,7 +68,7 @@
                 continue
             known[machine.zone] = known.get(machine.zone, 0) + 1
             heard = machine.last_heartbeat is not None and machine.last_heartbeat_at >= heard_since
-            if not heard and self.silent_s(machine, now) > failures.counted_s:
+            if not heard and self.heartbeat_age_s(machine, now) > failures.counted_s:
                 silent[machine.zone] = silent.get(machine.zone, 0) + 1
         for zone, count in known.items():
             failures.count_all(zone, silent.get(zone, 0), count)
@@ -94,7 +94,7 @@
             and now - machine.unacknowledged_since > self._platform.report_s * UNRESPONSIVE_REPORT_INTERVALS
         )
 
-    def never_reported(self, now: float) -> set[str]:
+    def presumed_lost_without_heartbeat(self, now: float) -> set[str]:
         """Return machines to give up that hold tasks by the records, but sent no heartbeat in this term.
 
         Only their termination proves the tasks gone.
--- a/driftcleat/scheduler/round_state.py
+++ b/driftcleat/scheduler/round_state.py
@@ -33,6 +33,6 @@
         """Return a machine as this round leaves it, also one with too little free to be among the candidates."""
         candidate = self._candidates.get(machine.name)
         if candidate is None:
-            candidate = self._machine_candidates.of(machine, machine_type, self.now)
+            candidate = self._machine_candidates.candidate_for(machine, machine_type, self.now)
             self._candidates[machine.name] = candidate
         return candidate
--- a/driftcleat/scheduler/scale_in.py
+++ b/driftcleat/scheduler/scale_in.py
@@ -12,7 +12,7 @@
 from driftcleat.wire.users import JobSpec
 
 # Machines with less free than this are no candidates for the work of others.
-SOME_GPUS = Resources(0.0, ROUNDING_TOLERANCE * 2, 0.0)
+MIN_FREE_GPUS = Resources(0.0, ROUNDING_TOLERANCE * 2, 0.0)
 # If more than one in so many machines is unresponsive, and more than a few, it is most likely we who are too slow.
 UNRESPONSIVE_ONE_IN = 3
 UNRESPONSIVE_FEW = 2
@@ -83,7 +83,7 @@
                 view.settled
                 and now - machine.created_at > self._boot_s(machine) * self._tuning.boot_timeout_boot_times
             )
-        silent_s = self._reachability.silent_s(machine, now)
+        silent_s = self._reachability.heartbeat_age_s(machine, now)
         if silent_s > view.failures.alone_s:
             given_up = silent_s > view.failures.tolerated_s(machine.zone) or machine.name in view.replaceable
             return view.settled and given_up
@@ -131,12 +131,12 @@
             if self._reachability.is_running(machine)
             and failures.correlated(machine.zone)
             and not (failures.partitioned(machine.zone) and self._platform.controllers_in(machine.zone))
-            and failures.alone_s < self._reachability.silent_s(machine, now) <= failures.correlated_s
+            and failures.alone_s < self._reachability.heartbeat_age_s(machine, now) <= failures.correlated_s
         ]
         if not silent:
             return set()
         by_image: dict[str, list[Candidate]] = {}
-        for candidate in self._candidates.all(now, SOME_GPUS):
+        for candidate in self._candidates.available(now, MIN_FREE_GPUS):
             for image in self._cluster.machines[candidate.name].fetched_images:
                 by_image.setdefault(image, []).append(candidate)
         return {machine.name for machine in silent if self._fits_elsewhere(machine, by_image)}
--- a/driftcleat/scheduler/scale_out.py
+++ b/driftcleat/scheduler/scale_out.py
@@ -38,11 +38,11 @@
 
     def __init__(self, context: SchedulerContext) -> None:
         self._cluster = context.cluster
-        self._wall = context.wall
+        self._wall_clock = context.wall_clock
         self._counters = context.counters
         # Requests that are stored and not settled, by name, and those that are to be stored.
-        self.open: dict[str, ScaleOutRequest] = {}
-        self.new: list[ScaleOutRequest] = []
+        self.open_requests: dict[str, ScaleOutRequest] = {}
+        self.new_requests: list[ScaleOutRequest] = []
         # Names of settled requests whose records are to be deleted.
         self._settled: list[str] = []
         self._last_number = 0
@@ -51,16 +51,16 @@
     @property
     def pending(self) -> bool:
         """Return whether there is anything to store or to delete."""
-        return bool(self.new or self._settled)
+        return bool(self.new_requests or self._settled)
 
     @property
     def unsettled(self) -> list[ScaleOutRequest]:
         """Return all requests whose machines may still come, stored or not."""
-        return [*self.open.values(), *self.new]
+        return [*self.open_requests.values(), *self.new_requests]
 
     def restore(self, request: ScaleOutRequest) -> None:
         """Restore a stored request that an earlier leader did not settle; it is sent again."""
-        self.open[request.name] = request
+        self.open_requests[request.name] = request
 
     def request(self, plan: CapacityPlan) -> None:
         """Create the requests of a capacity plan, named by fencing token and number; they are to be stored."""
@@ -69,7 +69,9 @@
                 self._last_number += 1
                 name = f"{self._cluster.fencing_token}-{self._last_number}"
                 machines = min(count - requested, MAX_MACHINES_PER_REQUEST)
-                self.new.append(ScaleOutRequest(name, ScaleOutRecord(type_name, zone, spot, machines, self._wall())))
+                self.new_requests.append(
+                    ScaleOutRequest(name, ScaleOutRecord(type_name, zone, spot, machines, self._wall_clock()))
+                )
 
     def append_to(self, batch: Batch) -> None:
         """Append the deletes of settled requests and the puts of new ones, as far as the batch has room."""
@@ -77,19 +79,19 @@
             name = self._settled.pop()
             batch.delete(SCALE_OUTS_PREFIX + name)
             batch.on_discard.append(partial(self._settled.append, name))
-        while self.new and batch.has_room_for_keys():
-            request = self.new.pop(0)
+        while self.new_requests and batch.has_room_for_keys():
+            request = self.new_requests.pop(0)
             batch.put(SCALE_OUTS_PREFIX + request.name, request.record)
-            batch.on_discard.append(partial(self.new.insert, 0, request))
+            batch.on_discard.append(partial(self.new_requests.insert, 0, request))
             batch.on_commit.append(partial(self._record_stored, request))
 
     def _record_stored(self, request: ScaleOutRequest) -> None:
         """Open a request after the commit that stored it: only now may it be sent."""
-        self.open[request.name] = request
+        self.open_requests[request.name] = request
 
-    def record_answer(self, request: ScaleOutRequest, machines: tuple[str, ...], now: float) -> None:
+    def record_response(self, request: ScaleOutRequest, machines: tuple[str, ...], now: float) -> None:
         """Settle a request: register the machines that the cloud has created, and delete its record."""
-        self.open.pop(request.name, None)
+        self.open_requests.pop(request.name, None)
         self._settled.append(request.name)
         record = request.record
         self._counters.machines_created += len(machines)
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -41,8 +41,8 @@
 class Scheduler:
     """Takes all decisions of one leader term; its parts hold what is pending of each kind.
 
-    `clock` is monotonic and shared with `cluster`; `wall` returns the time of day; both in seconds.
-    `brand_new`: the store never held a batch, so there are no workers yet whose heartbeats to wait for.
+    `clock` is monotonic and shared with `cluster`; `wall_clock` returns the time of day; both in seconds.
+    `is_new_store`: the store never held a batch, so there are no workers yet whose heartbeats to wait for.
     `overload_pause_s`: returns by how much rounds are delayed while heartbeats are handled late, in seconds.
     """
 
@@ -54,11 +54,11 @@
         layout: RecordLayout,
         rng: random.Random,
         clock: Callable[[], float],
-        wall: Callable[[], float],
-        brand_new: bool = False,
+        wall_clock: Callable[[], float],
+        is_new_store: bool = False,
         overload_pause_s: Callable[[], float] = no_overload,
     ) -> None:
-        context = SchedulerContext(platform, tuning, cluster, layout, rng, clock, wall)
+        context = SchedulerContext(platform, tuning, cluster, layout, rng, clock, wall_clock)
         self.platform = platform
         self.tuning = tuning
         self.cluster = cluster
@@ -68,7 +68,7 @@
         self.urgent_stops = context.urgent_stops
         now = clock()
         self._arrivals = ArrivalRates(platform.report_s * tuning.arrival_window_intervals, platform.report_s)
-        self.pacing = RoundPacing(platform, tuning, now + _heartbeat_wait_s(platform, brand_new), overload_pause_s)
+        self.pacing = RoundPacing(platform, tuning, now + _heartbeat_wait_s(platform, is_new_store), overload_pause_s)
         self.admission = Admission(context, self._arrivals)
         self.queue = JobQueue(platform, tuning, cluster)
         self.drainer = MachineDrainer(context)
@@ -86,7 +86,7 @@
         self._consolidation = Consolidation(context, self.candidates)
         self._batch_builder = self._new_batch_builder(context)
         cluster.subscribe(ClusterEventHandler(self.counters, self.pacing, self.garbage_collector, self.drainer))
-        self._record_recovered_jobs(now, wall())
+        self._record_recovered_jobs(now, wall_clock())
 
     def _new_batch_builder(self, context: SchedulerContext) -> BatchBuilder:
         return BatchBuilder(
@@ -210,14 +210,14 @@
     # -- the fleet ----------------------------------------------------------------------------------------
 
     def plan_scale_out(
-        self, now: float, failures: FailureDetector | None = None, most_rented: int = MAX_MACHINES_PER_REQUEST
+        self, now: float, failures: FailureDetector | None = None, max_machines: int = MAX_MACHINES_PER_REQUEST
     ) -> CapacityPlan:
         """Return what to scale out for queued and expected work, and which machines that work would use.
 
-        `failures`: what `reachability` has just detected, if it was asked; `most_rented`: the most machines that one
+        `failures`: what `reachability` has just detected, if it was asked; `max_machines`: the most machines that one
         plan asks for.
         """
-        return self.demand.plan(now, failures or self.reachability.detect_failures(now), most_rented)
+        return self.demand.plan(now, failures or self.reachability.detect_failures(now), max_machines)
 
     def select_scale_in(
         self, plan: CapacityPlan, now: float, failures: FailureDetector | None = None
@@ -241,6 +241,6 @@
         return fleet_summary(self.cluster)
 
 
-def _heartbeat_wait_s(platform: Platform, brand_new: bool) -> float:
+def _heartbeat_wait_s(platform: Platform, is_new_store: bool) -> float:
     """Return how long after the start of a term nothing is placed, in seconds."""
-    return 0.0 if brand_new else platform.report_s * REPORT_INTERVALS_BEFORE_PLACING
+    return 0.0 if is_new_store else platform.report_s * REPORT_INTERVALS_BEFORE_PLACING
--- a/tests/costs.py
+++ b/tests/costs.py
@@ -68,7 +68,7 @@
         jobs = self._machines * TASKS_A_MACHINE // TASKS_A_JOB
         for number in range(1, jobs + 1):
             self._term.admission.submit(PendingRequest(lambda status: None, job(number, **ARRAY)))
-        self._timed("candidates of one round", lambda: self._term.candidates.all(0.0), self._machines)
+        self._timed("candidates of one round", lambda: self._term.candidates.available(0.0), self._machines)
         self._timed("jobs accepted and placed, batches encoded", self._commit_all, jobs)
         self._reports_in_service(2)
         now = self._now[0]
--- a/tests/terms.py
+++ b/tests/terms.py
@@ -29,7 +29,7 @@
         random.Random(1),
         clock or (lambda: now[0]),
         lambda: now[0],
-        brand_new=True,
+        is_new_store=True,
     )
 
 
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -106,7 +106,7 @@
     copy = Heartbeat("vm-1", "h:1", "big", "north", False, 1, 7, 5, (), 3.0)
     machine = apply_heartbeat(cluster, copy, now[0])
     assert machine is not None
-    assert not scheduler.candidates.takes_tasks(machine, now[0]) and scheduler.candidates.all(now[0]) == []
+    assert not scheduler.candidates.takes_tasks(machine, now[0]) and scheduler.candidates.available(now[0]) == []
     assert machine.state is MachineState.UP, "an old notice drains nothing"
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
     commit(scheduler)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -27,7 +27,7 @@
 from driftcleat.placement.fair_share import FairShareOrder
 from driftcleat.placement.placement_round import PlacementRound
 from driftcleat.placement.quota import QuotaHeadroom
-from driftcleat.scheduler import PendingRequest, Scheduler, never_fits
+from driftcleat.scheduler import PendingRequest, Scheduler, unschedulable_reason
 from driftcleat.settings import Tuning
 from driftcleat.store.encoding import encode_batch
 from driftcleat.store.index_ranges import format_ranges, parse_ranges
@@ -242,7 +242,7 @@
         random.Random(1),
         lambda: now[0],
         lambda: now[0],
-        brand_new=True,
+        is_new_store=True,
     )
     for number in range(30):
         apply_heartbeat(cluster, Heartbeat(f"vm-{number:06d}", "h:1", "big", "north", False, 1, 1, token, ()), 0.0)
@@ -371,18 +371,20 @@
 
 
 def test_what_can_never_run_is_named() -> None:
-    assert never_fits(job(1), TYPES, SITE) is None
-    assert "team" in (never_fits(job(1, crew="green"), TYPES, SITE) or "")
-    assert "fits no" in (never_fits(job(1, cores=99.0), TYPES, SITE) or "")
-    assert "fits no" in (never_fits(job(1, harbor="moon"), TYPES, SITE) or "")
-    assert "limit" in (never_fits(job(1, rig="group", hands=9), TYPES, SITE) or "")
-    assert never_fits(job(1, rig="array", hands=9), TYPES, SITE) is None
+    assert unschedulable_reason(job(1), TYPES, SITE) is None
+    assert "team" in (unschedulable_reason(job(1, crew="green"), TYPES, SITE) or "")
+    assert "fits no" in (unschedulable_reason(job(1, cores=99.0), TYPES, SITE) or "")
+    assert "fits no" in (unschedulable_reason(job(1, harbor="moon"), TYPES, SITE) or "")
+    assert "limit" in (unschedulable_reason(job(1, rig="group", hands=9), TYPES, SITE) or "")
+    assert unschedulable_reason(job(1, rig="array", hands=9), TYPES, SITE) is None
     # A gang whose own wishes contradict one another would wait for ever; an array's tasks may come one by one.
     for wishes in ({"together": True}, {"harbor": "north"}):
-        assert "spread" in (never_fits(job(1, rig="group", hands=2, spread=True, **wishes), TYPES, SITE) or "")
-        assert never_fits(job(1, rig="group", hands=1, spread=True, **wishes), TYPES, SITE) is None
-        assert never_fits(job(1, rig="array", hands=2, spread=True, **wishes), TYPES, SITE) is None
-    assert never_fits(job(1, rig="group", hands=2, spread=True), TYPES, SITE) is None
+        assert "spread" in (
+            unschedulable_reason(job(1, rig="group", hands=2, spread=True, **wishes), TYPES, SITE) or ""
+        )
+        assert unschedulable_reason(job(1, rig="group", hands=1, spread=True, **wishes), TYPES, SITE) is None
+        assert unschedulable_reason(job(1, rig="array", hands=2, spread=True, **wishes), TYPES, SITE) is None
+    assert unschedulable_reason(job(1, rig="group", hands=2, spread=True), TYPES, SITE) is None
 
 
 def test_a_gang_is_not_placed_while_a_task_of_an_older_attempt_may_be_there() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -338,7 +338,7 @@
     term.reachability.record_listed(listed | {"vm-south-0x"})
     for machine in term.cluster.machines.values():
         machine.last_heartbeat_at = now[0] if machine.zone == "south" else now[0] - SITE.lease_s
-    assert term.reachability.never_reported(now[0]) == {"vm-taken"}
+    assert term.reachability.presumed_lost_without_heartbeat(now[0]) == {"vm-taken"}
 
 
 def test_a_new_leader_does_not_take_a_cut_off_zone_for_late_boots() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -107,12 +107,14 @@
     scheduler.scale_out.request(
         CapacityPlan({MachineOffer("big", "north", False): 2 * MAX_MACHINES_PER_REQUEST + 7}, set())
     )
-    assert [request.record.count for request in scheduler.scale_out.new] == [
+    assert [request.record.count for request in scheduler.scale_out.new_requests] == [
         MAX_MACHINES_PER_REQUEST,
         MAX_MACHINES_PER_REQUEST,
         7,
     ]
-    assert len({request.name for request in scheduler.scale_out.new}) == 3, "a name is never used for two requests"
+    assert len({request.name for request in scheduler.scale_out.new_requests}) == 3, (
+        "a name is never used for two requests"
+    )
 
 
 def test_the_list_takes_a_part_of_the_clouds_calls_however_many_pages_it_has() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -484,7 +484,9 @@
         scheduler = leader.term
         if leader.silent or leader.stepped_down or not self.cloud_up:
             return
-        names = scheduler.cancellations.machines_to_fence() | scheduler.reachability.never_reported(self.now)
+        names = scheduler.cancellations.machines_to_fence() | scheduler.reachability.presumed_lost_without_heartbeat(
+            self.now
+        )
         if self.now >= scheduler.pacing.placement_starts_at:
             plan = scheduler.plan_scale_out(self.now)
             names |= {machine.name for machine in scheduler.select_scale_in(plan, self.now)}
@@ -504,12 +506,12 @@
                 known = scheduler.cluster.machines.get(worker.name)
                 if (known is None or known.last_heartbeat is None) and not worker.cut and not worker.deaf:
                     worker.direct(scheduler.cluster.fencing_token, worker.session, [])
-        for request in list(scheduler.scale_out.open.values()):
+        for request in list(scheduler.scale_out.open_requests.values()):
             machines = self.rentals_done.get(request.name)
             if machines is None:
                 machines = tuple(self.boot(request.record) for _ in range(min(request.record.count, 3)))
                 self.rentals_done[request.name] = machines
-            scheduler.scale_out.record_answer(request, machines, self.now)
+            scheduler.scale_out.record_response(request, machines, self.now)
 
     def boot(self, record: ScaleOutRecord) -> str:
         """A machine comes up."""
