--- a/driftcleat/scheduler/admission.py
+++ b/driftcleat/scheduler/admission.py
@@ -1,4 +1,4 @@
-"""Admission: users' submissions and cancellations, from their arrival to the response after the commit."""
+"""Admission: users' submissions and cancellations, from their arrival until the response after the commit."""
 
 import logging
 from collections import OrderedDict, deque
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-# Final states that a term keeps in memory; older ones are read from the store.
+# Final statuses of ended jobs that a term keeps in memory; older ones are read from the store.
 MAX_CACHED_FINAL_STATES = 5000
 
 
@@ -27,15 +27,15 @@
     respond: Callable[[JobStatus | None], None]
     spec: JobSpec | None = None
     job_id: str = ""
-    # Final states of the submission's dependencies that had ended before, by job id.
+    # Final states of the dependencies that had ended before the submission, by job id.
     ended_dependencies: dict[str, str] = field(default_factory=dict)
 
 
 class Admission:
-    """Holds the requests that are pending, and the final states of jobs that ended in this term."""
+    """Holds the pending requests and the final statuses of jobs that ended in this term."""
 
     def __init__(self, context: SchedulerContext, arrivals: ArrivalRates) -> None:
-        # The most requests that may be pending at once.
+        # Maximum number of pending requests.
         self.max_waiting = context.tuning.max_waiting_write_seconds * context.platform.write_rps
         self._cluster = context.cluster
         self._layout = context.layout
@@ -46,16 +46,16 @@
         self._final_statuses: OrderedDict[str, JobStatus] = OrderedDict()
 
     def submit(self, request: PendingRequest) -> None:
-        """Queue a submission."""
+        """Queue a submission for the next batch; the caller checks `full` first."""
         self._submissions.append(request)
 
     def cancel(self, request: PendingRequest) -> None:
-        """Queue a cancellation."""
+        """Queue a cancellation for the next batch; the caller checks `full` first."""
         self._cancellations.append(request)
 
     @property
     def has_waiting(self) -> bool:
-        """Return whether a user waits for the next batch."""
+        """Return whether any request is pending."""
         return bool(self._submissions or self._cancellations)
 
     @property
@@ -86,13 +86,13 @@
         return self._final_statuses.get(job_id)
 
     def record_ended(self, job: Job) -> None:
-        """Keep the final state of a job that is about to leave the cluster state."""
+        """Cache the final status of a job that is about to be removed from the cluster state."""
         self._final_statuses[job.id] = user_job_status(self._cluster, job)
         while len(self._final_statuses) > MAX_CACHED_FINAL_STATES:
             self._final_statuses.popitem(last=False)
 
     def append_cancellations(self, batch: Batch) -> None:
-        """Append pending cancellations; those of jobs whose records must be migrated first stay pending."""
+        """Append pending cancellations; one of a job whose records must be migrated first stays pending."""
         postponed: list[PendingRequest] = []
         while self._cancellations:
             request = self._cancellations[0]
@@ -108,7 +108,7 @@
         self._cancellations.extend(postponed)
 
     def append_dependent_cancellations(self, batch: Batch) -> None:
-        """Cancel the dependents of cancelled jobs: no task of theirs has ever started, only records exist."""
+        """Cancel the dependents of cancelled jobs; none of their tasks has ever started, so only records change."""
         for job_id in list(self._cluster.dependencies.pending_cancellations):
             job = batch.job(job_id)
             if job is None or job.state is not JobState.ACTIVE or batch.must_migrate_first(job):
@@ -118,7 +118,7 @@
             batch.cancel_job(job_id, self._wall_clock())
 
     def append_submissions(self, batch: Batch, now: float) -> None:
-        """Append pending submissions; one of a known job id creates nothing, so that users may repeat requests."""
+        """Append pending submissions; one with a known job id creates no job, so that users may retry."""
         while self._submissions:
             request = self._submissions[0]
             spec = request.spec
@@ -129,13 +129,13 @@
             self._take_first(self._submissions, batch, spec.id)
 
     def _take_first(self, requests: deque[PendingRequest], batch: Batch, job_id: str) -> None:
-        """Take the first request off its queue: answer it on commit, and put it back on discard."""
+        """Remove the first request from its queue; respond to it on commit, put it back on discard."""
         request = requests.popleft()
         batch.on_discard.append(partial(requests.appendleft, request))
-        batch.on_commit.append(partial(self._answer, request, job_id))
+        batch.on_commit.append(partial(self._respond, request, job_id))
 
     def _create_job(self, batch: Batch, spec: JobSpec, request: PendingRequest, now: float) -> bool:
-        """Create a job in a batch; False if the batch is too full."""
+        """Create a job in a batch; return False if the batch has no room for it."""
         job = Job(spec, self._wall_clock())
         self._layout.assign_tasks_per_record(job)
         if not batch.has_room(job):
@@ -155,7 +155,8 @@
         """Return the state of a dependency as this batch leaves it: ACTIVE, DONE or CANCELLED."""
         job = batch.job(dependency)
         if job is not None:
-            # The dependency graph learns what ends in this very batch only after the new job has joined it.
+            # The dependency graph applies the ends of jobs in this batch only after it has added the new job, so the
+            # state of the dependency itself is checked as well.
             is_cancelled = (
                 job.state in (JobState.CANCELLED, JobState.TERMINATED)
                 or dependency in self._cluster.dependencies.pending_cancellations
@@ -166,5 +167,5 @@
             return JobState(status.state)
         return JobState(request.ended_dependencies.get(dependency, JobState.ACTIVE.value))
 
-    def _answer(self, request: PendingRequest, job_id: str) -> None:
+    def _respond(self, request: PendingRequest, job_id: str) -> None:
         request.respond(self.lookup(job_id))
--- a/driftcleat/scheduler/batch_builder.py
+++ b/driftcleat/scheduler/batch_builder.py
@@ -1,12 +1,12 @@
-"""Building a batch: which pending decisions go into the next transaction, by rank, within the store's write budget.
+"""Batch building: selects the pending changes for the next transaction, by priority, within the store's write budget.
 
-The ranks, highest first:
+Priorities, highest first:
 
 1. users' cancellations and submissions;
-2. cancellations of dependents, and the record migration;
-3. what heartbeats prove, graceful evictions, scale-out requests and placements, out of what is left of the write
-   budget beyond the reserve for users;
-4. garbage collection, out of what is left beyond a further reserve.
+2. cancellations of dependent jobs, and the record migration;
+3. state changes proven by heartbeats, graceful evictions, scale-out requests and placements, which leave the part of
+   the write budget free that is reserved for users;
+4. garbage collection, which leaves a further part of the write budget free.
 """
 
 from driftcleat.cluster import Batch, reconcile
@@ -20,14 +20,14 @@
 from driftcleat.scheduler.record_migration import RecordMigration
 from driftcleat.scheduler.scale_out import ScaleOut
 
-# The store takes requests of 64 KiB; compares and framing take the rest.
+# The store accepts requests of at most 64 KiB; the rest is for compares and framing.
 MAX_BATCH_BYTES = 56 * 1024
-# Every transaction puts the batch marker.
+# Every transaction also puts the batch marker.
 MARKER_OPERATIONS = 1
 
 
 class BatchBuilder:
-    """Builds one batch after the other from what the parts of the scheduler have pending."""
+    """Builds batches, one at a time, from the pending changes of the scheduler's components."""
 
     def __init__(
         self,
@@ -52,13 +52,13 @@
         self._placement = placement
         self._garbage_collector = garbage_collector
         self._pacing = pacing
-        # What the batch built last changes, until the scheduler clears it after the batch's outcome.
+        # The changes of the last batch, until the scheduler clears them on its commit or discard.
         self.in_flight = InFlightChanges(context.cluster)
 
     def build(self, available_operations: float) -> Batch:
         """Return the next batch; it may be empty.
 
-        `available_operations`: how many operations the store's write rate allows at this moment.
+        `available_operations` is the number of operations that the store's write rate allows now.
         """
         batch = self._build_within(self._platform.txn_ops, available_operations)
         if self._needs_first_version_limit(batch):
@@ -66,10 +66,11 @@
         return batch
 
     def _needs_first_version_limit(self, batch: Batch) -> bool:
-        """Return whether a batch is empty although there is work, which the higher limit of data version 1 may take.
+        """Return whether a batch is empty although changes are pending that the limit of data version 1 may admit.
 
-        Data version 1 keeps a large gang in more records than the lower limit allows to change at once. Guards
-        against everything being queued behind such a gang until data version 2 begins.
+        In data version 1 a large gang may span more records than the lower limit of data version 2 lets one
+        transaction change. Without the higher limit, all other work would wait behind such a gang until data
+        version 2 becomes active.
         """
         if not batch.is_empty or batch.on_commit:
             return False
@@ -78,21 +79,21 @@
         return not self._layout.version_2_active and self._platform.first_txn_ops > self._platform.txn_ops
 
     def _build_within(self, transaction_operations: int, available_operations: float) -> Batch:
-        """Return a batch for a transaction of at most so many operations."""
+        """Return a batch for a transaction of at most `transaction_operations` operations."""
         now = self._clock()
         max_operations = transaction_operations - MARKER_OPERATIONS
         batch = Batch(
             self._cluster.jobs, self._layout.chunk_of, max_operations, MAX_BATCH_BYTES, self._layout.needs_migration
         )
         if not self._migration.latch_requested and self._admission.has_dependencies:
-            # Only a controller that knows all others to be upgraded accepts a submission with dependencies.
+            # Submissions with dependencies are accepted only once all controllers are known to be upgraded.
             self._migration.request_latch()
         if self._migration.latch_due:
             self._migration.append_latch(batch)
             return batch
         user_operations = self._append_user_requests(batch, now)
         follow_up_operations = self._append_follow_ups(batch)
-        # Guards against submissions that wait behind hundreds of other changes: they have a reserve.
+        # Part of the write budget is reserved for users, so that submissions do not wait behind hundreds of changes.
         budget = (
             available_operations
             - MARKER_OPERATIONS
@@ -111,36 +112,40 @@
         return batch
 
     def _append_user_requests(self, batch: Batch, now: float) -> int:
-        """Append what users wait for, which may fill the batch; return how many operations it takes."""
+        """Append users' requests, which may fill the batch; return the number of operations appended."""
         before = batch.operations_left
         self._admission.append_cancellations(batch)
         self._admission.append_submissions(batch, now)
         return before - batch.operations_left
 
     def _append_follow_ups(self, batch: Batch) -> int:
-        """Append what users' requests entail or may wait for; return how many operations it takes."""
+        """Append dependent cancellations and the record migration; return the number of operations appended."""
         before = batch.operations_left
         self._admission.append_dependent_cancellations(batch)
         self._migration.append_to(batch)
         return before - batch.operations_left
 
     def _append_scheduling(self, batch: Batch, now: float, may_place: bool) -> int:
-        """Append what follows from the state of the cluster; return how many operations it takes.
+        """Append changes that follow from the cluster state; return the number of operations appended.
 
-        `may_place`: whether a placement round may run. It does not run in a batch that users wait for.
+        A placement round runs only if `may_place` is set. A batch with user requests has none, so that users do not
+        wait for the round.
         """
         before = batch.operations_left
         self._reconcile_machines(batch, now)
         self._drainer.append_stops(batch)
         self._scale_out.append_to(batch)
         if may_place and batch.operations_left > 0 and self._pacing.due(now):
-            # Guards against rounds that look at every machine while the store takes no change: on a small share of a
-            # processor, heartbeats are late for it.
+            # A round examines every machine. If the batch has no operations left it could place nothing, and with a
+            # small CPU share it would delay the handling of heartbeats.
             self._placement.run(batch, now)
         return before - batch.operations_left
 
     def _reconcile_machines(self, batch: Batch, now: float) -> None:
-        """Append what heartbeats prove, for at most the time of a placement round once the batch is full."""
+        """Append the task changes that heartbeats prove.
+
+        Once the batch has no room for a machine's changes, stop after the time budget of a placement round.
+        """
         for name in list(self._cluster.machines_to_reconcile):
             machine = self._cluster.machines.get(name)
             already_awaiting = set(batch.awaiting_migration)
@@ -151,6 +156,6 @@
                 self._cluster.machines_to_reconcile.discard(name)
 
 
-def _limit_operations(batch: Batch, most: float) -> None:
-    """Lower what a batch may still take to whole operations within a part of the write budget."""
-    batch.operations_left = int(max(0, min(batch.operations_left, most)))
+def _limit_operations(batch: Batch, limit: float) -> None:
+    """Lower the remaining operations of a batch to `limit`, rounded down and at least 0."""
+    batch.operations_left = int(max(0, min(batch.operations_left, limit)))
--- a/driftcleat/scheduler/placement_pass.py
+++ b/driftcleat/scheduler/placement_pass.py
@@ -1,4 +1,4 @@
-"""The placement pass: one round over the queue, within its time budget and the batch's limits."""
+"""The placement pass: one round over the queue, within the round's time budget and the limits of the batch."""
 
 import logging
 
@@ -15,22 +15,22 @@
 
 log = logging.getLogger(__name__)
 
-# The pause after a round that left jobs queued and saw nothing change, as a part of the report interval.
-IDLE_PAUSE = 1 / 4
-# The bytes that a batch keeps free, and those that one placement takes.
+# Pause, in heartbeat intervals, before the next round when jobs stay queued and nothing changes in the meantime.
+IDLE_PAUSE_INTERVALS = 1 / 4
+# Bytes of a batch that placements leave free, and the bytes of one placement.
 RESERVED_BYTES = 4096
 BYTES_PER_PLACEMENT = 128
-# Operations that a batch keeps free: the job's record, and one to spare.
+# Operations of a batch that placements leave free: one for the job's head record and one spare.
 RESERVED_OPERATIONS = 2
-# The most placements that one log line names.
 MAX_PLACEMENTS_LOGGED = 8
-# The highest fetch rank at which a machine fetches nothing else, and that at which it has the image already.
-RANK_ALONE = 1
-RANK_CACHED = 0
+# Fetch ranks of a candidate: the highest one at which no other image is being fetched, and the one at which the job's
+# image is cached or being fetched.
+FETCH_RANK_NO_OTHER_FETCH = 1
+FETCH_RANK_CACHED = 0
 
 
 class PlacementPass:
-    """Places queued tasks, job by job in the order of the queue."""
+    """Places queued tasks, one job after the other in fair-share order."""
 
     def __init__(
         self,
@@ -52,17 +52,17 @@
         self._candidates = candidates
         self._preemption = preemption
         self._pacing = pacing
-        # The job behind which the next round resumes, if the last one was truncated.
-        self._resume_behind: str | None = None
-        # The offers of which a machine boots and is not late.
+        # If the last round was truncated: the job after which the next round resumes.
+        self._resume_after: str | None = None
+        # Offers with a booting machine that has not exceeded its boot timeout.
         self._booting: set[MachineOffer] = set()
 
     def run(self, batch: Batch, now: float) -> None:
-        """Run one round; what it leaves is for the next one.
+        """Run one placement round and add its placements and preemptions to the batch.
 
-        The time budget counts from when the candidates are there, and at least one job is attempted. Guards against
-        rounds of thousands of machines, or on a small share of a processor, that are truncated before their first
-        job: seen with 4,000 machines, where a new job was queued for half a minute.
+        The time budget starts once the candidates are collected, and at least one job is attempted. Otherwise a round
+        over thousands of machines, or with a small CPU share, would be truncated before its first job: with 4,000
+        machines a new job stayed queued for half a minute.
         """
         self._counters.rounds += 1
         queued = self._queue.queued()
@@ -75,13 +75,13 @@
             lambda job_id, index: (job_id, index) in self._cluster.orphaned_tasks,
         )
         state = RoundState(placement_round, self._candidates, queued.order, now)
-        jobs = self._resumed(queued.jobs)
+        jobs = self._in_resume_order(queued.jobs)
         self._pacing.begin()
         self._place_jobs(batch, jobs, state)
         self._pacing.end(now, self._clock())
 
     def _place_jobs(self, batch: Batch, jobs: list[Job], state: RoundState) -> None:
-        """Attempt one job after the other until the budget or the batch is used up."""
+        """Attempt jobs in order until the time budget is spent or the batch is full."""
         now = state.now
         deadline = self._clock() + self._pacing.budget_s
         any_attempted = False
@@ -91,7 +91,7 @@
             if retry_at > now:
                 next_retry_at = min(next_retry_at, retry_at)
                 continue
-            if self._is_changing(batch, job):
+            if self._must_postpone(batch, job):
                 self._pacing.request_round()
                 continue
             if (any_attempted and self._clock() >= deadline) or not batch.has_room(job):
@@ -102,7 +102,7 @@
         if next_retry_at < INFINITE:
             self._pacing.request_round_at(next_retry_at)
         elif jobs:
-            self._pacing.request_round_at(now + self._platform.report_s * IDLE_PAUSE)
+            self._pacing.request_round_at(now + self._platform.report_s * IDLE_PAUSE_INTERVALS)
 
     def _booting_offers(self, now: float) -> set[MachineOffer]:
         return {
@@ -113,31 +113,31 @@
             and now - machine.created_at < machine.type.boot_s * self._tuning.boot_timeout_boot_times
         }
 
-    def _resumed(self, jobs: list[Job]) -> list[Job]:
-        """Return the queue from behind the job at which the last round was truncated, then the jobs before."""
-        if self._resume_behind is None:
+    def _in_resume_order(self, jobs: list[Job]) -> list[Job]:
+        """Return the queue rotated so that it starts where the last round was truncated."""
+        if self._resume_after is None:
             return jobs
-        at = next((number for number, job in enumerate(jobs) if job.id == self._resume_behind), -1)
-        self._resume_behind = None
+        at = next((position for position, job in enumerate(jobs) if job.id == self._resume_after), -1)
+        self._resume_after = None
         return jobs[at + 1 :] + jobs[: at + 1]
 
     @staticmethod
-    def _is_changing(batch: Batch, job: Job) -> bool:
-        """Tell whether a job cannot be placed in this batch: it changes in it, or its records must migrate first."""
+    def _must_postpone(batch: Batch, job: Job) -> bool:
+        """Return whether a job must wait for a later batch: it changes in this one or needs record migration."""
         current = batch.job(job.id)
         if current is None or current.state is not JobState.ACTIVE or job.id in batch.jobs:
             return True
         return batch.must_migrate_first(job)
 
     def _truncate(self, job: Job, jobs: list[Job]) -> None:
-        """End the round before a job: the next one resumes there."""
+        """End the round before a job; the next round resumes with it."""
         self._counters.rounds_truncated += 1
         at = jobs.index(job)
-        self._resume_behind = jobs[at - 1].id if at > 0 else None
+        self._resume_after = jobs[at - 1].id if at > 0 else None
         self._pacing.record_change()
 
     def _place_job(self, batch: Batch, job: Job, state: RoundState) -> None:
-        """Place what fits of a job's queued tasks, or preempt for them."""
+        """Place as many of a job's queued tasks as fit; if none fits, try to preempt for them."""
         quota = state.quotas.setdefault(job.spec.team, self._queue.quota_headroom(job.spec.team))
         max_tasks = self._max_tasks_in_batch(batch, job)
         if job.is_gang and job.tasks_queued > max_tasks:
@@ -151,14 +151,14 @@
                 self._preemption.preempt_for(batch, job, state)
             return
         if not job.is_gang:
-            assignments = self._within_records(batch, job, assignments)
+            assignments = self._limit_to_batch_room(batch, job, assignments)
         if not assignments:
             self._pacing.request_round()
             return
         self._bind(batch, job, assignments)
 
     def _bind(self, batch: Batch, job: Job, assignments: list[TaskAssignment]) -> None:
-        """Put the placements into the batch."""
+        """Add the placements to the batch as a new attempt of the job."""
         attempt = batch.next_attempt(job.id)
         for index, candidate in assignments:
             batch.transition_task(
@@ -181,8 +181,8 @@
         if job.is_gang or len(assignments) == job.tasks_queued:
             self._preemption.release(job.id)
 
-    def _within_records(self, batch: Batch, job: Job, assignments: list[TaskAssignment]) -> list[TaskAssignment]:
-        """Return as many of an array's or service's assignments as the batch has room for the records they change."""
+    def _limit_to_batch_room(self, batch: Batch, job: Job, assignments: list[TaskAssignment]) -> list[TaskAssignment]:
+        """Return the first assignments of an array or service whose changed records fit in the batch."""
         chunks: set[int] = set()
         for count, assignment in enumerate(assignments):
             chunks |= {self._layout.chunk_of(job, assignment.task_index)} - {0}
@@ -191,7 +191,7 @@
         return assignments
 
     def _max_tasks_in_batch(self, batch: Batch, job: Job) -> int:
-        """Return how many tasks of a job this batch can still place."""
+        """Return how many tasks of a job still fit in the batch: for a gang all or 0, else an estimate above 0."""
         tasks_per_record = self._layout.tasks_per_record(job)
         if job.is_gang:
             chunks = -(-job.spec.tasks // tasks_per_record)
@@ -201,15 +201,15 @@
         return max(1, min(tasks_per_record * records, (batch.bytes_left - RESERVED_BYTES) // BYTES_PER_PLACEMENT))
 
     def _max_fetch_rank(self, job: Job, now: float) -> int:
-        """Return the highest fetch rank at which a job's tasks are placed: see `PlacementRound.place`."""
+        """Return the highest acceptable fetch rank for a job's tasks; `PlacementRound.place` defines the ranks."""
         if self._preemption.waits_for_image(job, now):
-            return RANK_CACHED
-        return RANK_ALONE if self._should_await_booting(job) else UNBOUNDED
+            return FETCH_RANK_CACHED
+        return FETCH_RANK_NO_OTHER_FETCH if self._should_await_booting(job) else UNBOUNDED
 
     def _should_await_booting(self, job: Job) -> bool:
-        """Tell whether a booting machine is likely better than one that fetches another image.
+        """Return whether to wait for a booting machine rather than use one that is fetching another image.
 
-        Fetches share a machine's rate, so images that are mixed on one machine all come late.
+        Concurrent fetches share a machine's fetch rate, so each of them takes longer.
         """
         for offer in self._booting:
             machine_type = self._cluster.machine_types.get(offer.machine_type)
@@ -222,13 +222,13 @@
         return False
 
     def _queued_s(self, job: Job) -> float:
-        """Return for how long a job could have run, as far as its dependencies go."""
+        """Return the seconds since a job was submitted or, if it had dependencies, since the last one was met."""
         ready_at = self._cluster.ready_at.get(job.id)
         return self._wall_clock() - job.submitted_at if ready_at is None else self._clock() - ready_at
 
 
 def _smallest_request(jobs: list[Job]) -> Resources:
-    """Return the least that any of these jobs' tasks requests of each resource."""
+    """Return the smallest request for each resource among the tasks of these jobs."""
     specs = [job.spec for job in jobs]
     return Resources(
         min((spec.cpus for spec in specs), default=INFINITE),
--- a/driftcleat/scheduler/queue.py
+++ b/driftcleat/scheduler/queue.py
@@ -1,4 +1,4 @@
-"""The scheduling queue: jobs with tasks that are not placed, in fair-share order."""
+"""The scheduling queue: jobs with queued tasks, in fair-share order."""
 
 from dataclasses import dataclass
 
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedJobs:
-    """The jobs with queued tasks, first the one that is placed first, and the order that sorted them."""
+    """The jobs with queued tasks in placement order, and the order by which they are sorted."""
 
     jobs: list[Job]
     order: FairShareOrder
 
 
 @dataclass(slots=True)
-class _Demand:
-    """What the unfinished tasks of a team's oldest jobs take together."""
+class _TeamDemand:
+    """The summed resource requests of the unfinished tasks of a team's jobs, up to some job by age."""
 
     cpus: float = 0.0
     gpus: float = 0.0
@@ -32,7 +32,7 @@
 
 
 class JobQueue:
-    """Sorts queued jobs by guarantee, priority and age; the result is cached until the next commit."""
+    """Sorts jobs with queued tasks by guarantee, priority and age, and caches the result until `invalidate`."""
 
     def __init__(self, platform: Platform, tuning: Tuning, cluster: ClusterState) -> None:
         self._platform = platform
@@ -41,30 +41,33 @@
         self._queued: QueuedJobs | None = None
 
     def invalidate(self) -> None:
-        """Drop the cached queue: jobs or their tasks have changed."""
+        """Drop the cached queue; called when jobs or their tasks have changed."""
         self._queued = None
 
     def queued(self) -> QueuedJobs:
-        """Return the queue; the result is shared and must not be changed."""
+        """Return the queue; callers must not modify it, since it is cached."""
         if self._queued is None:
             self._queued = self._sort()
         return self._queued
 
     def _placement_allowance_s(self) -> float:
-        """Return how long it takes to place a job that needs a new machine: it boots, and its heartbeat arrives."""
+        """Return the seconds until a job can be placed on a new machine: boot time plus one heartbeat interval."""
         boot_s = min((machine_type.boot_s for machine_type in self._cluster.machine_types.values()), default=0.0)
         return boot_s * self._tuning.expected_boot_ratio + self._platform.report_s
 
     def _sort(self) -> QueuedJobs:
-        """Return the queue; a job is guaranteed while its team's demand up to it, by age, is within its guarantee."""
+        """Return the queue.
+
+        A job is guaranteed if its team's demand, summed from the oldest job up to this one, is within its guarantee.
+        """
         guaranteed: set[str] = set()
-        demands: dict[str, _Demand] = {}
+        demands: dict[str, _TeamDemand] = {}
         queued: list[Job] = []
         for job in sorted(self._cluster.jobs.values(), key=lambda job: (job.submitted_at, job.id)):
             if job.state is not JobState.ACTIVE or not self._cluster.dependencies_met(job):
-                # A job with unmet dependencies is not placed, and counts towards no quota.
+                # A job with unmet dependencies is not placed and does not count towards its team's guarantee.
                 continue
-            demand = demands.setdefault(job.spec.team, _Demand())
+            demand = demands.setdefault(job.spec.team, _TeamDemand())
             demand.add(job.spec, job.spec.tasks - job.tasks_done)
             team = self._platform.teams.get(job.spec.team)
             if team is not None and _within_guarantee(team, demand, job.spec):
@@ -75,7 +78,7 @@
         return QueuedJobs(sorted(queued, key=order.sort_key), order)
 
     def quota_headroom(self, team_name: str) -> QuotaHeadroom:
-        """Return what may still be placed for a team below its upper limits; nothing for an unknown team."""
+        """Return what may still be placed for a team within its quota limits; zero for an unknown team."""
         team = self._platform.teams.get(team_name)
         if team is None:
             return QuotaHeadroom(0.0, 0.0)
@@ -87,8 +90,8 @@
         )
 
 
-def _within_guarantee(team: Team, demand: _Demand, spec: JobSpec) -> bool:
-    """Return whether a demand is within a team's guarantee; a resource without a guarantee is not compared."""
+def _within_guarantee(team: Team, demand: _TeamDemand, spec: JobSpec) -> bool:
+    """Return whether a demand is within a team's guarantee; a resource without a guarantee is not checked."""
     cpus, gpus = team.cpus, team.gpus
     if cpus <= 0 and gpus <= 0:
         return False
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -1,7 +1,7 @@
-"""The scheduler of one leader term, without any I/O: what is pending, and the next batch of decisions.
+"""The scheduler of one leader term: it holds what is pending and builds the next batch of decisions, without I/O.
 
-The controller feeds it (users' requests, heartbeats, machine lists), asks for the next batch, commits it to the store
-and has it applied. Only the leader has a scheduler; a new term begins with a new one, made from the stored records.
+The controller passes in users' requests, heartbeats and machine lists, requests the next batch, commits it to the
+store and reports the commit. Only the leader has a scheduler; each term creates a new one from the stored records.
 """
 
 import random
@@ -34,16 +34,18 @@
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.layout import RecordLayout
 
-# So many report intervals after the start of a term nothing is placed: workers report to the new leader first.
-REPORT_INTERVALS_BEFORE_PLACING = 1.25
+# Heartbeat intervals after the start of a term during which no task is placed: workers first send their heartbeats to
+# the new leader.
+HEARTBEAT_INTERVALS_BEFORE_PLACING = 1.25
 
 
 class Scheduler:
-    """Takes all decisions of one leader term; its parts hold what is pending of each kind.
+    """Makes all scheduling decisions of one leader term; each component holds one kind of pending work.
 
     `clock` is monotonic and shared with `cluster`; `wall_clock` returns the time of day; both in seconds.
-    `is_new_store`: the store never held a batch, so there are no workers yet whose heartbeats to wait for.
-    `overload_pause_s`: returns by how much rounds are delayed while heartbeats are handled late, in seconds.
+    `is_new_store`: whether the store has never held a batch; placement then starts at once, since no worker has tasks
+    to report. `overload_pause_s` returns the seconds by which each placement round is delayed while the controller
+    handles heartbeats late.
     """
 
     def __init__(
@@ -100,23 +102,23 @@
             self.pacing,
         )
 
-    def _record_recovered_jobs(self, now: float, wall: float) -> None:
-        """Count the jobs that were recovered from records as arrivals, as of when they were submitted."""
+    def _record_recovered_jobs(self, now: float, wall_time: float) -> None:
+        """Count jobs recovered from the store as arrivals at the time of their submission."""
         for job in self.cluster.jobs.values():
             self.layout.assign_tasks_per_record(job)
             if self.cluster.dependencies_met(job):
-                self._arrivals.record(job.spec, now - max(0.0, wall - job.submitted_at))
+                self._arrivals.record(job.spec, now - max(0.0, wall_time - job.submitted_at))
 
-    # -- the life of a batch ------------------------------------------------------------------------------
+    # Life cycle of a batch
 
     @property
     def target_batch_operations(self) -> float:
-        """Return how many operations the store's write rate should allow before a batch without users is built."""
+        """Return how many operations the write budget should hold before a batch without user requests is built."""
         return self.platform.write_rps * self.tuning.user_write_share + self.platform.txn_ops / 2
 
     @property
     def has_work(self) -> bool:
-        """Return whether a batch built now may hold something."""
+        """Return whether a batch that is built now could contain a change."""
         return bool(
             self.admission.has_waiting
             or self.cluster.machines_to_reconcile
@@ -132,13 +134,16 @@
     def build_batch(self, available_operations: float = INFINITE) -> Batch:
         """Return the next batch; it may be empty.
 
-        `available_operations`: how many operations the store's write rate allows at this moment. A batch that is not
-        empty must end in `apply_commit` or `discard_batch` before the next one is built.
+        `available_operations` is the number of operations that the store's write rate allows now. A batch that is not
+        empty must be passed to `apply_commit` or `discard_batch` before the next one is built.
         """
         return self._batch_builder.build(available_operations)
 
     def discard_batch(self, batch: Batch) -> None:
-        """Undo a batch that is certainly not committed and will not be sent again: its changes are pending again."""
+        """Make the changes of a batch pending again.
+
+        Only for a batch that is certainly not committed and will not be sent again.
+        """
         for undo in reversed(batch.on_discard):
             undo()
         self.migration.record_discard()
@@ -152,9 +157,9 @@
         self.pacing.record_change()
 
     def apply_commit(self, batch: Batch, revision: int, obsolete_keys: list[str]) -> None:
-        """Apply a committed batch to the cluster state, and run what was to follow its commit.
+        """Apply a committed batch to the cluster state and run its `on_commit` callbacks.
 
-        `revision` is the transaction's mod revision; `obsolete_keys` are chunk records of jobs that ended with it.
+        `revision` is the transaction's mod revision; `obsolete_keys` are the chunk records of jobs that it ended.
         """
         now = self._clock()
         self.migration.record_commit(revision)
@@ -165,7 +170,7 @@
         self._record_ready_jobs(now)
         self._batch_builder.in_flight.clear()
         if batch.created:
-            # A job is placed in a later batch than its own, and nothing else may come to request that round.
+            # A job is placed in a later batch than the one that creates it; no other event may request that round.
             self.pacing.record_change()
         self._record_task_transitions(batch)
         self.garbage_collector.delete_later(obsolete_keys)
@@ -175,7 +180,7 @@
             follow_up()
 
     def _record_job_change(self, job: Job) -> None:
-        """Keep the final state of a job that ended; send the stops of one that was cancelled at once."""
+        """Cache the final status of an ended job; send stop commands for a cancelled one without delay."""
         if job.state in (JobState.DONE, JobState.TERMINATED):
             self.admission.record_ended(job)
             self.preemption.release(job.id)
@@ -183,14 +188,14 @@
             self.urgent_stops.update(placement.machine for placement in job.placements.values())
 
     def _record_ready_jobs(self, now: float) -> None:
-        """Count jobs whose last dependency is met by this commit as arrivals."""
+        """Count jobs whose last dependency was met by this commit as arrivals."""
         for job_id, ready_at in self.cluster.ready_at.items():
             if ready_at == now:
                 self._arrivals.record(self.cluster.jobs[job_id].spec, now)
                 self.pacing.record_change()
 
     def _record_task_transitions(self, batch: Batch) -> None:
-        """Request a round for capacity that was released, and send stops at once."""
+        """Request a placement round for released capacity; send the commands for stopped tasks without delay."""
         for _, _, old, new in batch.task_transitions:
             if new is None:
                 self.pacing.record_change()
@@ -198,49 +203,48 @@
                 self.urgent_stops.add(new.machine)
 
     def record_external_end(self, job_id: str, state: JobState) -> None:
-        """Record that a dependency of our jobs, which another scheduler owns, is done or cancelled.
+        """Record that a dependency owned by another scheduler is done or cancelled.
 
-        Guards against a dependent that stays out of the queue, which is otherwise kept until the next commit: seen in
-        a random walk.
+        The cached queue is otherwise rebuilt only at the next commit, so a dependent job would stay out of it.
         """
         self.cluster.record_external_end(job_id, state, self._clock())
         self.queue.invalidate()
         self.pacing.record_change()
 
-    # -- the fleet ----------------------------------------------------------------------------------------
+    # Fleet size
 
     def plan_scale_out(
         self, now: float, failures: FailureDetector | None = None, max_machines: int = MAX_MACHINES_PER_REQUEST
     ) -> CapacityPlan:
-        """Return what to scale out for queued and expected work, and which machines that work would use.
+        """Return which machines to create for queued and expected work, and which existing ones that work would use.
 
-        `failures`: what `reachability` has just detected, if it was asked; `max_machines`: the most machines that one
-        plan asks for.
+        `failures` is the result of `reachability.detect_failures`, which is called if it is None; `max_machines`
+        limits the machines that one plan creates.
         """
         return self.demand.plan(now, failures or self.reachability.detect_failures(now), max_machines)
 
     def select_scale_in(
         self, plan: CapacityPlan, now: float, failures: FailureDetector | None = None
     ) -> list[Machine]:
-        """Return the machines to scale in: unneeded by the plan, or given up as lost."""
+        """Return the machines to scale in: those that the plan does not need, and those that are presumed lost."""
         return self._scale_in.select(
             plan, self._batch_builder.in_flight.machines, now, failures or self.reachability.detect_failures(now)
         )
 
     def consolidation_candidate(self, now: float) -> Machine | None:
-        """Return a machine that is worth draining, since its few replicas fit elsewhere; None if there is none."""
+        """Return a machine to drain because its few replicas fit on other machines; None if there is none."""
         return self._consolidation.candidate(self._batch_builder.in_flight.machines, now)
 
     def find_or_register_machine(self, name: str, now: float) -> Machine:
-        """Return a machine by name; one that is known from placements in records only is registered first."""
+        """Return a machine by name; register it first if only placements in stored records name it."""
         zone = next((placement.zone for placement in self.cluster.unconfirmed_placements.get(name, {}).values()), "")
         return self.cluster.machines.get(name) or self.cluster.register_machine(name, "", zone, False, "", now)
 
     def summary(self) -> str:
-        """Return machines by type and queued tasks by job class, for the log."""
+        """Return the machines by type and the queued tasks by job class, as one log line."""
         return fleet_summary(self.cluster)
 
 
 def _heartbeat_wait_s(platform: Platform, is_new_store: bool) -> float:
-    """Return how long after the start of a term nothing is placed, in seconds."""
-    return 0.0 if is_new_store else platform.report_s * REPORT_INTERVALS_BEFORE_PLACING
+    """Return for how many seconds after the start of a term no task is placed."""
+    return 0.0 if is_new_store else platform.report_s * HEARTBEAT_INTERVALS_BEFORE_PLACING
