--- a/driftcleat/scheduler/__init__.py
+++ b/driftcleat/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""The scheduler: all decisions of one leader term, without any I/O."""
+"""The scheduler: makes all scheduling decisions of one leader term, without I/O."""
 
 from driftcleat.scheduler.admission import PendingRequest
 from driftcleat.scheduler.eligibility import unschedulable_reason
--- a/driftcleat/scheduler/cancellations.py
+++ b/driftcleat/scheduler/cancellations.py
@@ -1,14 +1,14 @@
-"""Cancelled jobs whose tasks may still be on machines: stopping them, and fencing the machines that do not react."""
+"""Cancelled jobs whose tasks may still be on machines: stops the tasks and finds machines that must be fenced."""
 
 from driftcleat.cluster import Batch, JobState
 from driftcleat.scheduler.context import SchedulerContext
 
-# The clocks of two controllers, ours and the one that stored the cancellation, may both be off.
+# Two clocks may be off: this controller's and that of the controller that stored the cancellation.
 CLOCKS_INVOLVED = 2
 
 
 class Cancellations:
-    """Follows cancelled jobs until every one of their tasks is proven gone."""
+    """Finds the machines that may still hold tasks of cancelled jobs."""
 
     def __init__(self, context: SchedulerContext) -> None:
         self._platform = context.platform
@@ -20,13 +20,13 @@
     def jobs_still_placed(self, older_than_s: float = 0.0) -> dict[str, set[str]]:
         """Return the machines that may still hold tasks of a cancelled job, by job id.
 
-        Only jobs that were cancelled at least `older_than_s` ago are looked at.
+        Jobs that were cancelled less than `older_than_s` seconds ago are left out.
         """
-        wall = self._wall_clock()
+        wall_time = self._wall_clock()
         machines_by_job: dict[str, set[str]] = {}
         for job_id in self._cluster.cancelled_jobs:
             job = self._cluster.jobs[job_id]
-            if wall - job.cancelled_at < older_than_s:
+            if wall_time - job.cancelled_at < older_than_s:
                 continue
             machines = {
                 placement.machine
@@ -38,7 +38,7 @@
         return machines_by_job
 
     def machines_to_fence(self) -> set[str]:
-        """Return machines that may still hold a cancelled task, and must be deleted before the deadline for it."""
+        """Return machines that may still hold a cancelled task and must be deleted to meet the cancel deadline."""
         wait_s = max(
             0.0,
             self._platform.cancel_s * self._tuning.cancel_fence_share - CLOCKS_INVOLVED * self._platform.clock_off_s,
@@ -46,13 +46,13 @@
         return set().union(*self.jobs_still_placed(wait_s).values())
 
     def stop_unconfirmed(self, batch: Batch) -> bool:
-        """Stop the tasks of jobs whose cancellation is in a batch of unknown outcome; False if that is done already.
+        """Stop the tasks of jobs whose cancellation is in a batch of unknown outcome.
 
-        The one exception to the rule that a change takes effect only after its commit, and only while the store is
-        unreachable. Guards against a transaction that was committed without our knowing: another controller reads
-        the record and confirms the cancellation to the user, the store is then down for longer than a cancellation
-        may take, and we keep the leases of those very tasks alive. The user has asked for the stop, so nothing of
-        worth is lost if the transaction turns out not to be committed; the tasks are then queued again.
+        Return False if those tasks are being stopped already. This is the only change that takes effect before its
+        commit, and only while the store is unreachable. The transaction may be committed without this controller
+        knowing: another controller then confirms the cancellation to the user, and if the store stays down for longer
+        than a cancellation may take, this controller would keep the leases of the cancelled tasks alive. If the
+        transaction turns out not to be committed, the tasks are queued again; the user wanted them stopped anyway.
         """
         unconfirmed = {job_id for job_id in batch.changed_jobs if batch.jobs[job_id].state is JobState.CANCELLED}
         if unconfirmed <= self._cluster.unconfirmed_cancellations:
--- a/driftcleat/scheduler/consolidation.py
+++ b/driftcleat/scheduler/consolidation.py
@@ -1,4 +1,4 @@
-"""Consolidation: a machine whose few replicas fit on other machines is worth draining."""
+"""Consolidation: selects a machine to drain because its few replicas fit on other machines."""
 
 from dataclasses import replace
 
@@ -10,15 +10,15 @@
 from driftcleat.wire.users import JobKind, JobSpec
 from driftcleat.wire.workers import TaskPhase
 
-# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+# A module constant, since an enum member's lookup takes several times as long as a comparison, once for every task.
 RUNNING = TaskPhase.RUNNING
 
-# A machine of which more than this part is used is left alone.
-MAX_USED = 0.5 + ROUNDING_TOLERANCE
+# A machine whose most used resource is used beyond this share is not drained.
+MAX_UTILIZATION = 0.5 + ROUNDING_TOLERANCE
 
 
 class Consolidation:
-    """Finds machines to drain, one at a time."""
+    """Selects machines to drain, one at a time."""
 
     def __init__(self, context: SchedulerContext, candidates: MachineCandidates) -> None:
         self._platform = context.platform
@@ -27,31 +27,32 @@
         self._candidates = candidates
 
     def candidate(self, in_flight: set[str], now: float) -> Machine | None:
-        """Return the machine that wastes most, of those whose replicas fit on machines in use with their images.
+        """Return the machine with the highest cost of unused resources whose replicas all fit elsewhere.
 
-        Services last longer than what ran beside them; each left alone on a machine keeps all of it rented. Draining
-        moves them: the protocol allows it, and they are away for about one report interval.
+        They fit if other machines in use have room for them and have their images. Services outlast the jobs beside
+        them, and a single replica keeps a whole machine allocated. Draining moves the replicas, as the protocol
+        allows; each is unavailable for about one heartbeat interval.
         """
         if not self._may_consolidate(now):
             return None
         best: Machine | None = None
-        best_wasted = 0.0
+        best_wasted_cost = 0.0
         busy: list[Candidate] | None = None
         for machine in self._cluster.machines.values():
             if not self._is_settled(machine, in_flight, now):
                 continue
-            wasted = self._wasted(machine)
-            if wasted is None or wasted <= best_wasted:
+            wasted_cost = self._wasted_cost(machine)
+            if wasted_cost is None or wasted_cost <= best_wasted_cost:
                 continue
             if busy is None:
                 busy = [candidate for candidate in self._candidates.available(now, MIN_FREE_GPUS) if candidate.busy]
-            if self._fits_on(machine, busy):
+            if self._replicas_fit_on(machine, busy):
                 best = machine
-                best_wasted = wasted
+                best_wasted_cost = wasted_cost
         return best
 
     def _may_consolidate(self, now: float) -> bool:
-        """Tell whether nothing else is under way: no task is queued, no machine drains, and the term has settled."""
+        """Return whether no task is queued, no machine is draining, and the term is older than a worker lease."""
         if now - self._cluster.started_at <= self._platform.lease_s:
             return False
         if any(job.tasks_queued for job in self._cluster.jobs.values()):
@@ -67,31 +68,31 @@
             and now - machine.tasks_changed_at >= machine.type.boot_s * self._tuning.consolidation_quiet_boot_times
         )
 
-    def _wasted(self, machine: Machine) -> float | None:
-        """Return what an hour of a machine's unused part costs; None if too much of it is used."""
+    def _wasted_cost(self, machine: Machine) -> float | None:
+        """Return the hourly cost of a machine's unused share; None if its utilization is too high."""
         machine_type = machine.type
         if machine_type is None:
             return None
         jobs = self._cluster.jobs
         specs = [jobs[job_id].spec for job_id, _ in machine.tasks if job_id in jobs]
-        used = max(
+        utilization = max(
             (
-                sum(requested) / whole
-                for requested, whole in (
+                sum(requested) / total
+                for requested, total in (
                     ((spec.cpus for spec in specs), machine_type.cpus),
                     ((spec.gpus for spec in specs), machine_type.gpus),
                     ((spec.memory_gb for spec in specs), machine_type.memory_gb),
                 )
-                if whole > 0
+                if total > 0
             ),
             default=1.0,
         )
-        if used > MAX_USED:
+        if utilization > MAX_UTILIZATION:
             return None
-        return (1.0 - used) * (machine_type.spot_price if machine.spot else machine_type.price)
+        return (1.0 - utilization) * (machine_type.spot_price if machine.spot else machine_type.price)
 
-    def _fits_on(self, machine: Machine, busy: list[Candidate]) -> bool:
-        """Tell whether all of a machine's tasks are running replicas that fit on other machines in use."""
+    def _replicas_fit_on(self, machine: Machine, busy: list[Candidate]) -> bool:
+        """Return whether all of a machine's tasks are running replicas that fit on other machines in use."""
         others = [replace(candidate) for candidate in busy if candidate.name != machine.name]
         for job_id, index in machine.tasks:
             job = self._cluster.jobs.get(job_id)
@@ -101,15 +102,15 @@
                 return False
             counts = job.placements_by_zone()
             counts[machine.zone] -= 1
-            found = _first_with_image(job.spec, others, counts)
+            found = _first_fit_with_image(job.spec, others, counts)
             if found is None:
                 return False
             found.allocate(job.spec)
         return True
 
 
-def _first_with_image(spec: JobSpec, candidates: list[Candidate], counts: dict[str, int]) -> Candidate | None:
-    """Return the first candidate that has the image and takes a task; `counts` is the job's other tasks by zone."""
+def _first_fit_with_image(spec: JobSpec, candidates: list[Candidate], counts: dict[str, int]) -> Candidate | None:
+    """Return the first candidate that has the image and room for a task; `counts`: the job's other tasks by zone."""
     return next(
         (
             candidate
--- a/driftcleat/scheduler/context.py
+++ b/driftcleat/scheduler/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a scheduler share."""
+"""The settings, state and counters that all components of a scheduler share."""
 
 import random
 from collections.abc import Callable
@@ -13,26 +13,26 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Totals of one term, for metrics."""
+    """Totals since the start of the term, for metrics."""
 
     batches: int = 0
     rounds: int = 0
-    # Rounds that ended with jobs left, since their time budget or the batch was used up.
+    # Rounds that ended before all jobs were attempted, because the time budget was spent or the batch was full.
     rounds_truncated: int = 0
-    # Tasks that were placed, and tasks that were stopped for other work.
+    # Tasks that were placed, and tasks that were preempted.
     placed: int = 0
     preempted: int = 0
     machines_created: int = 0
     machines_deleted: int = 0
-    # Exits of tasks by reason.
+    # Task exits by reason.
     exits: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class SchedulerContext:
-    """Settings, cluster state, record layout, clocks, and the source of random numbers.
+    """Settings, cluster state, record layout, clocks and the random number generator.
 
-    `clock` is monotonic, `wall_clock` is the time of day; both return seconds.
+    `clock` is monotonic, `wall_clock` returns the time of day; both in seconds.
     """
 
     platform: Platform
@@ -44,5 +44,5 @@
     wall_clock: Callable[[], float]
     counters: Counters = field(default_factory=Counters)
     # Names of machines to send stop commands to without waiting for their next heartbeat. `Scheduler` and
-    # `Cancellations` add to this one set; the stop dispatcher empties it, through `Scheduler.urgent_stops`.
+    # `Cancellations` add to this set; the stop dispatcher takes them out through `Scheduler.urgent_stops`.
     urgent_stops: set[str] = field(default_factory=set)
--- a/driftcleat/scheduler/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -1,4 +1,4 @@
-"""Demand planning: which machines queued, presumed-lost and expected work needs beyond those there are."""
+"""Demand planning: which new machines are needed for queued, presumed-lost and expected work."""
 
 import logging
 
@@ -18,7 +18,7 @@
 
 
 class DemandPlanner:
-    """Plans the fleet for all demand, the queue's first."""
+    """Plans capacity for all demand, in the order queued, presumed lost, expected."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self.free_capacity = FreeCapacity(context, scale_out)
 
     def plan(self, now: float, failures: FailureDetector, max_machines: int) -> CapacityPlan:
-        """Return what to rent, at most `max_machines` machines, and which present machines the demand uses."""
+        """Return which machines to create, at most `max_machines`, and which existing ones the demand uses."""
         demands = self.queued.demands()
         demands.extend(self.presumed_lost.demands(failures, now))
         demands.extend(self.expected.demands(now))
--- a/driftcleat/scheduler/drains.py
+++ b/driftcleat/scheduler/drains.py
@@ -1,4 +1,4 @@
-"""Graceful eviction: machines that take no more tasks, and the stops of what runs on them."""
+"""Graceful eviction: cordons machines and stops their tasks with a grace period."""
 
 import logging
 
@@ -9,29 +9,29 @@
 
 
 class MachineDrainer:
-    """Drains machines: stops their tasks with a grace period in which they save a checkpoint."""
+    """Drains machines: places no more tasks there and stops theirs with a grace period for a checkpoint."""
 
     def __init__(self, context: SchedulerContext) -> None:
         self._cluster = context.cluster
         self._layout = context.layout
         self._draining: set[str] = set()
-        # Whether the next batch has to look for tasks to stop.
+        # Whether the next batch must look for tasks to stop.
         self.pending = True
 
     def drain(self, machine: Machine, reason: str) -> None:
-        """Cordon a machine, and have the next batch stop its tasks gracefully; `reason` is for the log."""
+        """Cordon a machine and have the next batch stop its tasks gracefully; `reason` is for the log."""
         log.info("machine %s: draining %d tasks: %s", machine.name, len(machine.tasks), reason)
         transition_machine(machine, MachineState.DRAINING)
         self._draining.add(machine.name)
-        # Nothing else need happen for the next batch to hold the stops.
+        # The next batch is built for the stops even if no other change is pending.
         self.pending = True
 
     def record_commit(self) -> None:
-        """Look for tasks again after a commit: it may have placed one on a machine that was drained meanwhile."""
+        """Look for tasks again after a commit, which may have placed one on a machine that is draining by now."""
         self.pending = self.pending or bool(self._draining)
 
     def append_stops(self, batch: Batch) -> None:
-        """Append the stops of all tasks on draining machines, as far as the batch has room."""
+        """Append the stops of tasks on draining machines for which the batch has room."""
         for name in sorted(self._draining):
             machine = self._cluster.machines.get(name)
             if machine is None or machine.state is not MachineState.DRAINING:
@@ -48,13 +48,13 @@
         self.pending = bool(batch.awaiting_migration)
 
     def stop_attempt(self, batch: Batch, job: Job, index: int) -> bool:
-        """Stop a task with a grace period, of a gang all tasks; False if the batch is too full."""
+        """Stop a task, or all tasks of its gang, with a grace period; return False if the batch has no room."""
         placement = job.placements.get(index)
         if placement is None or placement.stop_grace_s is not None:
             return True
         grace_s = job.spec.checkpoint_duration_s if job.spec.checkpoint_interval_s > 0 else 0.0
         indices = list(job.placements) if job.is_gang else [index]
-        # Chunk 0 is the head, which counts anyway.
+        # Chunk 0 is the head record, which `has_room` always counts.
         chunks = len({self._layout.chunk_of(job, stopped) for stopped in indices} - {0})
         if not batch.has_room(job, len(indices), chunks):
             return False
--- a/driftcleat/scheduler/eligibility.py
+++ b/driftcleat/scheduler/eligibility.py
@@ -1,4 +1,4 @@
-"""Eligibility: whether a job could ever run on the machine types that the cloud offers."""
+"""Eligibility: whether a job can ever run, given the cloud's machine types and its team's quota."""
 
 from driftcleat.placement.candidates import ROUNDING_TOLERANCE, allowed, fits, spread_limit
 from driftcleat.settings import Platform, Team
@@ -7,9 +7,9 @@
 
 
 def unschedulable_reason(spec: JobSpec, types: dict[str, MachineType], platform: Platform) -> str | None:
-    """Return the reason why a job can never run, for its user; None if it may.
+    """Return a message for the user that says why a job can never run; None if it can.
 
-    `types` are the cloud's machine types by name. The reason starts with the field of the submission that is wrong.
+    `types` are the cloud's machine types by name. The message starts with the submission's field that is at fault.
     """
     team = platform.teams.get(spec.team)
     if team is None:
@@ -29,7 +29,7 @@
 
 
 def _unsatisfiable_spread(spec: JobSpec, allowed_types: list[MachineType]) -> str | None:
-    """Guards against a gang that is queued for ever: its constraints never let all its tasks be placed at once."""
+    """Return why a gang's zone constraints never let all its tasks be placed at once; it would be queued for ever."""
     if spec.kind is not JobKind.GANG or not spec.spread:
         return None
     zones = {
@@ -44,7 +44,7 @@
 
 
 def _above_quota(spec: JobSpec, team: Team) -> str | None:
-    """Return why a job's tasks can never be placed below the team's upper limits; an array's may run one by one."""
+    """Return why a job's tasks can never fit the team's quota limits; tasks of an array may run one by one."""
     tasks = 1 if spec.kind is JobKind.ARRAY else spec.tasks
     for field, need, limit in (("cores", spec.cpus, team.cpus_max), ("accelerators", spec.gpus, team.gpus_max)):
         if limit > 0 and need * tasks > limit + ROUNDING_TOLERANCE:
--- a/driftcleat/scheduler/estimates.py
+++ b/driftcleat/scheduler/estimates.py
@@ -1,20 +1,20 @@
-"""Estimates that weigh image fetches and stops against each other."""
+"""Estimates by which the costs of image fetches and preemptions are compared."""
 
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.users import JobSpec
 
-# So many processors weigh as much as one accelerator.
+# The number of CPUs that weigh as much as one GPU.
 CPUS_PER_GPU = 16
-# Lower bounds that keep a task without resources, and a type without a fetch rate, apart from zero.
-MIN_SIZE = 1e-3
+# Lower bounds that avoid a weight of zero for a task without resources and a division by a fetch rate of zero.
+MIN_TASK_WEIGHT = 1e-3
 MIN_FETCH_GB_PER_S = 1e-9
 
 
 def fetch_s(spec: JobSpec, machine_type: MachineType) -> float:
-    """Return the seconds that a machine of this type takes to fetch a job's image, with no other fetch beside it."""
+    """Return the seconds that a machine of this type takes to fetch a job's image if it fetches no other."""
     return spec.image_gb / max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
 
 
 def task_weight(spec: JobSpec) -> float:
-    """Return the weight of one task's seconds, in accelerators: its dominant resource."""
-    return max(spec.gpus, spec.cpus / CPUS_PER_GPU, MIN_SIZE)
+    """Return a task's weight in GPUs, by its dominant resource; a cost is this weight times lost seconds."""
+    return max(spec.gpus, spec.cpus / CPUS_PER_GPU, MIN_TASK_WEIGHT)
--- a/driftcleat/scheduler/expected_demand.py
+++ b/driftcleat/scheduler/expected_demand.py
@@ -1,4 +1,4 @@
-"""Expected demand: arrivals for which a machine would boot too late if it were rented only then."""
+"""Expected demand: arriving jobs that would miss their objectives if a machine were created only for them."""
 
 from driftcleat.capacity.arrivals import ArrivalRates
 from driftcleat.capacity.demand import Demand
@@ -8,15 +8,15 @@
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.users import JobSpec
 
-# Kinds of objectives: until a job starts, and until it has finished.
+# Kinds of objectives as in the platform settings: the time until a job starts, and until it has finished.
 START_OBJECTIVE = "wait"
 FINISH_OBJECTIVE = "finished"
-# Without an objective, jobs of a priority level above this one (less urgent) can wait for a machine.
-URGENT_LEVEL = 1
+# Jobs without an objective can wait for a machine if their priority level is above this one (less urgent).
+LEAST_URGENT_LEVEL = 1
 
 
 class ExpectedDemand:
-    """Works out the demand of the arrivals to expect."""
+    """Estimates the demand of jobs that are expected to arrive."""
 
     def __init__(self, context: SchedulerContext, arrivals: ArrivalRates) -> None:
         self._platform = context.platform
@@ -25,7 +25,7 @@
         self._arrivals = arrivals
 
     def demands(self, now: float) -> list[Demand]:
-        """Return the arrivals of the time that a machine takes to boot, of the classes that cannot wait for it."""
+        """Return the arrivals expected within a machine's boot time, for job classes that cannot wait that long."""
         demands: list[Demand] = []
         for spec, jobs_per_s, mean_tasks in self._arrivals.rates(now):
             machine_types = [
@@ -43,7 +43,7 @@
         return demands
 
     def _can_wait(self, spec: JobSpec, machine_types: list[MachineType]) -> bool:
-        """Tell whether a job meets its class's objectives although a machine must boot and fetch its image first."""
+        """Return whether a job meets its class's objectives even if a machine must first boot and fetch its image."""
         ready_s = self._platform.report_s + min(
             machine_type.boot_s * self._tuning.expected_boot_ratio + fetch_s(spec, machine_type)
             for machine_type in machine_types
@@ -56,6 +56,6 @@
         if spec.deadline_s is not None:
             limits_s.append((FINISH_OBJECTIVE, spec.deadline_s))
         if not limits_s:
-            return spec.priority.level > URGENT_LEVEL
+            return spec.priority.level > LEAST_URGENT_LEVEL
         run_s = spec.estimated_run_s * self._tuning.expected_run_ratio
         return all(ready_s + (run_s if kind == FINISH_OBJECTIVE else 0.0) <= within_s for kind, within_s in limits_s)
--- a/driftcleat/scheduler/fleet_summary.py
+++ b/driftcleat/scheduler/fleet_summary.py
@@ -1,4 +1,4 @@
-"""The fleet and the queue in one line of the log."""
+"""Summarizes the fleet and the queue in one log line."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class _TypeSummary:
-    """Counts of the machines of one type; spot instances are counted apart."""
+    """Counts of the machines of one type, on-demand or spot."""
 
     machines: int = 0
     booting: int = 0
@@ -19,7 +19,7 @@
 
 
 def fleet_summary(cluster: ClusterState) -> str:
-    """Return machines by type, spot instances with a `*`, and queued tasks by job class."""
+    """Return the machines by type, with a `*` for spot instances, and the queued tasks by job class."""
     summaries: dict[str, _TypeSummary] = {}
     for machine in cluster.machines.values():
         name = f"{machine.type.name if machine.type else '?'}{'*' if machine.spot else ''}"
--- a/driftcleat/scheduler/free_capacity.py
+++ b/driftcleat/scheduler/free_capacity.py
@@ -1,4 +1,4 @@
-"""Free capacity: what the machines have free that are there, boot, or were requested."""
+"""Free capacity: the free resources of machines that are up, booting or requested."""
 
 from driftcleat.capacity.candidate_pool import ALIKE_DIGITS, CandidatePool
 from driftcleat.cluster import MachineState
@@ -9,7 +9,7 @@
 
 
 class FreeCapacity:
-    """Groups the machines that demand can be packed into."""
+    """Collects the machines that demand can be packed into, grouped by equal free resources."""
 
     def __init__(self, context: SchedulerContext, scale_out: ScaleOut) -> None:
         self._platform = context.platform
@@ -17,7 +17,7 @@
         self._scale_out = scale_out
 
     def pool(self) -> CandidatePool:
-        """Return the free capacity of machines that are up or booting, then of those that were requested."""
+        """Return the free capacity of machines that are up or booting, followed by that of requested machines."""
         pool = CandidatePool()
         for machine in self._cluster.machines.values():
             machine_type = machine.type
@@ -38,7 +38,7 @@
                 machine.name if machine.failed_jobs else "",
             )
             if not pool.add_to_group(key, machine.name):
-                # Sizing looks at no images.
+                # Sizing ignores images.
                 controllers_elsewhere = self._platform.away(machine.zone)
                 pool.open_group(
                     key, machine_candidate(machine, machine_type, controllers_elsewhere, NO_IMAGES, set())
@@ -48,7 +48,7 @@
         return pool
 
     def _add_requested(self, pool: CandidatePool, request: ScaleOutRequest) -> None:
-        """Add the machines of a scale-out request that is not settled."""
+        """Add the machines of an unsettled scale-out request as empty ones."""
         record = request.record
         machine_type = self._cluster.machine_types.get(record.machine_type)
         if machine_type is None:
--- a/driftcleat/scheduler/gang_preemption.py
+++ b/driftcleat/scheduler/gang_preemption.py
@@ -1,4 +1,4 @@
-"""Gang preemption: room for all tasks of a gang at once, in the zone where that costs least."""
+"""Gang preemption: frees room for all tasks of a gang at once, in the zone where that costs least."""
 
 from driftcleat.cluster import Batch, Job, Machine
 from driftcleat.placement.candidates import allowed, fits
@@ -12,7 +12,7 @@
 
 
 class GangPreemption:
-    """Preempts for gangs of several tasks."""
+    """Preempts tasks and reserves machines for gangs of several tasks."""
 
     def __init__(
         self,
@@ -29,10 +29,10 @@
         self._nominations = nominations
 
     def preempt_for(self, batch: Batch, job: Job, state: RoundState) -> None:
-        """Reserve a machine for each task of a gang, and preempt where its task does not fit yet.
+        """Reserve a machine for each task of a gang, and preempt where the task does not fit yet.
 
-        Guards against two things seen at size: gangs of several tasks preempted nobody, and the machines that came
-        free one by one went to smaller jobs behind them.
+        Without this, a gang of several tasks would preempt nothing, and machines that become free one at a time would
+        go to smaller jobs behind it in the queue.
         """
         plans = self._cheapest_plans(batch, job, state)
         if plans is None:
@@ -40,14 +40,14 @@
         until = self._executor.expected_until(state.now, plans)
         for plan in plans:
             if plan.victims and not self._executor.execute(batch, job, state, plan):
-                # What did not fit into this batch follows in the next one; what is reserved stays reserved.
+                # The preemptions that did not fit in this batch follow in the next one; reservations are kept.
                 self._nominations.withdraw(job.id)
                 return
             self._executor.reserve(plan, job, until)
         self._nominations.nominate(job.id, until)
 
     def _cheapest_plans(self, batch: Batch, job: Job, state: RoundState) -> list[PreemptionPlan] | None:
-        """Return a plan for each task of a gang without a reserved machine, in the zone where they cost least."""
+        """Return a plan for each task that has no reserved machine yet, in the zone with the lowest total cost."""
         best: list[PreemptionPlan] | None = None
         best_cost = 0.0
         reservations = self._nominations.reservations
@@ -65,7 +65,7 @@
         return best
 
     def _machines_by_zone(self, job: Job, now: float) -> dict[str, list[Machine]]:
-        """Return the machines that a gang could use, by zone if it needs a single one, else under no zone."""
+        """Return the machines that a gang could use, by zone; under the key "" if it may span zones."""
         spec = job.spec
         by_zone: dict[str, list[Machine]] = {}
         for machine in self._cluster.machines.values():
--- a/driftcleat/scheduler/garbage_collection.py
+++ b/driftcleat/scheduler/garbage_collection.py
@@ -1,4 +1,4 @@
-"""Deferred writes: keys of the store that are no job's record, written or deleted once there are writes to spare."""
+"""Deferred writes: keys other than job records, which are put or deleted when the write budget allows it."""
 
 from collections.abc import Iterable
 from functools import partial
@@ -9,40 +9,41 @@
 from driftcleat.store.keys import MACHINE_IMAGES_PREFIX
 from driftcleat.store.records import MachineImagesRecord
 
-# While a machine's image record is above the store's limit, its first images are left out, one in so many at a time.
+# If a machine's image record exceeds the store's value limit, its oldest images are left out until it fits: in each
+# step one image plus the number of images divided by this.
 IMAGES_TRIM_DIVISOR = 8
 
 
 class GarbageCollector:
-    """Deletes obsolete keys, and keeps the records of cached images up to date."""
+    """Deletes obsolete keys and keeps the records of cached images up to date."""
 
     def __init__(self, context: SchedulerContext) -> None:
         self._cluster = context.cluster
         self._layout = context.layout
         self._obsolete_keys: list[str] = []
         self._pending_puts: dict[str, object] = {}
-        # The names of the images in each machine's record, as stored or about to be.
+        # By machine name: the images in its record, which is stored or pending.
         self._recorded_images: dict[str, tuple[str, ...]] = {}
 
     @property
     def pending(self) -> bool:
-        """Whether there is anything to put or to delete."""
+        """Whether any put or delete is pending."""
         return bool(self._obsolete_keys or self._pending_puts)
 
     def put_later(self, key: str, value: object) -> None:
-        """Put a key in one of the next batches; a value that is still pending for it is replaced."""
+        """Put a key in a later batch; this replaces a value that is still pending for the key."""
         self._pending_puts[key] = value
 
     def delete_later(self, keys: Iterable[str]) -> None:
-        """Delete obsolete keys in the next batches that have room."""
+        """Delete obsolete keys in later batches, when there is room."""
         self._obsolete_keys.extend(keys)
 
     def cancel_deletes(self, prefix: str) -> None:
-        """Keep the keys with this prefix: they are about to be written anew."""
+        """Cancel the pending deletes of keys with this prefix, which are about to be written again."""
         self._obsolete_keys[:] = [key for key in self._obsolete_keys if not key.startswith(prefix)]
 
     def append_to(self, batch: Batch) -> None:
-        """Append as many deletes and puts as the batch has room for."""
+        """Append as many pending deletes and puts as the batch has room for, deletes first."""
         while self._obsolete_keys and batch.has_room_for_keys():
             key = self._obsolete_keys.pop()
             batch.delete(key)
@@ -53,7 +54,10 @@
             batch.on_discard.append(partial(self.put_later, key, value))
 
     def record_images(self, machine: Machine) -> None:
-        """Record what a machine has cached: a new leader would otherwise have it all fetched again elsewhere."""
+        """Schedule a put of a machine's image record if its images have changed.
+
+        Without the record, a new leader would place the jobs elsewhere, where the images must be fetched again.
+        """
         images = [
             (image, size_gb) for image, size_gb in machine.cached_images.items() if image in machine.fetched_images
         ]
@@ -65,13 +69,13 @@
             self.put_later(MACHINE_IMAGES_PREFIX + machine.name, MachineImagesRecord(images))
 
     def forget_images(self, name: str) -> None:
-        """Drop the image record of a machine that is terminated."""
+        """Discard the images of a terminated machine and schedule the delete of its record."""
         self._cluster.image_hints.pop(name, None)
         self._pending_puts.pop(MACHINE_IMAGES_PREFIX + name, None)
         if self._recorded_images.pop(name, None) is not None:
             self._obsolete_keys.append(MACHINE_IMAGES_PREFIX + name)
 
     def restore_images(self, name: str, record: MachineImagesRecord) -> None:
-        """Restore a machine's images from the record that an earlier leader wrote."""
+        """Restore a machine's images from the record that an earlier leader stored."""
         self._cluster.image_hints[name] = record.images
         self._recorded_images[name] = tuple(sorted(image for image, _ in record.images))
--- a/driftcleat/scheduler/in_flight.py
+++ b/driftcleat/scheduler/in_flight.py
@@ -1,18 +1,18 @@
-"""Changes in flight: what the batch that is being committed does to machines and attempts."""
+"""Changes in flight: the machines and attempts that are changed by the batch that is being committed."""
 
 from driftcleat.cluster import Batch, ClusterState
 
 
 class InFlightChanges:
-    """What no decision outside the batch in flight may contradict, until the batch is committed or discarded."""
+    """The changes of the batch in flight, which no other decision may contradict until its commit or discard."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
-        # The machines that tasks are placed on, or stopped on: they are not scaled in meanwhile.
+        # Machines on which the batch places or stops tasks; they are not scaled in until its commit or discard.
         self.machines: set[str] = set()
 
     def record(self, batch: Batch) -> None:
-        """Record a batch that was built, and is about to be committed."""
+        """Record the changes of a batch that is about to be committed."""
         self.machines = {placement.machine for _, _, _, placement in batch.task_transitions if placement is not None}
         self._cluster.attempts_being_released = {
             (job_id, index, old.attempt)
@@ -21,7 +21,7 @@
         }
 
     def clear(self) -> None:
-        """Record that no batch is in flight: the last one was committed or discarded."""
+        """Clear the changes after the batch was committed or discarded."""
         self.machines = set()
         self._cluster.attempts_being_released.clear()
         self._cluster.unconfirmed_cancellations.clear()
--- a/driftcleat/scheduler/machine_candidates.py
+++ b/driftcleat/scheduler/machine_candidates.py
@@ -1,4 +1,4 @@
-"""Machines as placement candidates: which of them take tasks, and which resources are free on them."""
+"""Machines as placement candidates: which of them accept tasks, and which resources are free on them."""
 
 from collections.abc import Container
 
@@ -9,31 +9,31 @@
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.workers import TaskPhase
 
-# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+# A module constant, since an enum member's lookup takes several times as long as a comparison, once for every task.
 FETCHING = TaskPhase.FETCHING
 
-# Report intervals without a heartbeat after which a machine is given no more tasks.
-FRESH_REPORTS = 2.0
+# Maximum age, in heartbeat intervals, of the last heartbeat of a machine that is given tasks.
+MAX_HEARTBEAT_AGE_INTERVALS = 2.0
 
-NOTHING = Resources(0.0, 0.0, 0.0)
+NO_RESOURCES = Resources(0.0, 0.0, 0.0)
 NO_IMAGES: Container[str] = frozenset()
 
 
 class MachineCandidates:
-    """Makes placement candidates of machines."""
+    """Creates placement candidates from machines and their reservations."""
 
     def __init__(self, context: SchedulerContext, reservations: Reservations) -> None:
         self._platform = context.platform
         self._cluster = context.cluster
         self._reservations = reservations
-        # By zone: needed for each machine in each round.
+        # By zone; cached because each round needs it for each machine.
         self._controllers_elsewhere = {zone: self._platform.away(zone) for zone in self._platform.zones}
 
     def takes_tasks(self, machine: Machine, now: float) -> bool:
-        """Tell whether a machine may be given tasks: it is up, was heard lately, and acknowledges our responses.
+        """Return whether a machine is up, has sent a recent heartbeat and acknowledges the controller's responses.
 
-        Guards against placing on a machine of which only an old copy of a heartbeat arrived, or whose heartbeats
-        arrive while our responses do not reach it.
+        No task is placed on a machine of which only a delayed copy of an old heartbeat has arrived, or one whose
+        heartbeats arrive while the responses do not reach it.
         """
         return (
             machine.state is MachineState.UP
@@ -41,11 +41,11 @@
             and machine.fence_acknowledged
             and not machine.unacknowledged_responses
             and machine.no_placement_until <= now
-            and machine.last_heartbeat_at >= now - self._platform.report_s * FRESH_REPORTS
+            and machine.last_heartbeat_at >= now - self._platform.report_s * MAX_HEARTBEAT_AGE_INTERVALS
         )
 
-    def available(self, now: float, at_least: Resources = NOTHING) -> list[Candidate]:
-        """Return the machines that take tasks and have at least these resources free."""
+    def available(self, now: float, at_least: Resources = NO_RESOURCES) -> list[Candidate]:
+        """Return the machines that accept tasks and have at least these resources free."""
         cpus, gpus, memory_gb = (needed - ROUNDING_TOLERANCE for needed in at_least)
         candidates = []
         for machine in self._cluster.machines.values():
@@ -61,7 +61,7 @@
         return candidates
 
     def candidate_for(self, machine: Machine, machine_type: MachineType, now: float) -> Candidate:
-        """Return one machine as a candidate, with its images and its reservation."""
+        """Return one machine as a candidate, with its cached and fetching images and its reservation."""
         fetching_images: set[str] = set()
         if machine.tasks:
             jobs = self._cluster.jobs
@@ -88,9 +88,9 @@
     cached_images: Container[str],
     fetching_images: set[str],
 ) -> Candidate:
-    """Return a machine as a candidate that is reserved for no job.
+    """Return a machine as a candidate without a reservation.
 
-    Positional, in the order of the fields: one is made for each machine in each round.
+    The arguments are positional, which is faster: each round creates a candidate for each machine.
     """
     return Candidate(
         machine.name,
--- a/driftcleat/scheduler/preemption_planning.py
+++ b/driftcleat/scheduler/preemption_planning.py
@@ -13,7 +13,7 @@
 from driftcleat.wire.users import JobKind
 from driftcleat.wire.workers import TaskPhase
 
-# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+# A module constant, since an enum member's lookup takes several times as long as a comparison, once for every task.
 FETCHING = TaskPhase.FETCHING
 
 # The seconds of a replica that its preemption is reckoned to lose: more than any fetch and restart.
--- a/driftcleat/scheduler/presumed_lost_demand.py
+++ b/driftcleat/scheduler/presumed_lost_demand.py
@@ -7,7 +7,7 @@
 from driftcleat.scheduler.reachability import Reachability
 
 # The least urgent priority level for whose work machines are rented before its machines are known to be lost.
-URGENT_LEVEL = 1
+LEAST_URGENT_LEVEL = 1
 
 
 class PresumedLostDemand:
@@ -38,5 +38,5 @@
         return [
             Demand(job.spec, count, {})
             for job, count in jobs
-            if job is not None and job.state is JobState.ACTIVE and job.priority_level <= URGENT_LEVEL
+            if job is not None and job.state is JobState.ACTIVE and job.priority_level <= LEAST_URGENT_LEVEL
         ]
