--- a/driftcleat/scheduler/preemption.py
+++ b/driftcleat/scheduler/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: lower work is stopped for a job that is not placed, and what it frees is reserved for that job."""
+"""Preemption: stops tasks of lower-ranked jobs for a job that was not placed, and reserves what they free for it."""
 
 from driftcleat.cluster import Batch, Job, Machine
 from driftcleat.placement.candidates import spread_limit
@@ -16,12 +16,12 @@
 from driftcleat.scheduler.round_state import RoundState
 from driftcleat.wire.users import JobKind
 
-# The least urgent priority level that may preempt beyond its team's guarantee.
-PREEMPTING_LEVEL = 1
+# Least urgent priority level at which a job may preempt beyond its team's guarantee.
+LEAST_URGENT_PREEMPTING_LEVEL = 1
 
 
 class Preemption:
-    """Decides for which jobs to preempt, and on which machines."""
+    """Decides for which jobs tasks are preempted, and on which machines."""
 
     def __init__(
         self,
@@ -41,18 +41,18 @@
         self._gangs = GangPreemption(context, candidates, self._planner, self._executor, self._nominations)
 
     def release(self, job_id: str) -> None:
-        """Forget a job that is placed or over, and release what is reserved for it."""
+        """Drop the nomination and the reservations of a job that is placed or has ended."""
         self._nominations.release(job_id)
 
     def waits_for_image(self, job: Job, now: float) -> bool:
-        """Tell whether work was preempted for a job where its image is cached, and is expected to end yet."""
+        """Return whether a job waits for victims on a machine that has its image cached."""
         return self._nominations.waits_for_image(job.id, now)
 
     def preempt_for(self, batch: Batch, job: Job, state: RoundState) -> None:
-        """Preempt for a job that was not placed in this round, if it may."""
+        """Preempt for a job that was not placed in this round, if its guarantee or priority permits it."""
         if self._nominations.is_pending(job.id, state.now):
             return
-        if job.id not in state.order.guaranteed and job.priority_level > PREEMPTING_LEVEL:
+        if job.id not in state.order.guaranteed and job.priority_level > LEAST_URGENT_PREEMPTING_LEVEL:
             return
         if job.is_gang and job.spec.tasks > 1:
             self._gangs.preempt_for(batch, job, state)
@@ -61,9 +61,10 @@
         self._preempt_on(batch, job, state, machines, INFINITE, job.placements_by_zone())
 
     def preempt_where_image_is_cached(self, batch: Batch, job: Job, state: RoundState, quota: QuotaHeadroom) -> bool:
-        """Preempt on machines that have the image, if that loses less than fetching it elsewhere.
+        """Preempt on machines that have the job's image, if that costs less than fetching the image elsewhere.
 
-        Return whether anything was preempted: the job then waits for it.
+        The fetch cost is scaled by `image_preemption_cost_ratio`. Return whether a task was preempted; the job then
+        waits for its resources.
         """
         spec = job.spec
         if not self._may_wait_for_image(job, state, quota):
@@ -84,21 +85,21 @@
         return True
 
     def _may_wait_for_image(self, job: Job, state: RoundState, quota: QuotaHeadroom) -> bool:
-        """Tell whether a job is a service or has a single task, is within its quota, and waits for no victims yet."""
+        """Return whether a job is a service or has one task, is within its quota and has no pending preemption."""
         spec = job.spec
         if spec.kind is not JobKind.SERVICE and spec.tasks > 1:
             return False
         return quota.fits(spec, 1) and not self._nominations.is_pending(job.id, state.now)
 
     def _is_fetched_anywhere(self, image: str) -> bool:
-        """Tell whether any machine has an image.
+        """Return whether any machine has an image.
 
-        Guards against a look at every task of thousands of machines for an image that none of them has.
+        This check avoids a search through every task of thousands of machines for an image that none of them has.
         """
         return any(image in machine.fetched_images for machine in self._cluster.machines.values())
 
     def _sample(self, machines: list[Machine], image: str) -> list[Machine]:
-        """Return a random sample of machines, those that have the image first."""
+        """Return a random sample of the machines in which those that have the image come first."""
         max_machines = round(self._tuning.placement_sample_machines)
         if len(machines) <= max_machines:
             return machines
@@ -114,10 +115,10 @@
         max_cost: float,
         counts: dict[str, int],
     ) -> bool:
-        """Preempt on these machines for a job's tasks, cheapest first, at `max_cost` at most for each.
+        """Preempt on these machines for a job's tasks, the cheapest plan first, at a cost of at most `max_cost` each.
 
-        `counts` is by zone the number of its tasks that are placed, or will be; it is updated. Return whether
-        anything was preempted.
+        `counts` holds by zone the number of the job's tasks that are placed or about to be; it is updated. Return
+        whether a task was preempted.
         """
         max_per_zone = spread_limit(job.spec)
         missing = job.spec.tasks - job.tasks_done - sum(counts.values())
@@ -141,7 +142,7 @@
 
 
 def _counts_with_image(job: Job, state: RoundState) -> dict[str, int]:
-    """Return by zone how many of a job's tasks are placed, or fit where their image is cached or on its way."""
+    """Return by zone how many of a job's tasks are placed, or fit on machines that have or are fetching the image."""
     spec = job.spec
     counts = job.placements_by_zone()
     for candidate in state.placement_round.candidates:
--- a/driftcleat/scheduler/preemption_execution.py
+++ b/driftcleat/scheduler/preemption_execution.py
@@ -1,4 +1,4 @@
-"""Carrying preemption plans out: the victims' stops in the batch, the preemptor's reservation and nomination."""
+"""Executes preemption plans: adds the victims' stops to the batch, reserves the machine and nominates the job."""
 
 import logging
 from collections.abc import Iterable
@@ -14,14 +14,14 @@
 
 log = logging.getLogger(__name__)
 
-# Report intervals until a preempted task is seen to be gone, beside the time to save its progress.
-REPORTS_UNTIL_GONE = 3
-# A stop takes up to two of a batch's operations: the job's record and a chunk's.
+# Heartbeat intervals until a heartbeat shows that a preempted task is gone, in addition to its checkpoint time.
+HEARTBEAT_INTERVALS_UNTIL_GONE = 3
+# A stop takes up to two operations of a batch: the job's head record and one chunk record.
 OPERATIONS_PER_VICTIM = 2
 
 
 class PreemptionExecutor:
-    """Stops the victims of a plan and reserves what they free."""
+    """Stops the victims of preemption plans and reserves the resources that they free."""
 
     def __init__(
         self,
@@ -40,14 +40,14 @@
         self._pacing = pacing
 
     def expected_until(self, now: float, plans: Iterable[PreemptionPlan]) -> float:
-        """Return when the victims of these plans are expected to be gone, and to be seen to be."""
-        save_s = max(
+        """Return the time by which heartbeats are expected to show that the victims of these plans are gone."""
+        checkpoint_s = max(
             (victim.job.spec.checkpoint_duration_s for plan in plans for victim in plan.victims), default=0.0
         )
-        return now + self._platform.report_s * REPORTS_UNTIL_GONE + save_s
+        return now + self._platform.report_s * HEARTBEAT_INTERVALS_UNTIL_GONE + checkpoint_s
 
     def execute(self, batch: Batch, job: Job, state: RoundState, plan: PreemptionPlan) -> bool:
-        """Stop a plan's victims and reserve what they free for the job; return False if the batch is too full."""
+        """Stop a plan's victims and reserve its machine for the job; return False if the batch has no room."""
         if len(plan.victims) * OPERATIONS_PER_VICTIM > batch.operations_left:
             self._pacing.request_round()
             return False
@@ -66,6 +66,6 @@
         return True
 
     def reserve(self, plan: PreemptionPlan, job: Job, until: float) -> None:
-        """Reserve a plan's machine for a job, also for the rest of this round."""
+        """Reserve a plan's machine for a job until `until`, including the rest of this round."""
         self._nominations.reservations.reserve(plan.candidate.name, job.id, until)
         plan.candidate.reserved_for = job.id
--- a/driftcleat/scheduler/preemption_planning.py
+++ b/driftcleat/scheduler/preemption_planning.py
@@ -1,4 +1,4 @@
-"""Preemption planning: what would have to be preempted where for one task of a job, and what that would cost."""
+"""Preemption planning: which tasks to preempt on a machine for one task of a job, and at what cost."""
 
 from dataclasses import replace
 
@@ -16,14 +16,14 @@
 # A module constant, since an enum member's lookup takes several times as long as a comparison, once for every task.
 FETCHING = TaskPhase.FETCHING
 
-# The seconds of a replica that its preemption is reckoned to lose: more than any fetch and restart.
+# Seconds of work that the preemption of a service's replica counts as lost: more than any image fetch and restart.
 REPLICA_LOSS_S = 1e4
-# Report intervals until a task that was preempted runs elsewhere.
-REPORTS_UNTIL_RESTART = 2
+# Heartbeat intervals until a preempted task runs elsewhere.
+HEARTBEAT_INTERVALS_UNTIL_RESTART = 2
 
 
 class PreemptionPlanner:
-    """Plans preemptions within one placement round, and estimates their costs."""
+    """Plans preemptions within a placement round and estimates their costs."""
 
     def __init__(self, context: SchedulerContext, candidates: MachineCandidates) -> None:
         self._platform = context.platform
@@ -32,7 +32,7 @@
         self._candidates = candidates
 
     def preemptible(self, batch: Batch, state: RoundState) -> PreemptibleTasks:
-        """Return the preemptible tasks of a round; they are looked for once."""
+        """Return the preemptible tasks; they are collected once per round and cached in `state`."""
         if state.preemptible is None:
             machines = (
                 machine
@@ -43,10 +43,10 @@
         return state.preemptible
 
     def plans(self, batch: Batch, job: Job, state: RoundState, machines: list[Machine]) -> list[PreemptionPlan]:
-        """Return a plan for one task on each of these machines where that is possible, the cheapest first.
+        """Return a plan for one task on each of these machines where one is possible, the cheapest first.
 
-        A fetch that would follow counts as a cost. Guards against preempting work on a machine that must then fetch
-        the image, beside a machine that has it.
+        The cost includes the image fetch that would follow, so that a machine that has the image is preferred to one
+        that must fetch it.
         """
         spec = job.spec
         preemptible = self.preemptible(batch, state)
@@ -64,16 +64,17 @@
         return sorted(plans, key=lambda plan: (plan.cost, plan.candidate.name))
 
     def _preemption_cost(self, job: Job, machine: Machine, key: TaskKey) -> float:
-        """Estimate what preempting a task loses: seconds, weighed by the size of the task.
+        """Estimate the cost of preempting a task: the seconds lost, times the weight of the task.
 
-        A fetch under way is lost whole; what a running task has fetched may be, if it is restarted elsewhere.
+        An image fetch in progress counts in full. For a running task a share of the fetch counts, since the task may
+        be restarted on a machine without the image.
         """
         spec = job.spec
         weight = task_weight(spec)
         if spec.kind is JobKind.SERVICE:
             return weight * REPLICA_LOSS_S
         image_fetch_s = fetch_s(spec, machine.type) if machine.type is not None else spec.image_gb
-        restart_s = self._platform.report_s * REPORTS_UNTIL_RESTART
+        restart_s = self._platform.report_s * HEARTBEAT_INTERVALS_UNTIL_RESTART
         if machine.task_phases.get(key, FETCHING) == FETCHING:
             return weight * (restart_s + image_fetch_s)
         refetch_s = restart_s + image_fetch_s * self._tuning.preempted_fetch_loss_share
--- a/driftcleat/scheduler/presumed_lost_demand.py
+++ b/driftcleat/scheduler/presumed_lost_demand.py
@@ -1,4 +1,4 @@
-"""Presumed-lost demand: urgent work on machines that most likely are lost with many others."""
+"""Presumed-lost demand: urgent work on machines that are presumed lost together with many others."""
 
 from driftcleat.capacity.demand import Demand
 from driftcleat.capacity.failure_detector import FailureDetector
@@ -6,12 +6,12 @@
 from driftcleat.scheduler.context import SchedulerContext
 from driftcleat.scheduler.reachability import Reachability
 
-# The least urgent priority level for whose work machines are rented before its machines are known to be lost.
+# Least urgent priority level for which machines are created before the old ones are known to be lost.
 LEAST_URGENT_LEVEL = 1
 
 
 class PresumedLostDemand:
-    """Works out the demand of tasks whose machines are presumed lost."""
+    """Determines the demand of urgent tasks whose machines are presumed lost."""
 
     def __init__(self, context: SchedulerContext, reachability: Reachability) -> None:
         self._platform = context.platform
@@ -19,10 +19,11 @@
         self._reachability = reachability
 
     def demands(self, failures: FailureDetector, now: float) -> list[Demand]:
-        """Return the work of the two highest priorities on machines that fell silent with many others.
+        """Return the demand of the two highest priorities on machines that miss heartbeats together with many others.
 
-        Their leases must have expired: room for the work boots while it is found out whether the machines are gone.
-        Guards against waiting for the cloud's list to name a hundred machines before renting the first new one.
+        Only machines whose lease has expired count. Replacements boot while it is still unknown whether the machines
+        are gone; otherwise the first one would be created only after the cloud had listed a hundred machines as
+        failed.
         """
         lost_tasks: dict[str, int] = {}
         for machine in self._cluster.machines.values():
--- a/driftcleat/scheduler/queued_demand.py
+++ b/driftcleat/scheduler/queued_demand.py
@@ -1,4 +1,4 @@
-"""The demand of the queue: jobs that are alike are one demand."""
+"""Queued demand: the machines that queued jobs need; jobs of equal shape are combined into one demand."""
 
 from driftcleat.capacity.demand import Demand
 from driftcleat.cluster import Job
@@ -7,16 +7,16 @@
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.queue import JobQueue
 
-# Guaranteed, priority level, processors, GPUs and memory of a task, machine types, zone, spot, latency-sensitive. A
-# plain tuple, since a named one takes longer to create: one for each queued job in each plan.
+# Guaranteed, priority level, CPUs, GPUs and memory (GB) of a task, machine types, zone, spot, latency-sensitive. A
+# plain tuple, since a named one takes longer to create and each plan creates one for each queued job.
 DemandShape = tuple[bool, int, float, float, float, tuple[str, ...] | None, str | None, bool, bool]
 
-# A job that failed so often gets no machine of its own.
+# Number of failures from which on no machine is created for a job.
 MAX_FAILURES = 3
 
 
 class QueuedDemand:
-    """Works out the demand of the queued jobs."""
+    """Determines the demand of the queued jobs."""
 
     def __init__(self, context: SchedulerContext, queue: JobQueue) -> None:
         self._tuning = context.tuning
@@ -24,7 +24,7 @@
         self._queue = queue
 
     def demands(self) -> list[Demand]:
-        """Return the demand of queued tasks for which their teams' quotas leave headroom."""
+        """Return the demand of the queued tasks that their teams' quotas still admit, in queue order."""
         queued = self._queue.queued()
         quotas: dict[str, QuotaHeadroom] = {}
         demands: list[Demand] = []
@@ -38,7 +38,7 @@
                 continue
             quota.consume(job.spec, tasks)
             if latency_sensitive(job.spec):
-                # Machines differ in how long they boot: with none to spare, the last replicas wait for the slowest.
+                # Boot times vary: without spare machines the last replicas would wait for the slowest machine.
                 tasks += round(tasks * self._tuning.service_headroom_share)
             shape = self._shape(job, job.id in queued.order.guaranteed)
             known = by_shape.get(shape) if shape is not None else None
@@ -52,10 +52,9 @@
         return demands
 
     def _shape(self, job: Job, guaranteed: bool) -> DemandShape | None:
-        """Return what jobs have in common that are sized as one.
+        """Return the properties by which jobs are combined, so that planning time grows with shapes rather than jobs.
 
-        None for a job whose tasks depend on one another's zones, or that failed somewhere. The work of a plan then
-        grows with the kinds of queued jobs, not with the jobs.
+        None for a job that must be planned alone: the zones of its tasks depend on one another, or it has failed.
         """
         spec = job.spec
         zone_dependent = spec.tasks > 1 and (spec.single_zone or spec.spread)
@@ -75,7 +74,7 @@
 
 
 def _tasks_within(quota: QuotaHeadroom, job: Job) -> int:
-    """Return for how many of a job's queued tasks its team's quota leaves headroom; a gang gets all or none."""
+    """Return how many of a job's queued tasks its team's quota still admits; of a gang all or none."""
     if job.is_gang:
         return job.tasks_queued if quota.fits(job.spec, job.tasks_queued) else 0
     return capacity(job.spec, quota.cpus, quota.gpus, INFINITE, job.tasks_queued)
--- a/driftcleat/scheduler/record_migration.py
+++ b/driftcleat/scheduler/record_migration.py
@@ -1,7 +1,7 @@
-"""The migration to data version 2: its latch, and the records that were written in the layout of data version 1.
+"""The record migration from data version 1 to data version 2, and the latch that starts it.
 
-The latch is a key in the store; once it is committed, data version 2 is in force for good, and every job that is
-still in the old layout is migrated, one after the other, in transactions that the lower limits allow.
+The latch is a key in the store. Once it is committed, data version 2 is active and cannot be undone: every job whose
+records have the layout of data version 1 is migrated, one after the other, in transactions within the lower limits.
 """
 
 import logging
@@ -20,18 +20,18 @@
 
 @dataclass(slots=True)
 class JobMigration:
-    """The progress of one job: all chunk records are written first, the head that names them last."""
+    """The progress of one job's migration: all chunk records are written first, then the head that names them."""
 
     job_id: str
     tasks_per_record: int
     # The number of the next chunk to write; chunk 0 is part of the head.
     next_chunk: int = 1
-    # The mod revisions of the chunks that are written; 0 for those in the batch in flight.
+    # Mod revisions of the written chunks; 0 for those in the batch in flight.
     mod_revisions: dict[int, int] = field(default_factory=dict)
 
 
 class RecordMigration:
-    """Stores the latch, then migrates the records of one job at a time."""
+    """Stores the latch, then migrates the records of the remaining jobs, one job at a time."""
 
     def __init__(self, context: SchedulerContext, garbage_collector: GarbageCollector, pacing: RoundPacing) -> None:
         self._cluster = context.cluster
@@ -41,7 +41,7 @@
         self._latch_requested = False
         self.jobs_to_migrate = self._jobs_in_old_layout()
         self._current: JobMigration | None = None
-        # Jobs whose pending changes cannot be committed before their records are migrated.
+        # Jobs with pending changes that cannot be committed before the migration of their records.
         self._prioritised: dict[str, None] = {}
 
     def _jobs_in_old_layout(self) -> set[str]:
@@ -49,19 +49,19 @@
 
     @property
     def latch_requested(self) -> bool:
-        """Return whether the latch was requested in this term, whether or not it is stored yet."""
+        """Return whether the latch was requested in this term, stored or not."""
         return self._latch_requested
 
     def request_latch(self) -> None:
-        """Have the next batch begin data version 2, unless it is in force already.
+        """Have the next batch activate data version 2, unless it is active already.
 
-        Only for callers who know that every controller can write it: there is no way back.
+        Callers must know that every controller can write data version 2, since the activation cannot be undone.
         """
         self._latch_requested = True
 
     @property
     def latch_due(self) -> bool:
-        """Return whether the next batch is to hold the latch."""
+        """Return whether the next batch must contain the latch."""
         return self._latch_requested and not self._layout.version_2_active
 
     @property
@@ -70,13 +70,13 @@
         return self._next_job() is not None
 
     def append_latch(self, batch: Batch) -> None:
-        """Append the latch to a batch of its own."""
+        """Append the latch to a batch, which must contain no other change."""
         batch.put(DATA_VERSION_KEY, DATA_VERSION)
         batch.on_commit.append(self._activate_version_2)
 
     def _activate_version_2(self) -> None:
-        """Switch to the layout of data version 2 after the commit of the latch; there is no way back."""
-        log.info("data version %d begins", DATA_VERSION)
+        """Switch to the layout of data version 2 after the commit of the latch; this cannot be undone."""
+        log.info("data version %d is active", DATA_VERSION)
         self._layout.version_2_active = True
         for job in self._cluster.jobs.values():
             self._layout.assign_tasks_per_record(job)
@@ -84,21 +84,21 @@
         self._pacing.record_change()
 
     def prioritise(self, job_ids: set[str]) -> None:
-        """Migrate these jobs next: other changes of theirs are pending until then."""
+        """Migrate these jobs next, since other changes to them are pending until then."""
         self._prioritised.update(dict.fromkeys(sorted(job_ids)))
 
     def record_commit(self, revision: int) -> None:
-        """Record the mod revision of the chunks that the committed batch has written."""
+        """Record the mod revision of the chunks that the committed batch wrote."""
         if self._current is not None:
             for chunk, mod_revision in self._current.mod_revisions.items():
                 self._current.mod_revisions[chunk] = mod_revision or revision
 
     def record_discard(self) -> None:
-        """Start the current job again after a discarded batch: its chunks are garbage, or overwritten."""
+        """Restart the current job after a discarded batch; chunks written before are overwritten or are garbage."""
         self._current = None
 
     def _next_job(self) -> Job | None:
-        """Return the job to migrate next: the current one, else a prioritised one, else any; None if all are done."""
+        """Return the job to migrate next: the current one, then a prioritised one, then any; None if all are done."""
         if not self.jobs_to_migrate:
             return None
         if self._current is not None and self._current.job_id in self._cluster.jobs:
@@ -109,10 +109,10 @@
         return self._cluster.jobs[min(self._prioritised or self.jobs_to_migrate)] if self.jobs_to_migrate else None
 
     def append_to(self, batch: Batch) -> None:
-        """Append records of the job that is being migrated, as far as the batch has room.
+        """Append records of the job that is being migrated, as many as the batch has room for.
 
-        A job does not change while it is migrated, so its chunks may be written in several batches. Until the head
-        names them they are garbage, and the old ones valid; a leader whose term ends in between leaves it at that.
+        A job does not change during its migration, so its chunks may be written in several batches. Until the head
+        names the new chunks they are garbage and the old ones are valid; if the term ends in between, they stay so.
         """
         if batch.operations_left <= 0:
             return
@@ -136,12 +136,12 @@
     def _begin(self, job: Job) -> JobMigration:
         tasks_per_record = self._layout.preferred_tasks_per_record(job)
         self._current = JobMigration(job.id, tasks_per_record)
-        # An earlier leader may have written some of the very keys: they are no garbage from now on.
+        # An earlier leader may have written some of the same keys, which must no longer be deleted as garbage.
         self._garbage_collector.cancel_deletes(chunk_key(job.id, 0, tasks_per_record)[:-1])
         return self._current
 
     def _complete(self, job_id: str, old_chunk_keys: list[str]) -> None:
-        """Finish a job's migration after the commit of its new head."""
+        """Finish a job's migration after the commit of its new head record."""
         self._garbage_collector.delete_later(old_chunk_keys)
         self._current = None
         self.jobs_to_migrate.discard(job_id)
--- a/driftcleat/scheduler/round_state.py
+++ b/driftcleat/scheduler/round_state.py
@@ -1,4 +1,4 @@
-"""What one placement round has found out so far."""
+"""The state of one placement round."""
 
 from driftcleat.cluster import Machine
 from driftcleat.placement.candidates import Candidate
@@ -11,7 +11,7 @@
 
 
 class RoundState:
-    """The candidates as this round leaves them, the teams' quota headroom, and the preemptible tasks."""
+    """The candidates and quota headroom as this round's decisions leave them, and the preemptible tasks."""
 
     def __init__(
         self,
@@ -24,13 +24,13 @@
         self.order = order
         self.now = now
         self.quotas: dict[str, QuotaHeadroom] = {}
-        # Worked out when it is first needed.
+        # Collected when first needed.
         self.preemptible: PreemptibleTasks | None = None
         self._machine_candidates = machine_candidates
         self._candidates = {candidate.name: candidate for candidate in placement_round.candidates}
 
     def candidate(self, machine: Machine, machine_type: MachineType) -> Candidate:
-        """Return a machine as this round leaves it, also one with too little free to be among the candidates."""
+        """Return a machine as this round leaves it; one with too few free resources to be a candidate is created."""
         candidate = self._candidates.get(machine.name)
         if candidate is None:
             candidate = self._machine_candidates.candidate_for(machine, machine_type, self.now)
--- a/driftcleat/scheduler/scale_in.py
+++ b/driftcleat/scheduler/scale_in.py
@@ -1,4 +1,4 @@
-"""Scale-in: machines to return, since they are idle, late to boot, silent or unresponsive."""
+"""Scale-in: selects machines to delete because they are idle, late to boot, presumed lost or unresponsive."""
 
 from dataclasses import dataclass
 
@@ -11,30 +11,31 @@
 from driftcleat.scheduler.reachability import Reachability
 from driftcleat.wire.users import JobSpec
 
-# Machines with less free than this are no candidates for the work of others.
+# Machines with fewer free GPUs than this are not considered for the work of other machines.
 MIN_FREE_GPUS = Resources(0.0, ROUNDING_TOLERANCE * 2, 0.0)
-# If more than one in so many machines is unresponsive, and more than a few, it is most likely we who are too slow.
-UNRESPONSIVE_ONE_IN = 3
-UNRESPONSIVE_FEW = 2
+# Unresponsive machines are not deleted if they are more than one in this many, and more than a minimum: most likely
+# this controller is then too slow.
+TOLERATED_UNRESPONSIVE_DIVISOR = 3
+TOLERATED_UNRESPONSIVE_MACHINES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What holds for the whole fleet while machines to return are selected."""
+    """Facts about the whole fleet that hold during one selection of machines."""
 
     plan: CapacityPlan
     failures: FailureDetector
     now: float
-    # Whether the term is older than a lease: machines have had the time to be heard.
-    settled: bool
-    # Names of the machines that are given up early, since their work fits elsewhere.
+    # Whether all machines have had time to send a heartbeat in this term.
+    term_older_than_lease: bool
+    # Names of the machines that are presumed lost early, since their work fits elsewhere.
     replaceable: set[str]
-    # Whether so many machines acknowledge nothing that it is more likely we who are too slow.
+    # Whether so many machines are unresponsive that this controller is more likely too slow.
     many_unresponsive: bool
 
 
 class ScaleInPlanner:
-    """Selects machines to return."""
+    """Selects the machines to delete."""
 
     def __init__(self, context: SchedulerContext, candidates: MachineCandidates, reachability: Reachability) -> None:
         self._platform = context.platform
@@ -44,30 +45,30 @@
         self._reachability = reachability
 
     def select(self, plan: CapacityPlan, in_flight: set[str], now: float, failures: FailureDetector) -> list[Machine]:
-        """Return machines that are to be returned: idle, drained, late to boot, silent or unresponsive.
+        """Return the machines to delete: idle, drained, late to boot, presumed lost or unresponsive.
 
-        Those `in_flight` change in the batch in flight, and are left out.
+        Machines `in_flight` are left out, since the batch in flight places or stops tasks on them.
         """
         view = FleetView(
             plan,
             failures,
             now,
-            settled=now - self._cluster.started_at > self._platform.lease_s,
+            term_older_than_lease=now - self._cluster.started_at > self._platform.lease_s,
             replaceable=self._replaceable(failures, now),
             many_unresponsive=self._are_many_unresponsive(now),
         )
         return [
             machine
             for machine in self._cluster.machines.values()
-            if not self._is_plainly_in_use(machine, failures, now)
+            if not self._is_healthy_and_in_use(machine, failures, now)
             and machine.state not in (MachineState.TERMINATING, MachineState.TERMINATED)
             and machine.name not in in_flight
             and self._is_surplus(machine, view)
         ]
 
     @staticmethod
-    def _is_plainly_in_use(machine: Machine, failures: FailureDetector, now: float) -> bool:
-        """Tell whether a machine is heard, acknowledges us and has work: most do, most of the time."""
+    def _is_healthy_and_in_use(machine: Machine, failures: FailureDetector, now: float) -> bool:
+        """Return whether a machine is up, sends heartbeats, acknowledges responses and has tasks, as most do."""
         return (
             machine.state is MachineState.UP
             and bool(machine.tasks)
@@ -80,24 +81,26 @@
         now = view.now
         if machine.state is MachineState.BOOTING and machine.listed_running_since is None:
             return (
-                view.settled
+                view.term_older_than_lease
                 and now - machine.created_at > self._boot_s(machine) * self._tuning.boot_timeout_boot_times
             )
-        silent_s = self._reachability.heartbeat_age_s(machine, now)
-        if silent_s > view.failures.alone_s:
-            given_up = silent_s > view.failures.tolerated_s(machine.zone) or machine.name in view.replaceable
-            return view.settled and given_up
+        heartbeat_age_s = self._reachability.heartbeat_age_s(machine, now)
+        if heartbeat_age_s > view.failures.alone_s:
+            presumed_lost = (
+                heartbeat_age_s > view.failures.tolerated_s(machine.zone) or machine.name in view.replaceable
+            )
+            return view.term_older_than_lease and presumed_lost
         if machine.state is MachineState.BOOTING:
             return False
         if self._reachability.is_unresponsive(machine, now):
-            return view.settled and not view.many_unresponsive
+            return view.term_older_than_lease and not view.many_unresponsive
         return self._is_idle(machine, view.plan, now)
 
     def _boot_s(self, machine: Machine) -> float:
         return machine.type.boot_s if machine.type is not None else self._platform.lease_s
 
     def _is_idle(self, machine: Machine, plan: CapacityPlan, now: float) -> bool:
-        """Tell whether a machine has no task, and is drained, or unused by the plan and idle for long enough."""
+        """Return whether a machine has no task and is drained, or is unused by the plan and idle for long enough."""
         if machine.tasks:
             return False
         if machine.state is MachineState.DRAINING:
@@ -116,16 +119,16 @@
             up += 1
             if machine.unacknowledged_responses and self._reachability.is_unresponsive(machine, now):
                 unresponsive += 1
-        return unresponsive > max(UNRESPONSIVE_FEW, up // UNRESPONSIVE_ONE_IN)
+        return unresponsive > max(TOLERATED_UNRESPONSIVE_MACHINES, up // TOLERATED_UNRESPONSIVE_DIVISOR)
 
     def _replaceable(self, failures: FailureDetector, now: float) -> set[str]:
-        """Return machines that fell silent with many others, and whose work fits elsewhere where its images are.
+        """Return machines that miss heartbeats with many others and whose work fits on machines with its images.
 
-        Waiting for them helps nobody; where the image is missing, they are likely back before it is fetched. Guards
-        against lost work that stays queued although there is room for it. In a zone that is partitioned as a whole
-        the work may well go on, if a controller in it answers heartbeats.
+        Waiting for such machines would only keep their work queued although there is room for it. If the images had
+        to be fetched, the machines would likely be back sooner. A partitioned zone with a controller in it is left
+        out, since its work may continue while that controller responds to heartbeats.
         """
-        silent = [
+        missing = [
             machine
             for machine in self._cluster.machines.values()
             if self._reachability.is_running(machine)
@@ -133,16 +136,16 @@
             and not (failures.partitioned(machine.zone) and self._platform.controllers_in(machine.zone))
             and failures.alone_s < self._reachability.heartbeat_age_s(machine, now) <= failures.correlated_s
         ]
-        if not silent:
+        if not missing:
             return set()
         by_image: dict[str, list[Candidate]] = {}
         for candidate in self._candidates.available(now, MIN_FREE_GPUS):
             for image in self._cluster.machines[candidate.name].fetched_images:
                 by_image.setdefault(image, []).append(candidate)
-        return {machine.name for machine in silent if self._fits_elsewhere(machine, by_image)}
+        return {machine.name for machine in missing if self._fits_elsewhere(machine, by_image)}
 
     def _fits_elsewhere(self, machine: Machine, by_image: dict[str, list[Candidate]]) -> bool:
-        """Find a candidate with the image for each task of a machine; what is found is allocated."""
+        """Return whether each task of a machine fits a candidate with its image, and allocate those found."""
         for spec in self._active_specs(machine):
             found = next(
                 (
--- a/driftcleat/scheduler/scale_out.py
+++ b/driftcleat/scheduler/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale-out requests: each is stored under its own name before it is sent, and sent until the cloud settles it."""
+"""Scale-out requests: each is stored under its own name before it is sent, and retried until the cloud settles it."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -9,17 +9,17 @@
 from driftcleat.store.keys import SCALE_OUTS_PREFIX
 from driftcleat.store.records import ScaleOutRecord
 
-# The most machines that the cloud creates for one request.
+# The cloud creates at most this many machines for one request.
 MAX_MACHINES_PER_REQUEST = 50
-# The back-off of an offer without capacity, in seconds, and the factor by which it grows with each further refusal.
-MIN_BACK_OFF_S = 5.0
-MAX_BACK_OFF_S = 30.0
-BACK_OFF_FACTOR = 1.5
+# Limits of the backoff of an offer without capacity, and the factor by which it grows with each further refusal.
+MIN_BACKOFF_S = 5.0
+MAX_BACKOFF_S = 30.0
+BACKOFF_FACTOR = 1.5
 
 
 @dataclass(slots=True)
 class ScaleOutRequest:
-    """A request for machines of one offer; its name makes it idempotent."""
+    """A request for machines of one offer; the name makes retries idempotent."""
 
     name: str
     record: ScaleOutRecord
@@ -27,43 +27,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The back-off of an offer that had no capacity: until when, and how long it is."""
+    """The backoff of an offer that had no capacity: its end and its duration in seconds."""
 
     until: float
-    back_off_s: float
+    backoff_s: float
 
 
 class ScaleOut:
-    """Holds the requests of this term, and those of earlier terms that are not settled."""
+    """Holds the requests of this term and the unsettled ones of earlier terms."""
 
     def __init__(self, context: SchedulerContext) -> None:
         self._cluster = context.cluster
         self._wall_clock = context.wall_clock
         self._counters = context.counters
-        # Requests that are stored and not settled, by name, and those that are to be stored.
+        # Stored requests that are not settled, by name.
         self.open_requests: dict[str, ScaleOutRequest] = {}
+        # Requests that are not stored yet.
         self.new_requests: list[ScaleOutRequest] = []
-        # Names of settled requests whose records are to be deleted.
+        # Names of settled requests whose records must be deleted.
         self._settled: list[str] = []
         self._last_number = 0
         self._refusals: dict[MachineOffer, Refusal] = {}
 
     @property
     def pending(self) -> bool:
-        """Return whether there is anything to store or to delete."""
+        """Return whether any request must be stored or any record deleted."""
         return bool(self.new_requests or self._settled)
 
     @property
     def unsettled(self) -> list[ScaleOutRequest]:
-        """Return all requests whose machines may still come, stored or not."""
+        """Return all requests, stored or not, whose machines may still be created."""
         return [*self.open_requests.values(), *self.new_requests]
 
     def restore(self, request: ScaleOutRequest) -> None:
-        """Restore a stored request that an earlier leader did not settle; it is sent again."""
+        """Restore a stored request that an earlier leader left unsettled; it will be sent again."""
         self.open_requests[request.name] = request
 
     def request(self, plan: CapacityPlan) -> None:
-        """Create the requests of a capacity plan, named by fencing token and number; they are to be stored."""
+        """Create the requests of a capacity plan, named by fencing token and number; a later batch stores them."""
         for (type_name, zone, spot), count in plan.scale_out.items():
             for requested in range(0, count, MAX_MACHINES_PER_REQUEST):
                 self._last_number += 1
@@ -74,7 +75,7 @@
                 )
 
     def append_to(self, batch: Batch) -> None:
-        """Append the deletes of settled requests and the puts of new ones, as far as the batch has room."""
+        """Append the deletes of settled requests and the puts of new ones for which the batch has room."""
         while self._settled and batch.has_room_for_keys():
             name = self._settled.pop()
             batch.delete(SCALE_OUTS_PREFIX + name)
@@ -86,11 +87,11 @@
             batch.on_commit.append(partial(self._record_stored, request))
 
     def _record_stored(self, request: ScaleOutRequest) -> None:
-        """Open a request after the commit that stored it: only now may it be sent."""
+        """Open a request after the commit that stored it; only then may it be sent."""
         self.open_requests[request.name] = request
 
     def record_response(self, request: ScaleOutRequest, machines: tuple[str, ...], now: float) -> None:
-        """Settle a request: register the machines that the cloud has created, and delete its record."""
+        """Settle a request: register the machines that the cloud created and schedule the delete of its record."""
         self.open_requests.pop(request.name, None)
         self._settled.append(request.name)
         record = request.record
@@ -100,13 +101,13 @@
                 self._cluster.register_machine(name, record.machine_type, record.zone, record.spot, "", now)
 
     def record_refusal(self, offer: MachineOffer, now: float) -> None:
-        """Back off from an offer that has no capacity, for longer after each further refusal."""
+        """Back off from an offer that has no capacity, longer after each further refusal."""
         last = self._refusals.get(offer)
-        last_back_off_s = last.back_off_s if last is not None else 0.0
-        back_off_s = min(MAX_BACK_OFF_S, max(MIN_BACK_OFF_S, last_back_off_s * BACK_OFF_FACTOR))
-        self._refusals[offer] = Refusal(now + back_off_s, back_off_s)
+        last_backoff_s = last.backoff_s if last is not None else 0.0
+        backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, last_backoff_s * BACKOFF_FACTOR))
+        self._refusals[offer] = Refusal(now + backoff_s, backoff_s)
 
     def is_refused(self, offer: MachineOffer, now: float) -> bool:
-        """Return whether the back-off of an offer is not over yet."""
+        """Return whether the backoff of an offer has not ended yet."""
         refusal = self._refusals.get(offer)
         return refusal is not None and refusal.until > now
