--- a/driftcleat/scheduler/consolidation.py
+++ b/driftcleat/scheduler/consolidation.py
@@ -10,7 +10,7 @@
 from driftcleat.wire.users import JobKind, JobSpec
 from driftcleat.wire.workers import TaskPhase
 
-# A module constant, since an enum member's lookup takes several times as long as a comparison, once for every task.
+# Looked up once: looking up an enum member for every task takes several times as long as the comparison with it.
 RUNNING = TaskPhase.RUNNING
 
 # A machine whose most used resource is used beyond this share is not drained.
--- a/driftcleat/scheduler/machine_candidates.py
+++ b/driftcleat/scheduler/machine_candidates.py
@@ -9,7 +9,7 @@
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.workers import TaskPhase
 
-# A module constant, since an enum member's lookup takes several times as long as a comparison, once for every task.
+# Looked up once: looking up an enum member for every task takes several times as long as the comparison with it.
 FETCHING = TaskPhase.FETCHING
 
 # Maximum age, in heartbeat intervals, of the last heartbeat of a machine that is given tasks.
--- a/driftcleat/scheduler/preemption_planning.py
+++ b/driftcleat/scheduler/preemption_planning.py
@@ -13,7 +13,7 @@
 from driftcleat.wire.users import JobKind
 from driftcleat.wire.workers import TaskPhase
 
-# A module constant, since an enum member's lookup takes several times as long as a comparison, once for every task.
+# Looked up once: looking up an enum member for every task takes several times as long as the comparison with it.
 FETCHING = TaskPhase.FETCHING
 
 # Seconds of work that the preemption of a service's replica counts as lost: more than any image fetch and restart.
