--- a/driftcleat/scheduler/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -1,4 +1,4 @@
-"""Demand planning: which machines queued, presumed-lost and expected work needs beyond those there are."""
+"""Demand planning: which new machines are needed for queued, presumed-lost and expected work."""
 
 import logging
 
@@ -18,7 +18,7 @@
 
 
 class DemandPlanner:
-    """Plans the fleet for all demand, the queue's first."""
+    """Plans capacity for all demand, in the order queued, presumed lost, expected."""
 
     def __init__(
         self,
@@ -36,8 +36,8 @@
         self.expected = ExpectedDemand(context, arrivals)
         self.free_capacity = FreeCapacity(context, scale_out)
 
-    def plan(self, now: float, failures: FailureDetector, max_rented: int) -> CapacityPlan:
-        """Return what to rent, at most `max_rented` machines, and which present machines the demand uses."""
+    def plan(self, now: float, failures: FailureDetector, max_machines: int) -> CapacityPlan:
+        """Return which machines to create, at most `max_machines`, and which existing ones the demand uses."""
         demands = self.queued.demands()
         demands.extend(self.presumed_lost.demands(failures, now))
         demands.extend(self.expected.demands(now))
@@ -54,6 +54,6 @@
             self.free_capacity.pool(),
             self._cluster.machine_types,
             is_refused,
-            max_rented,
+            max_machines,
             self._platform.away,
         )
