--- a/tests/costs.py
+++ b/tests/costs.py
@@ -19,9 +19,9 @@
 from driftcleat.store.keys import CHUNKS_PREFIX, JOBS_PREFIX
 from driftcleat.wire.workers import Heartbeat, TaskPhase, TaskStatus, format_task_name
 
-from .samples import TYPES, job, platform
-from .terms import new_term
-from .world import PlainStore
+from .reference_model import InMemoryStore
+from .samples import MACHINE_TYPES, job, platform
+from .scheduler_fixtures import new_scheduler
 
 T = TypeVar("T")
 
@@ -33,19 +33,19 @@
 ARRAY = {"hands": TASKS_A_JOB, "cores": 4.0, "accelerators": 0.0, "memGb": 4.0, "imageGb": 1.0}
 
 
-class Steps:
+class LeaderSteps:
     """A term with so many machines, played step by step."""
 
     def __init__(self, machines: int) -> None:
         self._machines = machines
         self._now = [0.0]
-        self._store = PlainStore(SITE)
+        self._store = InMemoryStore(SITE)
         self._number = self._mark = 0
         self._token = self._store.put_leader("a")
-        self._term = self._begin(ClusterState(self._token, {}, dict(TYPES), 0.0, SITE.lease_s))
+        self._term = self._begin(ClusterState(self._token, {}, dict(MACHINE_TYPES), 0.0, SITE.lease_s))
 
     def _begin(self, cluster: ClusterState) -> Scheduler:
-        scheduler = new_term(SITE, cluster, self._now)
+        scheduler = new_scheduler(SITE, cluster, self._now)
         scheduler.pacing.placement_starts_at = 0.0
         return scheduler
 
@@ -58,7 +58,7 @@
         print(f"  {name}: {spent * 1e3:.1f} ms{each}", flush=True)
         return value
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Print what each step takes."""
         bodies = [wire.encode(heartbeat) for heartbeat in self._reports(1)]
         reports = self._timed(
@@ -91,7 +91,7 @@
         jobs, _ = self._timed("  decode records", lambda: asyncio.run(decode_jobs(heads, chunks)), records)
         reports = self._reports(9)
         cluster = self._timed(
-            "  the picture", lambda: ClusterState(self._token, jobs, dict(TYPES), 0.0, SITE.lease_s)
+            "  the picture", lambda: ClusterState(self._token, jobs, dict(MACHINE_TYPES), 0.0, SITE.lease_s)
         )
         self._term = self._begin(cluster)
         self._timed("  every machine's first report", lambda: self._observe(reports), self._machines)
@@ -139,8 +139,8 @@
 def memory(machines: int) -> None:
     """Print who holds how much at the end."""
     tracemalloc.start()
-    steps = Steps(machines)
-    steps.play()
+    steps = LeaderSteps(machines)
+    steps.run()
     held = tracemalloc.take_snapshot().statistics("filename")
     print(f"  memory held: {sum(found.size for found in held) / 2**20:.1f} MB, of it")
     for found in held[:8]:
@@ -153,7 +153,7 @@
     sizes = [int(text) for text in sys.argv[1:]] or list(SIZES)
     for machines in sizes:
         print(f"{machines} machines")
-        Steps(machines).play()
+        LeaderSteps(machines).run()
     print(f"{max(sizes)} machines again, slowed down by counting memory")
     memory(max(sizes))
 
--- a/tests/standins.py
+++ b/tests/protocol_doubles.py
@@ -16,8 +16,8 @@
 from driftcleat.store.records import ScaleOutRecord
 from driftcleat.wire.workers import Command, Heartbeat, HeartbeatResponse
 
-from .samples import TYPES, raw_settings
-from .world import PlainStore, PlainWorker, World
+from .reference_model import InMemoryStore, ReferenceModel, ReferenceWorker
+from .samples import MACHINE_TYPES, raw_settings
 
 
 def free_port() -> int:
@@ -27,9 +27,9 @@
         return int(probe.getsockname()[1])
 
 
-async def until(condition: Any, what: str, most_s: float = 60.0) -> Any:
+async def wait_until(condition: Any, what: str, timeout_s: float = 60.0) -> Any:
     """Wait for a condition (plain or async); the limit only guards against hanging for ever."""
-    end = asyncio.get_running_loop().time() + most_s
+    end = asyncio.get_running_loop().time() + timeout_s
     while True:
         value = condition()
         if asyncio.iscoroutine(value):
@@ -40,31 +40,31 @@
         await asyncio.sleep(0.02)
 
 
-class StoreServer:
+class StoreDouble:
     """The state service: txns, leases, watches, outages for all or for one."""
 
-    def __init__(self, store: PlainStore) -> None:
+    def __init__(self, store: InMemoryStore) -> None:
         self.store = store
         self.leases: dict[int, float] = {}
         self.ttl: dict[int, float] = {}
         self.attached: dict[str, int] = {}
         self.down_for: set[str] = set()
-        self.number = 0
+        self.last_lease_id = 0
         # Transactions in all, and those above the limits.
-        self.txns = self.refused = 0
+        self.txns = self.rejected_txns = 0
         # The changes a second that are taken, if that is bounded, and what is left of a second's worth.
         self.write_rps: float | None = None
-        self.level, self.filled_at = 0.0, 0.0
+        self.write_tokens, self.tokens_refilled_at = 0.0, 0.0
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def expire(self) -> None:
+    def expire_leases(self) -> None:
         """End leases that were not renewed; in an outage time stands still for them."""
         for lease in [lease for lease, end in self.leases.items() if end < self.now()]:
-            self.end(lease)
+            self.revoke(lease)
 
-    def end(self, lease: int) -> None:
+    def revoke(self, lease: int) -> None:
         self.leases.pop(lease, None)
         for key in [key for key, other in self.attached.items() if other == lease]:
             del self.attached[key]
@@ -78,7 +78,7 @@
             self.leases[lease] = self.now() + self.ttl[lease]
 
     async def handle(self, request: web.BaseRequest) -> web.Response:
-        status, value = await self.answer(
+        status, value = await self.respond(
             request.headers.get("X-Sender", ""),
             request.method,
             request.path,
@@ -87,32 +87,32 @@
         )
         return web.json_response(value, status=status)
 
-    def refuses(self, sender: str) -> bool:
+    def is_unavailable_to(self, sender: str) -> bool:
         """Whether this controller is refused just now."""
         return "all" in self.down_for or sender in self.down_for
 
-    async def answer(
+    async def respond(
         self, sender: str, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, Any]:
         """Answer one request; return status and JSON value."""
-        if self.refuses(sender):
+        if self.is_unavailable_to(sender):
             return 503, {"error": "trouble"}
         if "all" not in self.down_for:
-            self.expire()
+            self.expire_leases()
         store = self.store
         if path == "/txn":
             return self.txn(body)
         if path == "/leases":
-            self.number += 1
-            self.ttl[self.number] = json.loads(body)["ttlMs"] / 1000
-            self.leases[self.number] = self.now() + self.ttl[self.number]
-            return 200, {"berth": self.number}
+            self.last_lease_id += 1
+            self.ttl[self.last_lease_id] = json.loads(body)["ttlMs"] / 1000
+            self.leases[self.last_lease_id] = self.now() + self.ttl[self.last_lease_id]
+            return 200, {"berth": self.last_lease_id}
         if path.startswith("/leases/"):
             lease = int(path.split("/")[2])
             if lease not in self.leases:
                 return 404, {}
             if method == "DELETE":
-                self.end(lease)
+                self.revoke(lease)
             else:
                 self.leases[lease] = self.now() + self.ttl[lease]
             return 200, {}
@@ -120,8 +120,12 @@
             revision, end = int(query["from"]), self.now() + int(query["waitMs"]) / 1000
             while self.now() < end:
                 if "all" not in self.down_for:
-                    self.expire()
-                if not self.refuses(sender) and store.revision > revision and not store.items(query["under"]):
+                    self.expire_leases()
+                if (
+                    not self.is_unavailable_to(sender)
+                    and store.revision > revision
+                    and not store.items(query["under"])
+                ):
                     return 200, {
                         "logline": store.revision,
                         "log": [{"remove": query["under"], "entry": store.revision}],
@@ -153,15 +157,17 @@
         """Carry out a transaction."""
         raw = json.loads(body)
         self.txns += 1
-        if not self.store.takes(raw):
-            self.refused += 1
+        if not self.store.within_limits(raw):
+            self.rejected_txns += 1
             return 400, {"error": "too large"}
         if self.write_rps is not None:
-            self.level = min(self.write_rps, self.level + (self.now() - self.filled_at) * self.write_rps)
-            self.filled_at = self.now()
-            if self.level < len(raw["then"]):
+            self.write_tokens = min(
+                self.write_rps, self.write_tokens + (self.now() - self.tokens_refilled_at) * self.write_rps
+            )
+            self.tokens_refilled_at = self.now()
+            if self.write_tokens < len(raw["then"]):
                 return 429, {"error": "too many changes"}
-            self.level -= len(raw["then"])
+            self.write_tokens -= len(raw["then"])
         for change in raw["then"]:
             if change.get("berth") is not None and change["berth"] not in self.leases:
                 return 400, {"error": "no such lease"}
@@ -174,15 +180,15 @@
         return 200, {"logline": revision}
 
 
-class WatchingStore(StoreServer):
+class ChangeLogStoreDouble(StoreDouble):
     """A state service whose watches tell every change under a prefix, as the protocol says."""
 
-    def __init__(self, store: PlainStore) -> None:
+    def __init__(self, store: InMemoryStore) -> None:
         super().__init__(store)
         self.log: list[dict[str, Any]] = []
         self._revisions: list[int] = []
 
-    def note(self, change: dict[str, Any], revision: int) -> None:
+    def record_change(self, change: dict[str, Any], revision: int) -> None:
         """Remember a change."""
         self.log.append(change | {"entry": revision})
         self._revisions.append(revision)
@@ -192,104 +198,106 @@
         if status == 200:
             for change in json.loads(body)["then"]:
                 kept = {key: change[key] for key in ("put", "remove", "v") if key in change}
-                self.note(kept, answer["logline"])
+                self.record_change(kept, answer["logline"])
         return status, answer
 
-    def end(self, lease: int) -> None:
+    def revoke(self, lease: int) -> None:
         keys = [key for key, other in self.attached.items() if other == lease and key in self.store.data]
-        super().end(lease)
+        super().revoke(lease)
         for key in keys:
-            self.note({"remove": key}, self.store.revision)
+            self.record_change({"remove": key}, self.store.revision)
 
     def changes(self, prefix: str, revision: int) -> list[dict[str, Any]]:
         """Return what changed under a prefix after a revision."""
         after = self.log[bisect.bisect_right(self._revisions, revision) :]
         return [entry for entry in after if str(entry.get("put", entry.get("remove"))).startswith(prefix)]
 
-    async def answer(
+    async def respond(
         self, sender: str, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, Any]:
-        if path != "/watch" or self.refuses(sender):
-            return await super().answer(sender, method, path, query, body)
+        if path != "/watch" or self.is_unavailable_to(sender):
+            return await super().respond(sender, method, path, query, body)
         revision, end, prefix = int(query["from"]), self.now() + int(query["waitMs"]) / 1000, query["under"]
         seen = revision
         while True:
             if "all" not in self.down_for:
-                self.expire()
+                self.expire_leases()
             found = self.changes(prefix, seen)
             seen = self.store.revision
-            if (found and not self.refuses(sender)) or self.now() >= end:
+            if (found and not self.is_unavailable_to(sender)) or self.now() >= end:
                 return 200, {"logline": self.store.revision, "log": found}
             if found:
                 seen = revision
             await asyncio.sleep(0.02)
 
 
-class LiveWorld(World):
+class HttpReferenceModel(ReferenceModel):
     """The plain world on the real clock, its workers talking HTTP to real controllers."""
 
     def __init__(self, platform: Any) -> None:
-        super().__init__(1, platform, dict(TYPES))
-        self.fronts: dict[str, str] = {}
+        super().__init__(1, platform, dict(MACHINE_TYPES))
+        self.controller_addresses: dict[str, str] = {}
         self.pending: set[asyncio.Task[None]] = set()
         self.session: aiohttp.ClientSession | None = None
-        self.attached: dict[str, str] = {}
+        self.worker_controllers: dict[str, str] = {}
         self.cloud_down = False
         self.addresses: dict[str, str] = {}
-        self.pause_s = 0.02
+        self.tick_s = 0.02
 
-    def send_report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
-        task = asyncio.ensure_future(self._report(worker, heartbeat, sent_at))
+    def send_heartbeat(self, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float) -> None:
+        task = asyncio.ensure_future(self._send_heartbeat(worker, heartbeat, sent_at))
         self.pending.add(task)
         task.add_done_callback(self.pending.discard)
 
-    async def _report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
+    async def _send_heartbeat(self, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         assert self.session is not None
-        if not self.fronts:
+        if not self.controller_addresses:
             # All controllers are down: as a connection that is refused.
-            worker.waiting_answer, worker.next_report = None, self.now + 1.0
+            worker.awaiting_response_since, worker.next_heartbeat_at = None, self.now + 1.0
             return
-        label = self.attached.get(worker.name)
-        if label not in self.fronts:
-            label = self.attached[worker.name] = random.choice(sorted(self.fronts))
+        label = self.worker_controllers.get(worker.name)
+        if label not in self.controller_addresses:
+            label = self.worker_controllers[worker.name] = random.choice(sorted(self.controller_addresses))
         heartbeat = wire.convert(
             wire.decode(wire.encode(heartbeat), dict) | {"addr": self.addresses["workers"] + "/" + worker.name},
             Heartbeat,
         )
         try:
             async with self.session.post(
-                f"http://{self.fronts[label]}/agent/beat",
+                f"http://{self.controller_addresses[label]}/agent/beat",
                 data=wire.encode(heartbeat),
                 timeout=aiohttp.ClientTimeout(total=4),
             ) as response:
                 data = await response.read()
                 if response.status == 200:
                     orders = wire.decode(data, HeartbeatResponse)
-                    worker.answer(
+                    worker.receive_response(
                         heartbeat.worker_epoch, heartbeat.sequence, orders.fencing_token, orders.commands, sent_at
                     )
                     if orders.commands:
-                        worker.next_report = min(worker.next_report, self.now + 0.1)
+                        worker.next_heartbeat_at = min(worker.next_heartbeat_at, self.now + 0.1)
                     return
                 leader = json.loads(data).get("harbormaster") if response.status == 421 else None
         except (aiohttp.ClientError, TimeoutError):
             leader = None
-        others = sorted(name for name in self.fronts if name != label)
-        self.attached[worker.name] = leader if leader in self.fronts else random.choice(others or [label])
-        worker.waiting_answer, worker.next_report = None, self.now + 0.1
+        others = sorted(name for name in self.controller_addresses if name != label)
+        self.worker_controllers[worker.name] = (
+            leader if leader in self.controller_addresses else random.choice(others or [label])
+        )
+        worker.awaiting_response_since, worker.next_heartbeat_at = None, self.now + 0.1
 
-    async def commands(self, request: web.BaseRequest) -> web.Response:
+    async def handle_commands(self, request: web.BaseRequest) -> web.Response:
         raw = json.loads(await request.read())
         worker = self.workers.get(request.path.split("/")[1])
-        if worker is None or worker.gone:
+        if worker is None or worker.terminated:
             return web.json_response({}, status=404)
         commands = wire.convert(raw["signals"], list[Command])
-        refused = raw["helm"] < worker.token or raw["watch"] != worker.session
-        worker.direct(raw["helm"], raw["watch"], commands)
-        worker.next_report = min(worker.next_report, self.now + 0.1)
-        return web.Response(body=wire.encode(worker.report()), status=409 if refused else 200)
+        refused = raw["helm"] < worker.fencing_token or raw["watch"] != worker.worker_epoch
+        worker.receive_commands(raw["helm"], raw["watch"], commands)
+        worker.next_heartbeat_at = min(worker.next_heartbeat_at, self.now + 0.1)
+        return web.Response(body=wire.encode(worker.next_heartbeat()), status=409 if refused else 200)
 
-    async def cloud(self, request: web.BaseRequest) -> web.Response:
+    async def handle_cloud(self, request: web.BaseRequest) -> web.Response:
         body = await request.read()
         if self.cloud_down:
             return web.json_response({"error": "trouble"}, status=503)
@@ -299,27 +307,27 @@
             for name in json.loads(body)["bollards"]:
                 worker = self.workers.get(name)
                 if worker is not None:
-                    worker.gone = True
+                    worker.terminated = True
                     worker.tasks.clear()
             return web.json_response({})
         if request.method == "POST":
             raw = json.loads(body)
-            if raw["charter"] not in self.rentals_done:
+            if raw["charter"] not in self.scale_out_results:
                 record = ScaleOutRecord(raw["build"], raw["harbor"], raw["driftwood"], raw["howMany"], 0.0)
-                self.rentals_done[raw["charter"]] = tuple(self.boot(record) for _ in range(raw["howMany"]))
-            return web.json_response({"bollards": self.rentals_done[raw["charter"]]})
+                self.scale_out_results[raw["charter"]] = tuple(self.boot(record) for _ in range(raw["howMany"]))
+            return web.json_response({"bollards": self.scale_out_results[raw["charter"]]})
         rows = self.listed_machines(lambda name: f"{self.addresses['workers']}/{name}")
         return web.json_response({"bollards": rows, "truncated": False})
 
-    async def live(self) -> None:
+    async def run_clock(self) -> None:
         """Let the workers' time pass."""
         while True:
             self.now = asyncio.get_running_loop().time()
             for worker in list(self.workers.values()):
                 worker.step()
-            for _, task in self.on_machines():
+            for _, task in self.tasks_on_machines():
                 self.check_cancelled(task.job.id)
-            await asyncio.sleep(self.pause_s)
+            await asyncio.sleep(self.tick_s)
 
 
 async def serve(handler: Any, port: int) -> web.ServerRunner:
@@ -339,8 +347,8 @@
             for name in ("state", "cloud", "workers", "a-bind", "a-back", "b-bind", "b-back", "c-bind", "c-back")
         }
         self.platforms = {label: parse_platform("test", self._raw(label)) for label in "abc"}
-        self.world = LiveWorld(self.platforms["a"])
-        self.store = StoreServer(self.world.store)
+        self.model = HttpReferenceModel(self.platforms["a"])
+        self.store = StoreDouble(self.model.store)
         self.running: dict[str, asyncio.Task[None]] = {}
         self.controllers: dict[str, Any] = {}
 
@@ -363,15 +371,15 @@
         return raw
 
     async def __aenter__(self) -> Self:
-        self.world.session = aiohttp.ClientSession()
-        self.world.addresses["workers"] = f"127.0.0.1:{self.ports['workers']}"
+        self.model.session = aiohttp.ClientSession()
+        self.model.addresses["workers"] = f"127.0.0.1:{self.ports['workers']}"
         self.runners = [
-            await serve(self.world.cloud, self.ports["cloud"]),
-            await serve(self.world.commands, self.ports["workers"]),
+            await serve(self.model.handle_cloud, self.ports["cloud"]),
+            await serve(self.model.handle_commands, self.ports["workers"]),
         ]
         await self.start_store()
-        self.world.now = asyncio.get_running_loop().time()
-        self.clock = asyncio.ensure_future(self.world.live())
+        self.model.now = asyncio.get_running_loop().time()
+        self.clock = asyncio.ensure_future(self.model.run_clock())
         for label in "abc":
             self.start(label)
         return self
@@ -380,11 +388,11 @@
         self.clock.cancel()
         for label in list(self.running):
             await self.kill(label)
-        await asyncio.gather(*self.world.pending, return_exceptions=True)
+        await asyncio.gather(*self.model.pending, return_exceptions=True)
         for runner in self.runners:
             await runner.cleanup()
-        assert self.world.session is not None
-        await self.world.session.close()
+        assert self.model.session is not None
+        await self.model.session.close()
 
     async def start_store(self) -> None:
         """Start the state service."""
@@ -397,9 +405,9 @@
         controller = Controller(self.platforms[label], Tuning())
         self.controllers[label] = controller
         self.running[label] = asyncio.ensure_future(controller.run())
-        self.world.fronts[label] = self.platforms[label].bind
+        self.model.controller_addresses[label] = self.platforms[label].bind
 
-    def name_sender(self, label: str) -> None:
+    def identify_to_store(self, label: str) -> None:
         """Have a controller name itself to the store, which can then refuse it alone."""
         store = self.controllers[label].store
         for client in (store.client, store.lease_client):
@@ -408,7 +416,7 @@
     async def kill(self, label: str) -> None:
         """End a controller without a word."""
         task = self.running.pop(label)
-        self.world.fronts.pop(label, None)
+        self.model.controller_addresses.pop(label, None)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
@@ -418,9 +426,9 @@
 
     async def call(self, label: str, method: str, path: str, body: Any = None) -> tuple[int, Any, Any]:
         """Send a user's request to one controller; return status, JSON and headers."""
-        assert self.world.session is not None
+        assert self.model.session is not None
         data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
-        async with self.world.session.request(
+        async with self.model.session.request(
             method, f"http://{self.platforms[label].bind}{path}", data=data
         ) as response:
             text = await response.read()
--- a/tests/world.py
+++ b/tests/reference_model.py
@@ -1,7 +1,7 @@
 """A small world against which the deciding core is run: workers, cloud, store, and a plain model of the rules.
 
 Everything is slow and simple on purpose. Messages may be lost, held back, repeated and delivered in any
-order; the model watches what tasks do on machines and raises `RuleBrokenError` at once.
+order; the model watches what tasks do on machines and raises `InvariantViolationError` at once.
 """
 
 import json
@@ -40,14 +40,14 @@
 from driftcleat.wire.users import JobKind, JobSpec, JobStatus
 from driftcleat.wire.workers import Command, Heartbeat, TaskStatus, parse_task_name
 
-from .samples import loaded_jobs
+from .samples import decode_job_records
 
 
-class RuleBrokenError(AssertionError):
+class InvariantViolationError(AssertionError):
     """One of the protocol's rules does not hold."""
 
 
-def as_production_writes(body: bytes) -> bytes:
+def downgrade_transaction(body: bytes) -> bytes:
     """Return a transaction as the production version would have sent it: heads without the trailing fields."""
     raw = json.loads(body)
     for change in raw["then"]:
@@ -56,7 +56,7 @@
     return json.dumps(raw, separators=(",", ":")).encode()
 
 
-class PlainStore:
+class InMemoryStore:
     """The state service as a dictionary: versions, conditions, limits."""
 
     def __init__(self, platform: Platform) -> None:
@@ -66,11 +66,11 @@
         # Today's limits, until `lower`.
         self.value_bytes, self.txn_ops = platform.first_value_bytes, platform.first_txn_ops
 
-    def lower(self) -> None:
+    def lower_limits(self) -> None:
         """The limits fall to those that the settings have announced; what is stored stays readable."""
         self.value_bytes, self.txn_ops = self.platform.value_bytes, self.platform.txn_ops
 
-    def takes(self, raw: dict[str, Any]) -> bool:
+    def within_limits(self, raw: dict[str, Any]) -> bool:
         """Whether a transaction keeps to the limits."""
         return len(raw["then"]) <= self.txn_ops and all(
             len(json.dumps(change["v"], separators=(",", ":"))) <= self.value_bytes
@@ -82,7 +82,7 @@
         """Carry out a transaction as it came over the wire; None if a condition fails."""
         assert len(body) <= 64 * 1024
         raw = json.loads(body)
-        assert self.takes(raw) and len(raw["if"]) <= 4 * self.txn_ops
+        assert self.within_limits(raw) and len(raw["if"]) <= 4 * self.txn_ops
         for condition in raw["if"]:
             if self.data.get(condition["key"], (None, 0))[1] != condition["entry"]:
                 return None
@@ -110,74 +110,85 @@
 
 
 @dataclass
-class Running:
+class WorkerTask:
     """A task on a worker."""
 
     job: JobSpec
     index: int
     attempt: int
     state: str
-    why: str | None = None
-    saved: bool = False
-    until: float = 0.0
+    exit_reason: str | None = None
+    checkpoint_saved: bool = False
+    ends_at: float = 0.0
 
 
-class PlainWorker:
+class ReferenceWorker:
     """A worker as the protocol describes it."""
 
-    def __init__(self, world: "World", name: str, machine_type: MachineType, zone: str, spot: bool) -> None:
-        self.world, self.name, self.kind, self.zone, self.spot = world, name, machine_type, zone, spot
-        self.session, self.seq, self.token = 1, 0, 0
-        self.tasks: dict[tuple[str, int, int], Running] = {}
-        self.leased_at = world.now
+    def __init__(self, model: "ReferenceModel", name: str, machine_type: MachineType, zone: str, spot: bool) -> None:
+        self.model, self.name, self.machine_type, self.zone, self.spot = model, name, machine_type, zone, spot
+        self.worker_epoch, self.sequence, self.fencing_token = 1, 0, 0
+        self.tasks: dict[tuple[str, int, int], WorkerTask] = {}
+        self.lease_renewed_at = model.now
         # `cut`: nothing passes; `deaf`: its reports arrive, answers and commands do not reach it.
-        self.gone = self.hung = self.cut = self.sick = self.deaf = False
-        self.next_report = world.now
-        self.waiting_answer: float | None = None
-        self.reported_at = world.now
-        self.reported: Any = None
+        self.terminated = self.hung = self.partitioned = self.fails_tasks = self.inbound_cut = False
+        self.next_heartbeat_at = model.now
+        self.awaiting_response_since: float | None = None
+        self.heartbeat_sent_at = model.now
+        self.last_sent_state: Any = None
 
-    def facts(self) -> Any:
+    def observable_state(self) -> Any:
         """Return what a worker reports at once when it changes."""
-        return (self.session, self.token, [(key, task.state) for key, task in self.tasks.items()])
+        return (self.worker_epoch, self.fencing_token, [(key, task.state) for key, task in self.tasks.items()])
 
-    def report(self) -> Heartbeat:
+    def next_heartbeat(self) -> Heartbeat:
         """Return the newest report."""
-        self.seq += 1
+        self.sequence += 1
         return Heartbeat(
             self.name,
             f"{self.name}:1",
-            self.kind.name,
+            self.machine_type.name,
             self.zone,
             self.spot,
-            self.session,
-            self.seq,
-            self.token,
+            self.worker_epoch,
+            self.sequence,
+            self.fencing_token,
             tuple(
-                TaskStatus(f"{task.job.id}/{task.index}", task.attempt, task.state, task.why, task.saved or None)
+                TaskStatus(
+                    f"{task.job.id}/{task.index}",
+                    task.attempt,
+                    task.state,
+                    task.exit_reason,
+                    task.checkpoint_saved or None,
+                )
                 for task in self.tasks.values()
             ),
         )
 
-    def answer(self, session: int, seq: int, token: int, commands: list[Command], sent_at: float) -> None:
+    def receive_response(self, session: int, seq: int, token: int, commands: list[Command], sent_at: float) -> None:
         """Take the answer to a report, unless it comes too late or from a leader of before."""
-        if self.gone or session != self.session or self.waiting_answer != sent_at or self.world.now > sent_at + 4:
+        if (
+            self.terminated
+            or session != self.worker_epoch
+            or self.awaiting_response_since != sent_at
+            or self.model.now > sent_at + 4
+        ):
             return
-        self.waiting_answer = None
-        if token < self.token:
+        self.awaiting_response_since = None
+        if token < self.fencing_token:
             return
-        self.token = token
-        self.leased_at = sent_at
-        self.carry_out(commands)
+        self.fencing_token = token
+        self.lease_renewed_at = sent_at
+        self.execute_commands(commands)
 
-    def direct(self, token: int, session: int, commands: list[Command]) -> None:
+    def receive_commands(self, token: int, session: int, commands: list[Command]) -> None:
         """Take commands sent straight here, however late."""
-        if self.gone or token < self.token or session != self.session:
+        if self.terminated or token < self.fencing_token or session != self.worker_epoch:
             return
-        self.token = token
-        self.carry_out(commands)
+        self.fencing_token = token
+        self.execute_commands(commands)
 
-    def carry_out(self, commands: list[Command]) -> None:
+    def execute_commands(self, commands: list[Command]) -> None:
         """Execute commands in order."""
         for command in commands:
             split = parse_task_name(command.task)
@@ -192,77 +203,77 @@
                     and task.job.checkpoint_interval_s > 0
                     and (command.grace_period_s or 0) >= task.job.checkpoint_duration_s
                 ):
-                    task.state, task.until = "saving", self.world.now + task.job.checkpoint_duration_s
+                    task.state, task.ends_at = "saving", self.model.now + task.job.checkpoint_duration_s
                 elif not (task.state == "saving" and command.grace_period_s):
-                    self.leave(task, "stopped")
+                    self.exit_task(task, "stopped")
             elif command.action == "forget" and task is not None and task.state == "exited":
                 del self.tasks[key]
 
     def restart(self) -> None:
         """The machine is back within a fraction of a second, all it did is lost."""
         self.tasks.clear()
-        self.session += 1
-        self.leased_at, self.waiting_answer = self.world.now, None
+        self.worker_epoch += 1
+        self.lease_renewed_at, self.awaiting_response_since = self.model.now, None
 
     def start(self, key: tuple[str, int, int]) -> None:
         """Start a task, or refuse it."""
-        job = self.world.specs[key[0]]
-        task = Running(job, key[1], key[2], "running")
+        job = self.model.specs[key[0]]
+        task = WorkerTask(job, key[1], key[2], "running")
         self.tasks[key] = task
         live = [other for other in self.tasks.values() if other.state != "exited" and other is not task]
         if any(other.job.id == job.id and other.index == key[1] for other in live):
-            task.state, task.why = "exited", "busy"
+            task.state, task.exit_reason = "exited", "busy"
         elif (
-            sum(other.job.cpus for other in live) + job.cpus > self.kind.cpus + 1e-6
-            or sum(other.job.gpus for other in live) + job.gpus > self.kind.gpus + 1e-6
+            sum(other.job.cpus for other in live) + job.cpus > self.machine_type.cpus + 1e-6
+            or sum(other.job.gpus for other in live) + job.gpus > self.machine_type.gpus + 1e-6
         ):
-            task.state, task.why = "exited", "no_room"
+            task.state, task.exit_reason = "exited", "no_room"
         else:
-            self.world.check_start(self, task)
-            task.until = self.world.now + job.estimated_run_s * self.world.rng.uniform(0.3, 1.5)
+            self.model.check_start(self, task)
+            task.ends_at = self.model.now + job.estimated_run_s * self.model.rng.uniform(0.3, 1.5)
 
-    def leave(self, task: Running, why: str) -> None:
+    def exit_task(self, task: WorkerTask, why: str) -> None:
         """A task exits; what is left of its gang notices."""
-        task.state, task.why = "exited", why
+        task.state, task.exit_reason = "exited", why
         if why == "done":
-            self.world.finished.add((task.job.id, task.index))
+            self.model.finished.add((task.job.id, task.index))
         if task.job.kind is JobKind.GANG:
-            for other in self.world.on_machines():
+            for other in self.model.tasks_on_machines():
                 if other[1].job.id == task.job.id and other[1].attempt == task.attempt:
-                    other[0].leave_quietly(other[1], "done" if why == "done" else "mates_gone")
+                    other[0].exit_gang_task(other[1], "done" if why == "done" else "mates_gone")
 
-    def leave_quietly(self, task: Running, why: str) -> None:
+    def exit_gang_task(self, task: WorkerTask, why: str) -> None:
         """A gang's task follows the others."""
-        task.state, task.why = "exited", why
+        task.state, task.exit_reason = "exited", why
         if why == "done":
-            self.world.finished.add((task.job.id, task.index))
+            self.model.finished.add((task.job.id, task.index))
 
     def step(self) -> None:
         """Let time pass: leases run out, tasks end, reports go out."""
-        now = self.world.now
-        if self.gone or self.hung:
+        now = self.model.now
+        if self.terminated or self.hung:
             return
-        if now - self.leased_at > self.world.platform.lease_s:
+        if now - self.lease_renewed_at > self.model.platform.lease_s:
             self.tasks.clear()
-            self.session += 1
-            self.leased_at, self.waiting_answer = now, None
+            self.worker_epoch += 1
+            self.lease_renewed_at, self.awaiting_response_since = now, None
         for task in list(self.tasks.values()):
-            if task.state == "saving" and now >= task.until:
-                task.saved = True
-                self.leave(task, "stopped")
-            elif task.state == "running" and now >= task.until and task.job.kind is not JobKind.SERVICE:
-                self.leave(task, "error" if self.sick else "done")
-        if self.waiting_answer is not None and now > self.waiting_answer + 4:
-            self.waiting_answer, self.next_report = None, now + 1
-        changed = self.facts() != self.reported and now >= self.reported_at + 0.5
-        if self.waiting_answer is None and (now >= self.next_report or changed):
-            self.waiting_answer = self.reported_at = now
-            self.reported = self.facts()
-            self.next_report = now + self.world.platform.report_s * self.world.rng.uniform(0.75, 1.25)
-            self.world.send_report(self, self.report(), now)
-
-
-def check_steady(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> None:
+            if task.state == "saving" and now >= task.ends_at:
+                task.checkpoint_saved = True
+                self.exit_task(task, "stopped")
+            elif task.state == "running" and now >= task.ends_at and task.job.kind is not JobKind.SERVICE:
+                self.exit_task(task, "error" if self.fails_tasks else "done")
+        if self.awaiting_response_since is not None and now > self.awaiting_response_since + 4:
+            self.awaiting_response_since, self.next_heartbeat_at = None, now + 1
+        changed = self.observable_state() != self.last_sent_state and now >= self.heartbeat_sent_at + 0.5
+        if self.awaiting_response_since is None and (now >= self.next_heartbeat_at or changed):
+            self.awaiting_response_since = self.heartbeat_sent_at = now
+            self.last_sent_state = self.observable_state()
+            self.next_heartbeat_at = now + self.model.platform.report_s * self.model.rng.uniform(0.75, 1.25)
+            self.model.send_heartbeat(self, self.next_heartbeat(), now)
+
+
+def check_in_sync(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> None:
     """An equal report that need not be looked at: a look at every task finds nothing either."""
     offered = dict(machine.starts_sent)
     machine.in_sync = False
@@ -275,14 +286,14 @@
 class Leader:
     """A controller that believes to lead."""
 
-    term: Scheduler
-    mark_version: int
-    number: int = 0
-    silent: bool = False
+    scheduler: Scheduler
+    marker_revision: int
+    batch_number: int = 0
+    crashed: bool = False
     in_flight: tuple[Any, EncodedBatch] | None = None
     stepped_down: bool = False
     # A leader of the production version, which drops what it does not know from the records that it rewrites.
-    old: bool = False
+    previous_version: bool = False
 
 
 @dataclass(order=True)
@@ -294,108 +305,110 @@
     deliver: Any = field(compare=False)
 
 
-class World:
+class ReferenceModel:
     """All of it, with a clock of its own."""
 
     def __init__(self, seed: int, platform: Platform, types: dict[str, MachineType]) -> None:
         self.rng = random.Random(seed)
         self.platform, self.types = platform, types
         self.now = 100.0
-        self.store = PlainStore(platform)
-        self.workers: dict[str, PlainWorker] = {}
+        self.store = InMemoryStore(platform)
+        self.workers: dict[str, ReferenceWorker] = {}
         self.specs: dict[str, JobSpec] = {}
         self.finished: set[tuple[str, int]] = set()
-        self.told: dict[str, str] = {}
+        self.statuses: dict[str, str] = {}
         self.cancelled_at: dict[str, float] = {}
-        self.wanted_off: set[str] = set()
-        self.mail: list[Message] = []
-        self.mail_number = 0
+        self.cancel_requested: set[str] = set()
+        self.in_transit: list[Message] = []
+        self.message_count = 0
         self.leaders: list[Leader] = []
-        self.rented = 0
-        self.rentals_done: dict[str, tuple[str, ...]] = {}
-        self.chaos = 0.0
+        self.machines_created = 0
+        self.scale_out_results: dict[str, tuple[str, ...]] = {}
+        self.fault_rate = 0.0
         # How many of the reports are delivered again, late, to whoever leads by then.
-        self.copies = 0.0
+        self.duplicate_rate = 0.0
         # A leader that all workers stay with for as long as it answers.
-        self.held_by: Leader | None = None
+        self.sticky_leader: Leader | None = None
         self.cloud_up = True
         self.store_up = True
-        self.started = 0
+        self.task_starts = 0
 
     # -- messages -----------------------------------------------------------------------------------------
 
-    def post(self, deliver: Any, lossy: bool = True) -> None:
+    def send_message(self, deliver: Any, lossy: bool = True) -> None:
         """Send something: it may be lost, repeated or held back for long."""
         roll = self.rng.random()
         copies = 1
-        if lossy and roll < self.chaos * 0.15:
+        if lossy and roll < self.fault_rate * 0.15:
             copies = 0
-        elif lossy and roll < self.chaos * 0.25:
+        elif lossy and roll < self.fault_rate * 0.25:
             copies = 2
         for _ in range(copies):
             delay = 0.02
-            if self.rng.random() < self.chaos * 0.2:
+            if self.rng.random() < self.fault_rate * 0.2:
                 delay = self.rng.choice([1.0, 3.0, 6.0, 15.0, 60.0])
-            self.mail_number += 1
-            self.mail.append(Message(self.now + delay, self.mail_number, deliver))
+            self.message_count += 1
+            self.in_transit.append(Message(self.now + delay, self.message_count, deliver))
 
-    def send_report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
+    def send_heartbeat(self, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         """A report goes to one of the leaders."""
-        leaders = [leader for leader in self.leaders if not leader.silent and not leader.stepped_down]
-        if not leaders or worker.cut:
+        leaders = [leader for leader in self.leaders if not leader.crashed and not leader.stepped_down]
+        if not leaders or worker.partitioned:
             return
         leader = self.rng.choice(leaders)
-        if self.held_by in leaders:
-            leader = self.held_by
-        if self.rng.random() < self.copies:
-            self.mail_number += 1
+        if self.sticky_leader in leaders:
+            leader = self.sticky_leader
+        if self.rng.random() < self.duplicate_rate:
+            self.message_count += 1
             late = self.now + self.rng.choice([2.0, 6.0, 20.0, 60.0])
-            self.mail.append(Message(late, self.mail_number, lambda: self.take_copy(heartbeat)))
+            self.in_transit.append(Message(late, self.message_count, lambda: self.receive_duplicate(heartbeat)))
 
         def arrive() -> None:
-            self.take_report(leader, worker, heartbeat, sent_at)
+            self.receive_heartbeat(leader, worker, heartbeat, sent_at)
 
-        self.post(arrive)
+        self.send_message(arrive)
 
-    def take_copy(self, heartbeat: Heartbeat) -> None:
+    def receive_duplicate(self, heartbeat: Heartbeat) -> None:
         """A late copy of a report; nobody waits for its answer any more."""
         leader = self.leader
-        if leader.silent or leader.stepped_down or heartbeat.fencing_token > leader.term.cluster.fencing_token:
+        if leader.crashed or leader.stepped_down or heartbeat.fencing_token > leader.scheduler.cluster.fencing_token:
             return
-        machine = apply_heartbeat(leader.term.cluster, heartbeat, self.now)
+        machine = apply_heartbeat(leader.scheduler.cluster, heartbeat, self.now)
         if machine is not None:
-            commands_for_heartbeat(leader.term.cluster, machine, heartbeat)
+            commands_for_heartbeat(leader.scheduler.cluster, machine, heartbeat)
 
-    def take_report(self, leader: Leader, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
+    def receive_heartbeat(
+        self, leader: Leader, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float
+    ) -> None:
         """What a controller does with a report."""
-        if leader.silent or leader.stepped_down:
+        if leader.crashed or leader.stepped_down:
             return
-        cluster = leader.term.cluster
+        cluster = leader.scheduler.cluster
         if heartbeat.fencing_token > cluster.fencing_token:
             leader.stepped_down = True
             return
         machine = apply_heartbeat(cluster, heartbeat, self.now)
         if machine is not None and machine.in_sync:
-            check_steady(cluster, machine, heartbeat)
+            check_in_sync(cluster, machine, heartbeat)
         commands = [] if machine is None else commands_for_heartbeat(cluster, machine, heartbeat)
         token = cluster.fencing_token
 
         def arrive() -> None:
-            if not worker.cut and not worker.deaf:
-                worker.answer(heartbeat.worker_epoch, heartbeat.sequence, token, commands, sent_at)
+            if not worker.partitioned and not worker.inbound_cut:
+                worker.receive_response(heartbeat.worker_epoch, heartbeat.sequence, token, commands, sent_at)
 
-        self.post(arrive)
+        self.send_message(arrive)
 
     # -- leaders ------------------------------------------------------------------------------------------
 
-    def elect(self, label: str = "a", old: bool = False) -> Leader:
+    def elect(self, label: str = "a", previous_version: bool = False) -> Leader:
         """Somebody wins the key and reads all records."""
         token = self.store.put_leader(label)
         site = self.platform
         layout = RecordLayout(site.value_bytes, site.txn_ops, site.first_value_bytes, site.first_txn_ops, site.zones)
         layout.version_2_active = DATA_VERSION_KEY in self.store.data
-        assert not (old and layout.version_2_active), "there is no way back"
-        jobs, orphans = loaded_jobs(self.store.items(JOBS_PREFIX), self.store.items(CHUNKS_PREFIX))
+        assert not (previous_version and layout.version_2_active), "there is no way back"
+        jobs, orphans = decode_job_records(self.store.items(JOBS_PREFIX), self.store.items(CHUNKS_PREFIX))
         over = {need for job in jobs.values() for need in job.spec.dependencies or () if need not in jobs}
         ended = {
             need: str(self.store.data[ENDED_JOBS_PREFIX + need][0][0])
@@ -417,7 +430,7 @@
             name = key_value.key[len(SCALE_OUTS_PREFIX) :]
             scheduler.scale_out.restore(ScaleOutRequest(name, wire.decode(bytes(key_value.value), ScaleOutRecord)))
         mark = self.store.data.get(BATCH_MARKER_KEY, (None, 0))
-        leader = Leader(scheduler, mark[1], old=old)
+        leader = Leader(scheduler, mark[1], previous_version=previous_version)
         self.leaders.append(leader)
         return leader
 
@@ -426,32 +439,36 @@
         """The newest leader."""
         return self.leaders[-1]
 
-    def write(self, leader: Leader) -> None:
+    def step_writer(self, leader: Leader) -> None:
         """One step of a leader's writing: send a batch, or find out about the one that is under way."""
-        if leader.silent or leader.stepped_down or not self.store_up or leader is self.held_by:
+        if leader.crashed or leader.stepped_down or not self.store_up or leader is self.sticky_leader:
             return
         if leader.in_flight is None:
-            if not leader.term.has_work:
+            if not leader.scheduler.has_work:
                 return
-            batch = leader.term.build_batch()
+            batch = leader.scheduler.build_batch()
             if batch.is_empty:
                 for call in batch.on_commit:
                     call()
                 return
-            leader.number += 1
+            leader.batch_number += 1
             encoded = encode_batch(
-                batch, leader.term.layout, leader.term.cluster.fencing_token, leader.number, leader.mark_version
+                batch,
+                leader.scheduler.layout,
+                leader.scheduler.cluster.fencing_token,
+                leader.batch_number,
+                leader.marker_revision,
             )
-            if leader.old:
-                encoded = replace(encoded, body=as_production_writes(encoded.body))
+            if leader.previous_version:
+                encoded = replace(encoded, body=downgrade_transaction(encoded.body))
             leader.in_flight = (batch, encoded)
         batch, encoded = leader.in_flight
-        if self.rng.random() < self.chaos * 0.1:
+        if self.rng.random() < self.fault_rate * 0.1:
             # Lost on the way there; a copy may still turn up much later.
-            self.post(lambda: self.store.txn(encoded.body))
+            self.send_message(lambda: self.store.txn(encoded.body))
             return
         revision = self.store.txn(encoded.body)
-        if self.rng.random() < self.chaos * 0.1:
+        if self.rng.random() < self.fault_rate * 0.1:
             return
         if revision is None:
             value, version = self.store.data.get(BATCH_MARKER_KEY, (None, 0))
@@ -460,29 +477,35 @@
                 return
             revision = version
         leader.in_flight = None
-        leader.mark_version = revision
-        leader.term.apply_commit(batch, revision, encoded.obsolete_keys)
-        while leader.term.urgent_stops:
-            self.send_stops(leader, leader.term.urgent_stops.pop())
+        leader.marker_revision = revision
+        leader.scheduler.apply_commit(batch, revision, encoded.obsolete_keys)
+        while leader.scheduler.urgent_stops:
+            self.send_stops(leader, leader.scheduler.urgent_stops.pop())
 
     def send_stops(self, leader: Leader, name: str) -> None:
         """Stops go straight to the worker too, and may land late."""
-        machine = leader.term.cluster.machines.get(name)
+        machine = leader.scheduler.cluster.machines.get(name)
         worker = self.workers.get(name)
         if machine is None or worker is None or machine.last_heartbeat is None:
             return
-        cluster = leader.term.cluster
+        cluster = leader.scheduler.cluster
         commands, session, token = (
             stop_commands(cluster, machine),
             machine.last_heartbeat.worker_epoch,
             cluster.fencing_token,
         )
-        self.post(lambda: None if worker.cut or worker.deaf else worker.direct(token, session, commands))
+        self.send_message(
+            lambda: (
+                None
+                if worker.partitioned or worker.inbound_cut
+                else worker.receive_commands(token, session, commands)
+            )
+        )
 
-    def keep_fleet(self, leader: Leader) -> None:
+    def manage_capacity(self, leader: Leader) -> None:
         """Rent and return as the leader's fleet keeper does."""
-        scheduler = leader.term
-        if leader.silent or leader.stepped_down or not self.cloud_up:
+        scheduler = leader.scheduler
+        if leader.crashed or leader.stepped_down or not self.cloud_up:
             return
         names = scheduler.cancellations.machines_to_fence() | scheduler.reachability.never_reported(self.now)
         if self.now >= scheduler.pacing.placement_starts_at:
@@ -494,28 +517,32 @@
             machine = scheduler.find_or_register_machine(name, self.now)
             worker = self.workers.get(name)
             if worker is not None:
-                worker.gone = True
+                worker.terminated = True
                 worker.tasks.clear()
             if machine.state.value != "gone":
                 scheduler.cluster.record_terminated(machine, self.now)
-        if self.held_by is not None and self.now >= scheduler.pacing.placement_starts_at:
+        if self.sticky_leader is not None and self.now >= scheduler.pacing.placement_starts_at:
             # Workers that an earlier leader holds are shown the new token.
             for worker in self.alive():
                 known = scheduler.cluster.machines.get(worker.name)
-                if (known is None or known.last_heartbeat is None) and not worker.cut and not worker.deaf:
-                    worker.direct(scheduler.cluster.fencing_token, worker.session, [])
+                if (
+                    (known is None or known.last_heartbeat is None)
+                    and not worker.partitioned
+                    and not worker.inbound_cut
+                ):
+                    worker.receive_commands(scheduler.cluster.fencing_token, worker.worker_epoch, [])
         for request in list(scheduler.scale_out.open.values()):
-            machines = self.rentals_done.get(request.name)
+            machines = self.scale_out_results.get(request.name)
             if machines is None:
                 machines = tuple(self.boot(request.record) for _ in range(min(request.record.count, 3)))
-                self.rentals_done[request.name] = machines
+                self.scale_out_results[request.name] = machines
             scheduler.scale_out.record_answer(request, machines, self.now)
 
     def boot(self, record: ScaleOutRecord) -> str:
         """A machine comes up."""
-        self.rented += 1
-        name = f"vm-{self.rented:06d}"
-        self.workers[name] = PlainWorker(self, name, self.types[record.machine_type], record.zone, record.spot)
+        self.machines_created += 1
+        name = f"vm-{self.machines_created:06d}"
+        self.workers[name] = ReferenceWorker(self, name, self.types[record.machine_type], record.zone, record.spot)
         return name
 
     # -- users --------------------------------------------------------------------------------------------
@@ -523,14 +550,14 @@
     def submit(self, spec: JobSpec) -> None:
         """A user submits a job (again)."""
         known = ENDED_JOBS_PREFIX + spec.id in self.store.data
-        if known or self.leader.stepped_down or self.leader.silent:
+        if known or self.leader.stepped_down or self.leader.crashed:
             return
         self.specs[spec.id] = spec
         leader = self.leader
 
         def answered(status: JobStatus | None) -> None:
             if status is not None:
-                self.tell(status)
+                self.record_response(status)
 
         # What the users' interface finds out: the final states of needed jobs that are over.
         ended = {
@@ -538,45 +565,45 @@
             for need in spec.dependencies or ()
             if ENDED_JOBS_PREFIX + need in self.store.data
         }
-        leader.term.admission.submit(PendingRequest(answered, spec, spec.id, ended))
+        leader.scheduler.admission.submit(PendingRequest(answered, spec, spec.id, ended))
 
     def cancel(self, job_id: str) -> None:
         """A user cancels a job."""
-        if self.leader.term.admission.lookup(job_id) is None:
+        if self.leader.scheduler.admission.lookup(job_id) is None:
             return
 
         def answered(status: JobStatus | None) -> None:
             if status is not None:
-                self.tell(status)
+                self.record_response(status)
                 if status.state == "cancelled":
                     self.cancelled_at.setdefault(job_id, self.now)
 
-        self.wanted_off.add(job_id)
-        self.leader.term.admission.cancel(PendingRequest(answered, None, job_id))
+        self.cancel_requested.add(job_id)
+        self.leader.scheduler.admission.cancel(PendingRequest(answered, None, job_id))
 
-    def tell(self, status: JobStatus) -> None:
+    def record_response(self, status: JobStatus) -> None:
         """A user is told a job's state."""
-        before = self.told.get(status.id)
+        before = self.statuses.get(status.id)
         if before in ("done", "cancelled") and status.state != before:
-            raise RuleBrokenError(f"went_back: {status.id} {before} -> {status.state}")
+            raise InvariantViolationError(f"went_back: {status.id} {before} -> {status.state}")
         if status.state == "done":
             missing = [
                 index for index in range(self.specs[status.id].tasks) if (status.id, index) not in self.finished
             ]
             if missing:
-                raise RuleBrokenError(f"not_done: {status.id} lacks {missing}")
-        at = self.cancelled_before(status.id)
+                raise InvariantViolationError(f"not_done: {status.id} lacks {missing}")
+        at = self.first_cancelled_at(status.id)
         if status.state in ("pending", "running") and at is not None and self.now > at + self.platform.cancel_s:
-            raise RuleBrokenError(f"orphaned: {status.id} is called {status.state}")
-        if status.state == "cancelled" and at is None and status.id not in self.wanted_off:
-            raise RuleBrokenError(f"went_back: {status.id} was cancelled by nobody")
-        self.told[status.id] = status.state
+            raise InvariantViolationError(f"orphaned: {status.id} is called {status.state}")
+        if status.state == "cancelled" and at is None and status.id not in self.cancel_requested:
+            raise InvariantViolationError(f"went_back: {status.id} was cancelled by nobody")
+        self.statuses[status.id] = status.state
 
     # -- the rules ----------------------------------------------------------------------------------------
 
-    def alive(self) -> list[PlainWorker]:
+    def alive(self) -> list[ReferenceWorker]:
         """Machines that are not gone."""
-        return [worker for worker in self.workers.values() if not worker.gone]
+        return [worker for worker in self.workers.values() if not worker.terminated]
 
     def listed_machines(self, address: Callable[[str], str]) -> list[dict[str, Any]]:
         """Return the cloud's list of machines that are not gone, each at the address made of its name."""
@@ -584,7 +611,7 @@
             {
                 "nameId": worker.name,
                 "addr": address(worker.name),
-                "build": worker.kind.name,
+                "build": worker.machine_type.name,
                 "harbor": worker.zone,
                 "driftwood": worker.spot,
                 "bearing": "running",
@@ -593,38 +620,38 @@
             for worker in self.alive()
         ]
 
-    def on_machines(self) -> list[tuple[PlainWorker, Running]]:
+    def tasks_on_machines(self) -> list[tuple[ReferenceWorker, WorkerTask]]:
         """Every task that is on a machine."""
         return [(worker, task) for worker in self.alive() for task in worker.tasks.values() if task.state != "exited"]
 
-    def check_start(self, worker: PlainWorker, task: Running) -> None:
+    def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
         """A task starts: compare with everything else that is on machines."""
-        self.started += 1
+        self.task_starts += 1
         job = task.job
-        others = [(where, other) for where, other in self.on_machines() if other is not task]
+        others = [(where, other) for where, other in self.tasks_on_machines() if other is not task]
         if any(other.job.id == job.id and other.index == task.index for _, other in others):
-            raise RuleBrokenError(f"ran_twice: {job.id}/{task.index} on {worker.name}")
+            raise InvariantViolationError(f"ran_twice: {job.id}/{task.index} on {worker.name}")
         if (
-            (job.machine_types is not None and worker.kind.name not in job.machine_types)
+            (job.machine_types is not None and worker.machine_type.name not in job.machine_types)
             or (job.zone is not None and worker.zone != job.zone)
             or (worker.spot and not job.spot)
         ):
-            raise RuleBrokenError(f"wrong_place: {job.id} on {worker.name}")
+            raise InvariantViolationError(f"wrong_place: {job.id} on {worker.name}")
         mates = [where.zone for where, other in others if other.job.id == job.id]
         if job.single_zone and any(zone != worker.zone for zone in mates):
-            raise RuleBrokenError(f"wrong_place: {job.id} in two zones")
+            raise InvariantViolationError(f"wrong_place: {job.id} in two zones")
         if job.spread and mates.count(worker.zone) + 1 > -(-job.tasks // 2):
-            raise RuleBrokenError(f"wrong_place: {job.id} not spread")
+            raise InvariantViolationError(f"wrong_place: {job.id} not spread")
         team = self.platform.teams[job.team]
         gpus = job.gpus + sum(other.job.gpus for _, other in others if other.job.team == job.team)
         if team.gpus_max > 0 and gpus > team.gpus_max + 1e-6:
-            raise RuleBrokenError(f"quota: {job.team} uses {gpus}")
+            raise InvariantViolationError(f"quota: {job.team} uses {gpus}")
         for need in job.dependencies or ():
             if any((need, index) not in self.finished for index in range(self.specs[need].tasks)):
-                raise RuleBrokenError(f"too_early: {job.id} starts before {need} is done")
+                raise InvariantViolationError(f"too_early: {job.id} starts before {need} is done")
         self.check_cancelled(job.id)
 
-    def with_needs(self, job_id: str) -> set[str]:
+    def with_dependencies(self, job_id: str) -> set[str]:
         """Return a job and all that it needs, directly or through others."""
         seen, asked = set(), [job_id]
         while asked:
@@ -634,10 +661,10 @@
                 asked.extend(self.specs[current].dependencies or ())
         return seen
 
-    def cancelled_before(self, job_id: str) -> float | None:
+    def first_cancelled_at(self, job_id: str) -> float | None:
         """Return when a user was first told that this job, or any that it needs, is cancelled."""
         return min(
-            (self.cancelled_at[other] for other in self.with_needs(job_id) if other in self.cancelled_at),
+            (self.cancelled_at[other] for other in self.with_dependencies(job_id) if other in self.cancelled_at),
             default=None,
         )
 
@@ -645,27 +672,27 @@
         """A task of this job is on a machine now."""
         at = self.cancelled_at.get(job_id)
         if at is not None and self.now > at + self.platform.cancel_s:
-            raise RuleBrokenError(f"ran_cancelled: {job_id}, {self.now - at:.1f} s after")
+            raise InvariantViolationError(f"ran_cancelled: {job_id}, {self.now - at:.1f} s after")
 
     # -- time ---------------------------------------------------------------------------------------------
 
     def step(self, seconds: float = 0.25) -> None:
         """Let a moment pass."""
         self.now += seconds
-        due = sorted(message for message in self.mail if message.at <= self.now)
-        self.mail = [message for message in self.mail if message.at > self.now]
+        due = sorted(message for message in self.in_transit if message.at <= self.now)
+        self.in_transit = [message for message in self.in_transit if message.at > self.now]
         for message in due:
             message.deliver()
         for worker in list(self.workers.values()):
             worker.step()
         for leader in self.leaders[-3:]:
-            self.write(leader)
+            self.step_writer(leader)
         if int(self.now * 4) % 4 == 0:
-            self.keep_fleet(self.leader)
-            for machine in list(self.leader.term.cluster.machines.values()):
-                if stop_commands(self.leader.term.cluster, machine):
+            self.manage_capacity(self.leader)
+            for machine in list(self.leader.scheduler.cluster.machines.values()):
+                if stop_commands(self.leader.scheduler.cluster, machine):
                     self.send_stops(self.leader, machine.name)
-        for _, task in self.on_machines():
+        for _, task in self.tasks_on_machines():
             self.check_cancelled(task.job.id)
 
     def run(self, seconds: float) -> None:
@@ -676,22 +703,22 @@
 
     def poll_all(self) -> None:
         """Users ask for the state of every accepted job; none may be forgotten."""
-        for job_id in list(self.told):
-            status = self.leader.term.admission.lookup(job_id)
+        for job_id in list(self.statuses):
+            status = self.leader.scheduler.admission.lookup(job_id)
             if status is None:
                 value = self.store.data.get(ENDED_JOBS_PREFIX + job_id)
                 if value is None:
-                    raise RuleBrokenError(f"forgotten: {job_id}")
+                    raise InvariantViolationError(f"forgotten: {job_id}")
                 status = JobStatus(job_id, value[0][0], value[0][1])
-            self.tell(status)
+            self.record_response(status)
 
     def settle(self, seconds: float = 400.0) -> None:
         """All trouble ends; then every job that is no service must be done, and cancelled ones gone."""
-        self.chaos, self.cloud_up, self.store_up = 0.0, True, True
+        self.fault_rate, self.cloud_up, self.store_up = 0.0, True, True
         for worker in self.workers.values():
-            worker.hung = worker.cut = worker.sick = worker.deaf = False
-        self.copies, self.held_by = 0.0, None
-        if self.leader.stepped_down or self.leader.silent:
+            worker.hung = worker.partitioned = worker.fails_tasks = worker.inbound_cut = False
+        self.duplicate_rate, self.sticky_leader = 0.0, None
+        if self.leader.stepped_down or self.leader.crashed:
             self.elect()
         self.run(5.0)
         # Services hold quota for as long as they run.
@@ -699,26 +726,26 @@
             if self.specs[job_id].kind is JobKind.SERVICE and state not in ("done", "cancelled"):
                 self.cancel(job_id)
         end = self.now + seconds
-        while self.now < end and not self.all_over():
+        while self.now < end and not self.all_ended():
             self.step()
             if self.leader.stepped_down:
                 self.elect()
         self.poll_all()
 
-    def all_over(self) -> bool:
+    def all_ended(self) -> bool:
         """Whether nothing is left to be done."""
         return all(state in ("done", "cancelled") for state in self.states().values())
 
     def states(self) -> dict[str, str]:
         """Every accepted job's state."""
         out = {}
-        for job_id in self.told:
-            job = self.leader.term.cluster.jobs.get(job_id)
+        for job_id in self.statuses:
+            job = self.leader.scheduler.cluster.jobs.get(job_id)
             if job is None:
                 ended = self.store.data.get(ENDED_JOBS_PREFIX + job_id)
                 out[job_id] = str(ended[0][0]) if ended is not None else "lost"
             elif job.state is JobState.CANCELLED and job.placements:
                 out[job_id] = "cancelling"
             else:
-                out[job_id] = user_job_status(self.leader.term.cluster, job).state
+                out[job_id] = user_job_status(self.leader.scheduler.cluster, job).state
         return out
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -47,7 +47,7 @@
 
 BIG = MachineType("big", 16.0, 4.0, 64.0, 100.0, 1.0, 10.0, 3.0, 30.0, ("north", "south"))
 SMALL = MachineType("small", 8.0, 2.0, 32.0, 100.0, 1.0, 4.0, 1.5, 30.0, ("north", "south"))
-TYPES = {kind.name: kind for kind in (BIG, SMALL)}
+MACHINE_TYPES = {kind.name: kind for kind in (BIG, SMALL)}
 
 
 def raw_settings() -> dict[str, Any]:
@@ -83,6 +83,6 @@
     return parse_platform("test.toml", raw)
 
 
-def loaded_jobs(heads: list[state.KeyValue], chunks: list[state.KeyValue]) -> tuple[dict[str, Job], list[str]]:
+def decode_job_records(heads: list[state.KeyValue], chunks: list[state.KeyValue]) -> tuple[dict[str, Job], list[str]]:
     """Return jobs as a new leader reads them, and the keys of chunks that no job has."""
     return asyncio.run(decode_jobs(heads, chunks))
--- a/tests/terms.py
+++ b/tests/scheduler_fixtures.py
@@ -11,13 +11,13 @@
 from driftcleat.wire.users import JobSpec
 from driftcleat.wire.workers import Heartbeat
 
-from .samples import TYPES, platform
+from .samples import MACHINE_TYPES, platform
 
 # The leader of every term that `fleet` makes.
-TOKEN = 5
+FENCING_TOKEN = 5
 
 
-def new_term(
+def new_scheduler(
     site: Platform, cluster: ClusterState, now: list[float], clock: Callable[[], float] | None = None
 ) -> Scheduler:
     """Return a term on a store that is brand new; `clock` stands for the time in `now`."""
@@ -33,15 +33,15 @@
     )
 
 
-def fleet(machines: int) -> tuple[Scheduler, list[float]]:
+def scheduler_with_machines(machines: int) -> tuple[Scheduler, list[float]]:
     """Return a term with that many empty machines, and its clock."""
     now = [0.0]
     site = platform()
-    cluster = ClusterState(TOKEN, {}, dict(TYPES), 0.0, site.lease_s)
-    scheduler = new_term(site, cluster, now)
+    cluster = ClusterState(FENCING_TOKEN, {}, dict(MACHINE_TYPES), 0.0, site.lease_s)
+    scheduler = new_scheduler(site, cluster, now)
     for number in range(machines):
         zone = ("north", "south")[number % 2]
-        apply_heartbeat(cluster, Heartbeat(f"vm-{number}", "h", "big", zone, False, 1, 1, TOKEN, ()), 0.0)
+        apply_heartbeat(cluster, Heartbeat(f"vm-{number}", "h", "big", zone, False, 1, 1, FENCING_TOKEN, ()), 0.0)
     return scheduler, now
 
 
@@ -51,7 +51,9 @@
     if batch.is_empty:
         return False
     number = scheduler.counters.batches + 1
-    scheduler.apply_commit(batch, number, encode_batch(batch, scheduler.layout, TOKEN, number, 0).obsolete_keys)
+    scheduler.apply_commit(
+        batch, number, encode_batch(batch, scheduler.layout, FENCING_TOKEN, number, 0).obsolete_keys
+    )
     return True
 
 
@@ -61,7 +63,7 @@
         pass
 
 
-def accept(scheduler: Scheduler, *specs: JobSpec) -> None:
+def commit_submissions(scheduler: Scheduler, *specs: JobSpec) -> None:
     """Commit submissions; what they ask for may be placed from now on, and is not yet."""
     scheduler.pacing.placement_starts_at = float("inf")
     for spec in specs:
--- a/tests/sharing_simulation.py
+++ b/tests/sharing_simulation.py
@@ -15,17 +15,24 @@
 from driftcleat.sharing.settings import SharingSettings
 from driftcleat.store.keys import LEADER_KEY, ROOT_PREFIX
 
-from .simulation import LABELS, Simulation, _Peers, belong_to, simulated_clients, simulated_front
-from .standins import WatchingStore
-from .world import PlainWorker, RuleBrokenError, Running
+from .protocol_doubles import ChangeLogStoreDouble
+from .reference_model import InvariantViolationError, ReferenceWorker, WorkerTask
+from .simulation import (
+    LABELS,
+    SimulatedPeerClient,
+    Simulation,
+    attach_to_simulation,
+    simulated_clients,
+    simulated_listener,
+)
 
-SHARES = 3
+SHARD_COUNT = 3
 
 
-class SimulatedHost(SharingHost):
+class SimulatedShardHost(SharingHost):
     """The real host without sockets."""
 
-    def __init__(self, simulation: "SharedSimulation", platform: Platform, rng: random.Random) -> None:
+    def __init__(self, simulation: "ShardedSimulation", platform: Platform, rng: random.Random) -> None:
         loop = asyncio.get_running_loop()
         super().__init__(platform, Tuning(), simulation.sharing, rng, loop.time, loop.time)
         self.simulation = simulation
@@ -40,64 +47,64 @@
 
     def make_sharing_client(self, path: str) -> Any:
         none: Any = SimpleNamespace()
-        client = _Peers(none, self.platform, path)
-        belong_to(client, self.simulation, self.platform)
+        client = SimulatedPeerClient(none, self.platform, path)
+        attach_to_simulation(client, self.simulation, self.platform)
         return client
 
     async def listen(self, sockets: SocketBudget) -> list[Any]:
-        self.front = simulated_front()
+        self.front = simulated_listener()
         return []
 
 
-class SharedSimulation(Simulation):
+class ShardedSimulation(Simulation):
     """The simulated site, its controllers sharing the machines."""
 
-    controllers: dict[str, SimulatedHost]  # type: ignore[assignment]
+    controllers: dict[str, SimulatedShardHost]  # type: ignore[assignment]
 
-    def __init__(self, seed: int, shares: int = SHARES, balance: float = 0.0, **limits: Any) -> None:
+    def __init__(self, seed: int, shard_count: int = SHARD_COUNT, balance: float = 0.0, **limits: Any) -> None:
         super().__init__(seed, **limits)
-        self.sharing = SharingSettings(shares=shares, balance=balance)
-        self.state = WatchingStore(self.store)
+        self.sharing = SharingSettings(shares=shard_count, balance=balance)
+        self.store_double = ChangeLogStoreDouble(self.store)
         # Who started a task on a machine under which token: one share's leaders only.
-        self.machine_shares: dict[str, int] = {}
+        self.machine_shards: dict[str, int] = {}
         self.moves = 0
 
     def start(self, label: str) -> None:
-        host = SimulatedHost(self, self.platforms[label], random.Random(self.rng.random()))
+        host = SimulatedShardHost(self, self.platforms[label], random.Random(self.rng.random()))
         self.controllers[label] = host
         self.processes[label] = asyncio.ensure_future(host.run())
 
-    def end(self, *labels: str) -> None:
+    def crash(self, *labels: str) -> None:
         for label in labels:
             if label in self.processes:
                 for engine in self.controllers[label].engines.values():
                     for task in engine.background.tasks:
                         task.cancel()
-        super().end(*labels)
+        super().crash(*labels)
 
-    def up(self, label: str) -> bool:
+    def is_up(self, label: str) -> bool:
         return label in self.processes and self.controllers[label].is_set_up(0)
 
-    def lead(self) -> str | None:
+    def leader_label(self) -> str | None:
         return next((label for label in sorted(self.processes) if self.controllers[label].may_decide), None)
 
-    def owner(self, share: int) -> str | None:
+    def shard_leader(self, share: int) -> str | None:
         """Return who leads a share for certain."""
         owners = [label for label in sorted(self.processes) if self.controllers[label].leads(share)]
         assert len(owners) <= 1, f"share {share} is led by {owners}"
         return owners[0] if owners else None
 
-    def all_led(self) -> bool:
+    def all_shards_led(self) -> bool:
         """Whether every share is led."""
-        return ASSIGNMENT in self.store.data and all(self.owner(share) for share in range(self.sharing.shares))
+        return ASSIGNMENT in self.store.data and all(self.shard_leader(share) for share in range(self.sharing.shares))
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until sharing has begun and every share is led."""
-        await self.until(self.all_led)
+        await self.run_until(self.all_shards_led)
 
-    async def order_move(self, share: int, receiver: str) -> tuple[int, Any]:
+    async def request_move(self, share: int, receiver: str) -> tuple[int, Any]:
         """An operator asks for a move, at any controller."""
-        up = [other for other in LABELS if self.up(other)]
+        up = [other for other in LABELS if self.is_up(other)]
         if not up:
             return 0, None
         label = self.rng.choice(up)
@@ -105,12 +112,12 @@
         answer = await self.controllers[label].handle_back("POST", "/shares/move", body)
         return answer.status, json.loads(answer.body) if answer.body else None
 
-    def tamper(self, key: str, value: Any) -> None:
+    def overwrite_key(self, key: str, value: Any) -> None:
         """Somebody writes a key that is not theirs."""
         self.store.revision += 1
         self.store.data[key] = (value, self.store.revision)
-        assert isinstance(self.state, WatchingStore)
-        self.state.note({"put": key, "v": value}, self.store.revision)
+        assert isinstance(self.store_double, ChangeLogStoreDouble)
+        self.store_double.record_change({"put": key, "v": value}, self.store.revision)
 
     def assignment(self) -> Any:
         """Return the stored assignment as plain data."""
@@ -118,24 +125,26 @@
 
     # -- invariants ---------------------------------------------------------------------------------------
 
-    def check_sharing(self) -> None:
-        """Raise `RuleBrokenError` unless the invariants of `docs/sharing.md` hold just now."""
+    def check_shard_invariants(self) -> None:
+        """Raise `InvariantViolationError` unless the invariants of `docs/sharing.md` hold just now."""
         for share in range(self.sharing.shares):
-            self.owner(share)
+            self.shard_leader(share)
         for key, (value, _) in self.store.data.items():
             if key.startswith(MACHINES):
                 name = key[len(MACHINES) :]
-                if self.machine_shares.setdefault(name, value) != value:
-                    raise RuleBrokenError(f"two owners: {name} was of share {self.machine_shares[name]}, now {value}")
+                if self.machine_shards.setdefault(name, value) != value:
+                    raise InvariantViolationError(
+                        f"two owners: {name} was of share {self.machine_shards[name]}, now {value}"
+                    )
             elif key.startswith(ALLOTMENTS):
                 self._check_allotment(key[len(ALLOTMENTS) :], value)
 
     def _check_allotment(self, team: str, value: Any) -> None:
         total = wire.convert(value, Allotment).total()
         if not limit_of(self.platform.teams[team]).covers(total):
-            raise RuleBrokenError(f"quota: {team}'s parts add up to {total}")
+            raise InvariantViolationError(f"quota: {team}'s parts add up to {total}")
 
-    def check_start(self, worker: PlainWorker, task: Running) -> None:
+    def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
         """As everywhere; and a task of a job starts only on a machine of the job's own share."""
         super().check_start(worker, task)
         home = next(
@@ -148,12 +157,14 @@
         )
         owner = self.store.data.get(MACHINES + worker.name, (None, 0))[0]
         if home is not None and owner is not None and owner != home:
-            self.broken = RuleBrokenError(f"two owners: {worker.name} of share {owner} runs {task.job.id} of {home}")
-            raise self.broken
-
-    async def rest(self, seconds: float) -> None:
-        await super().rest(seconds)
-        self.check_sharing()
+            self.failure = InvariantViolationError(
+                f"two owners: {worker.name} of share {owner} runs {task.job.id} of {home}"
+            )
+            raise self.failure
+
+    async def advance(self, seconds: float) -> None:
+        await super().advance(seconds)
+        self.check_shard_invariants()
 
 
 def leader_key(share: int) -> str:
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -2,7 +2,7 @@
 
 Everything between controllers, store, cloud, workers and users passes through `Simulation`, which can lose, hold up,
 repeat and refuse it. Time is virtual: a run repeats exactly for a seed, whatever the machine. The plain model of the
-rules is that of `world.World`.
+rules is that of `reference_model.ReferenceModel`.
 """
 
 import asyncio
@@ -32,14 +32,14 @@
 from driftcleat.wire.workers import Command, Heartbeat, HeartbeatResponse
 from driftcleat.workers import WorkerClient
 
-from .samples import TYPES, raw_settings
-from .standins import StoreServer
-from .world import PlainWorker, RuleBrokenError, Running, World
+from .protocol_doubles import StoreDouble
+from .reference_model import InvariantViolationError, ReferenceModel, ReferenceWorker, WorkerTask
+from .samples import MACHINE_TYPES, raw_settings
 
 LABELS = ("a", "b", "c")
 
 
-class _Instant(selectors.BaseSelector):
+class _VirtualTimeSelector(selectors.BaseSelector):
     """A selector that lets virtual time pass instead of waiting."""
 
     def __init__(self) -> None:
@@ -66,18 +66,18 @@
         self.inner.close()
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """An event loop whose clock goes only when nothing is left to do."""
 
     def __init__(self) -> None:
-        self.instant = _Instant()
+        self.instant = _VirtualTimeSelector()
         super().__init__(self.instant)
 
     def time(self) -> float:
         return 100.0 + self.instant.now
 
 
-class _Store(StoreClient):
+class SimulatedStoreClient(StoreClient):
     """The store's client, its messages handed to the simulation."""
 
     simulation: "Simulation"
@@ -98,7 +98,7 @@
         return HttpAnswer(*answer)
 
 
-class _Cloud(CloudClient):
+class SimulatedCloudClient(CloudClient):
     simulation: "Simulation"
     label: str
 
@@ -108,7 +108,7 @@
         )
 
 
-class _Peers(PeerClient):
+class SimulatedPeerClient(PeerClient):
     simulation: "Simulation"
 
     async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpAnswer:
@@ -117,7 +117,7 @@
         )
 
 
-class _Workers(WorkerClient):
+class SimulatedWorkerClient(WorkerClient):
     simulation: "Simulation"
     label: str
 
@@ -129,23 +129,23 @@
     """Return clients whose messages are handed to the simulation."""
     none: Any = SimpleNamespace()
     clients = ControllerClients(
-        store=_Store(none, none, "", store_limits(platform), clock),
-        cloud=_Cloud(none, "", platform.cloud_rps, platform.report_s, clock),
-        workers=_Workers(none, platform.report_s, 64),
-        peers=_Peers(none, platform),
+        store=SimulatedStoreClient(none, none, "", store_limits(platform), clock),
+        cloud=SimulatedCloudClient(none, "", platform.cloud_rps, platform.report_s, clock),
+        workers=SimulatedWorkerClient(none, platform.report_s, 64),
+        peers=SimulatedPeerClient(none, platform),
     )
     for client in (clients.store, clients.cloud, clients.workers, clients.peers):
-        belong_to(client, simulation, platform)
+        attach_to_simulation(client, simulation, platform)
     return clients
 
 
-def belong_to(client: Any, simulation: "Simulation", platform: Platform) -> None:
+def attach_to_simulation(client: Any, simulation: "Simulation", platform: Platform) -> None:
     """Have a client hand its messages to the simulation, as those of this controller."""
     client.simulation = simulation
     client.label = platform.label
 
 
-def simulated_front() -> Any:
+def simulated_listener() -> Any:
     """Return what a controller needs to see of a listener."""
     return SimpleNamespace(limiter=ConnectionLimiter(1000, lambda guest: None))
 
@@ -155,30 +155,30 @@
 
     def __init__(self, simulation: "Simulation", platform: Platform, rng: random.Random) -> None:
         loop = asyncio.get_running_loop()
-        network = SharedNetwork(simulated_clients(simulation, platform, loop.time), simulated_front())
+        network = SharedNetwork(simulated_clients(simulation, platform, loop.time), simulated_listener())
         super().__init__(platform, Tuning(), rng, loop.time, loop.time, Factories(network=lambda *_: network))
 
 
-def as_production_says(body: bytes) -> bytes:
+def downgrade_peer_message(body: bytes) -> bytes:
     """Return a question of a controller without the data version behind its other elements."""
     message = json.loads(body)
     return json.dumps(message[:2] if message[0] in ("ask", "ping") else message).encode()
 
 
-class SimulatedWorker(PlainWorker):
+class SimulatedWorker(ReferenceWorker):
     """A worker; `mute`: it reaches no controller, direct commands reach it."""
 
-    mute = False
+    outbound_cut = False
     # The only controller within reach, if its zone is cut off.
-    only: str | None = None
+    only_controller: str | None = None
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         # Commands that arrived while it hung, and are carried out when it goes on.
-        self.backlog: list[tuple[int, int, list[Command]]] = []
+        self.queued_commands: list[tuple[int, int, list[Command]]] = []
 
 
-class Simulation(World):
+class Simulation(ReferenceModel):
     """Three controllers, workers, cloud, store and users, with every trouble that can meet another."""
 
     STEP_S = 0.1
@@ -202,33 +202,33 @@
             )
             for label in LABELS
         }
-        super().__init__(seed, self.platforms["a"], dict(TYPES))
-        self.state = StoreServer(self.store)
+        super().__init__(seed, self.platforms["a"], dict(MACHINE_TYPES))
+        self.store_double = StoreDouble(self.store)
         self.controllers: dict[str, SimulatedController] = {}
         self.processes: dict[str, asyncio.Task[None]] = {}
         self.tasks: set[asyncio.Task[Any]] = set()
         # Links that are cut: pairs of controllers, and controllers from store, workers or users.
-        self.apart: set[frozenset[str]] = set()
-        self.away_from: dict[str, set[str]] = {"store": set(), "workers": set(), "users": set()}
+        self.partitioned_links: set[frozenset[str]] = set()
+        self.partitioned_from: dict[str, set[str]] = {"store": set(), "workers": set(), "users": set()}
         # Shares of transactions that get no answer and are carried out late, of commands held up, of report copies.
-        self.late_writes = self.held_commands = 0.0
+        self.late_write_rate = self.delayed_command_rate = 0.0
         # Controllers whose transactions are carried out at once while the answers are lost.
-        self.lost_answers: set[str] = set()
-        self.slow_s = 0.0
-        self.attached: dict[str, str] = {}
-        self.wanted: set[str] = set()
-        self.capacity = 14
+        self.lost_responses: set[str] = set()
+        self.store_delay_s = 0.0
+        self.worker_controllers: dict[str, str] = {}
+        self.submitted_ids: set[str] = set()
+        self.max_machines = 14
         # The first rule that broke, or anything else that failed beside the story.
-        self.broken: BaseException | None = None
+        self.failure: BaseException | None = None
         # Controllers that do not say that they can write more than the first data version.
-        self.old: set[str] = set()
+        self.old_version_controllers: set[str] = set()
         self.starts_after_cancel: list[str] = []
         self.cancelled: set[str] = set()
-        self.begun: set[str] = set()
+        self.started_jobs: set[str] = set()
 
     # -- running ------------------------------------------------------------------------------------------
 
-    def play(self, story: Callable[["Simulation"], Awaitable[None]]) -> None:
+    def run_scenario(self, scenario: Callable[["Simulation"], Awaitable[None]]) -> None:
         """Play a story from the first leader on; what breaks a rule ends it."""
 
         async def inside() -> None:
@@ -236,9 +236,9 @@
                 self.start(label)
             ticking = asyncio.ensure_future(self._tick())
             try:
-                await self.until(self.lead)
+                await self.run_until(self.leader_label)
                 await asyncio.sleep(1.0)
-                await story(self)
+                await scenario(self)
                 if ticking.done():
                     ticking.result()
             finally:
@@ -246,24 +246,24 @@
                     task.cancel()
                 await asyncio.gather(ticking, *self.processes.values(), *self.tasks, return_exceptions=True)
 
-        loop = VirtualLoop()
+        loop = VirtualTimeLoop()
         try:
             loop.run_until_complete(inside())
         finally:
             loop.close()
 
-    async def rest(self, seconds: float) -> None:
+    async def advance(self, seconds: float) -> None:
         """Let time pass; a rule that broke meanwhile is raised here."""
         await asyncio.sleep(seconds)
-        if self.broken is not None:
-            raise self.broken
+        if self.failure is not None:
+            raise self.failure
 
-    async def until(self, condition: Callable[[], Any], most_s: float = 120.0) -> Any:
+    async def run_until(self, condition: Callable[[], Any], timeout_s: float = 120.0) -> Any:
         """Let time pass until a condition holds."""
-        end = self.time() + most_s
+        end = self.time() + timeout_s
         while not (value := condition()):
             assert self.time() < end, f"never {getattr(condition, '__name__', condition)}"
-            await self.rest(0.05)
+            await self.advance(0.05)
         return value
 
     async def _tick(self) -> None:
@@ -271,16 +271,16 @@
             while True:
                 self.now = self.time()
                 for worker in list(self.workers.values()):
-                    if not worker.hung and worker.backlog:  # type: ignore[attr-defined]
-                        for order in worker.backlog:  # type: ignore[attr-defined]
-                            worker.direct(*order)
-                        worker.backlog = []  # type: ignore[attr-defined]
+                    if not worker.hung and worker.queued_commands:  # type: ignore[attr-defined]
+                        for order in worker.queued_commands:  # type: ignore[attr-defined]
+                            worker.receive_commands(*order)
+                        worker.queued_commands = []  # type: ignore[attr-defined]
                     worker.step()
-                for _, task in self.on_machines():
+                for _, task in self.tasks_on_machines():
                     self.check_cancelled(task.job.id)
                 await asyncio.sleep(self.STEP_S)
-        except RuleBrokenError as error:
-            self.broken = error
+        except InvariantViolationError as error:
+            self.failure = error
             raise
 
     def time(self) -> float:
@@ -294,7 +294,7 @@
             try:
                 await work
             except Exception as error:
-                self.broken = error
+                self.failure = error
 
         task = asyncio.ensure_future(watched())
         self.tasks.add(task)
@@ -309,7 +309,7 @@
         self.controllers[label] = controller
         self.processes[label] = asyncio.ensure_future(controller.run())
 
-    def end(self, *labels: str) -> None:
+    def crash(self, *labels: str) -> None:
         """End processes without a word."""
         for label in labels:
             process = self.processes.pop(label, None)
@@ -320,14 +320,14 @@
                 for task in self.controllers[label].background.tasks:
                     task.cancel()
 
-    def lead(self) -> str | None:
+    def leader_label(self) -> str | None:
         """Return who leads for certain."""
         return next(
             (label for label in sorted(self.processes) if self.controllers[label].may_decide),
             None,
         )
 
-    def up(self, label: str) -> bool:
+    def is_up(self, label: str) -> bool:
         """Whether a controller's process runs and is set up."""
         return label in self.processes and self.controllers[label].is_serving
 
@@ -335,39 +335,43 @@
         """Return a controller's role."""
         return self.controllers[label].election.role
 
-    def part(self, *labels: str) -> None:
+    def partition(self, *labels: str) -> None:
         """Cut controllers from the other controllers."""
         for label in labels:
-            self.apart.update(frozenset((label, other)) for other in LABELS if other not in labels)
+            self.partitioned_links.update(frozenset((label, other)) for other in LABELS if other not in labels)
 
-    def cut_off(self, label: str) -> None:
+    def isolate(self, label: str) -> None:
         """A controller loses the state service and the other controllers, not its workers or users."""
-        self.part(label)
-        self.away_from["store"].add(label)
+        self.partition(label)
+        self.partitioned_from["store"].add(label)
 
     def heal(self) -> None:
         """All troubles end."""
-        self.apart.clear()
-        for labels in self.away_from.values():
+        self.partitioned_links.clear()
+        for labels in self.partitioned_from.values():
             labels.clear()
-        self.late_writes = self.held_commands = self.slow_s = self.copies = 0.0
+        self.late_write_rate = self.delayed_command_rate = self.store_delay_s = self.duplicate_rate = 0.0
         self.cloud_up = True
-        self.state.heal()
+        self.store_double.heal()
         for worker in self.workers.values():
-            worker.hung = worker.cut = worker.sick = worker.deaf = worker.mute = False  # type: ignore[attr-defined]
-            worker.only = None  # type: ignore[attr-defined]
+            worker.hung = worker.partitioned = worker.fails_tasks = worker.inbound_cut = worker.outbound_cut = False  # type: ignore[attr-defined]
+            worker.only_controller = None  # type: ignore[attr-defined]
         for label in LABELS:
             if label not in self.processes:
                 self.start(label)
 
     def lower_limits(self) -> None:
         """The state service takes less from now on."""
-        self.store.lower()
-        self.state.write_rps, self.state.level, self.state.filled_at = self.platform.write_rps, 0.0, self.time()
+        self.store.lower_limits()
+        self.store_double.write_rps, self.store_double.write_tokens, self.store_double.tokens_refilled_at = (
+            self.platform.write_rps,
+            0.0,
+            self.time(),
+        )
 
     # -- messages -----------------------------------------------------------------------------------------
 
-    async def forever(self) -> Any:
+    async def wait_forever(self) -> Any:
         """No answer ever comes."""
         await asyncio.sleep(1e6)
 
@@ -375,38 +379,44 @@
         self, label: str, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, bytes]:
         """Carry a request to the state service."""
-        await asyncio.sleep(0.004 + self.slow_s * self.rng.uniform(0.5, 1.5))
-        if label in self.away_from["store"]:
-            await self.forever()
-        if path == "/txn" and not self.state.refuses(label) and self.rng.random() < self.late_writes:
+        await asyncio.sleep(0.004 + self.store_delay_s * self.rng.uniform(0.5, 1.5))
+        if label in self.partitioned_from["store"]:
+            await self.wait_forever()
+        if (
+            path == "/txn"
+            and not self.store_double.is_unavailable_to(label)
+            and self.rng.random() < self.late_write_rate
+        ):
             self.spawn(self._carry_out_late(body))
-            await self.forever()
-        status, value = await self.state.answer(label, method, path, query, body)
-        if label in self.away_from["store"] or (path == "/txn" and label in self.lost_answers and status != 503):
-            await self.forever()
+            await self.wait_forever()
+        status, value = await self.store_double.respond(label, method, path, query, body)
+        if label in self.partitioned_from["store"] or (
+            path == "/txn" and label in self.lost_responses and status != 503
+        ):
+            await self.wait_forever()
         return status, json.dumps(value).encode()
 
     async def _carry_out_late(self, body: bytes) -> None:
         await asyncio.sleep(self.rng.uniform(2.0, 12.0))
-        while "all" in self.state.down_for:
+        while "all" in self.store_double.down_for:
             await asyncio.sleep(0.5)
-        self.state.expire()
-        self.state.txn(body)
+        self.store_double.expire_leases()
+        self.store_double.txn(body)
 
     async def to_peer(self, sender: str, address: str, body: bytes, path: str = "/peer") -> tuple[int, bytes]:
         """Carry a message to another controller."""
         label = address.partition(":")[0]
         await asyncio.sleep(0.002)
-        if frozenset((sender, label)) in self.apart:
-            await self.forever()
-        if not self.up(label):
+        if frozenset((sender, label)) in self.partitioned_links:
+            await self.wait_forever()
+        if not self.is_up(label):
             raise HttpError("refused")
-        if sender in self.old:
-            body = as_production_says(body)
+        if sender in self.old_version_controllers:
+            body = downgrade_peer_message(body)
         answer = await self.controllers[label].handle_back("POST", path, body)
-        if frozenset((sender, label)) in self.apart:
-            await self.forever()
-        if not self.up(label):
+        if frozenset((sender, label)) in self.partitioned_links:
+            await self.wait_forever()
+        if not self.is_up(label):
             raise HttpError("reset")
         return answer.status, answer.body
 
@@ -416,68 +426,73 @@
         worker = self.workers.get(addr.partition(":")[0])
         if (
             worker is None
-            or worker.gone
-            or worker.cut
-            or worker.deaf
-            or sender in self.away_from["workers"]
-            or getattr(worker, "only", None) not in (None, sender)
+            or worker.terminated
+            or worker.partitioned
+            or worker.inbound_cut
+            or sender in self.partitioned_from["workers"]
+            or getattr(worker, "only_controller", None) not in (None, sender)
         ):
-            await self.forever()
+            await self.wait_forever()
         assert worker is not None
         raw = json.loads(body)
         commands = wire.convert(raw["signals"], list[Command])
         if worker.hung:
-            worker.backlog.append((raw["helm"], raw["watch"], commands))  # type: ignore[attr-defined]
-            await self.forever()
-        if self.rng.random() < self.held_commands:
+            worker.queued_commands.append((raw["helm"], raw["watch"], commands))  # type: ignore[attr-defined]
+            await self.wait_forever()
+        if self.rng.random() < self.delayed_command_rate:
             await asyncio.sleep(self.rng.choice([2.0, 5.0, 15.0]))
-        refused = raw["helm"] < worker.token or raw["watch"] != worker.session
-        worker.direct(raw["helm"], raw["watch"], commands)
-        return (409 if refused else 200), wire.encode(worker.report())
+        refused = raw["helm"] < worker.fencing_token or raw["watch"] != worker.worker_epoch
+        worker.receive_commands(raw["helm"], raw["watch"], commands)
+        return (409 if refused else 200), wire.encode(worker.next_heartbeat())
 
-    def send_report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
+    def send_heartbeat(self, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         """A worker reports to the controller it knows, and finds another if that one does not take it."""
-        self.spawn(self._report(worker, heartbeat, sent_at))
+        self.spawn(self._send_heartbeat(worker, heartbeat, sent_at))
 
-    async def _report(self, worker: Any, heartbeat: Heartbeat, sent_at: float) -> None:
-        label = worker.only or self.attached.setdefault(worker.name, self.rng.choice(LABELS))
+    async def _send_heartbeat(self, worker: Any, heartbeat: Heartbeat, sent_at: float) -> None:
+        label = worker.only_controller or self.worker_controllers.setdefault(worker.name, self.rng.choice(LABELS))
         body = wire.encode(heartbeat)
-        if self.rng.random() < self.copies:
-            self.spawn(self._copy(body))
+        if self.rng.random() < self.duplicate_rate:
+            self.spawn(self._send_duplicate(body))
         answer: Any = None
         await asyncio.sleep(0.002)
-        if not worker.cut and not worker.mute and label not in self.away_from["workers"] and self.up(label):
+        if (
+            not worker.partitioned
+            and not worker.outbound_cut
+            and label not in self.partitioned_from["workers"]
+            and self.is_up(label)
+        ):
             try:
                 answer = await asyncio.wait_for(self.controllers[label].handle_front("POST", "/agent/beat", body), 4)
             except TimeoutError:
                 answer = None
-            if worker.cut or worker.deaf or not self.up(label):
+            if worker.partitioned or worker.inbound_cut or not self.is_up(label):
                 answer = None
-        elif self.up(label):
+        elif self.is_up(label):
             # Nothing comes back: it gives up after its time.
             await asyncio.sleep(4)
-        if self.rng.random() < self.held_commands:
+        if self.rng.random() < self.delayed_command_rate:
             await asyncio.sleep(self.rng.choice([1.0, 2.0, 5.0]))
         while worker.hung:
             await asyncio.sleep(0.2)
         if answer is not None and answer.status == 200:
             response = wire.decode(answer.body, HeartbeatResponse)
-            worker.answer(
+            worker.receive_response(
                 heartbeat.worker_epoch, heartbeat.sequence, response.fencing_token, response.commands, sent_at
             )
-            if response.fencing_token >= worker.token:
+            if response.fencing_token >= worker.fencing_token:
                 return
         leader = json.loads(answer.body).get("harbormaster") if answer is not None and answer.status == 421 else None
         others = [other for other in LABELS if other != label]
-        self.attached[worker.name] = leader if leader in LABELS else self.rng.choice(others)
-        if worker.waiting_answer == sent_at:
-            worker.waiting_answer, worker.next_report = None, self.time() + 0.5
+        self.worker_controllers[worker.name] = leader if leader in LABELS else self.rng.choice(others)
+        if worker.awaiting_response_since == sent_at:
+            worker.awaiting_response_since, worker.next_heartbeat_at = None, self.time() + 0.5
 
-    async def _copy(self, body: bytes) -> None:
+    async def _send_duplicate(self, body: bytes) -> None:
         """A copy of a report arrives late, at whoever leads by then; nobody waits for its answer."""
         await asyncio.sleep(self.rng.choice([2.0, 6.0, 20.0, 60.0]))
         for label in LABELS:
-            if self.up(label):
+            if self.is_up(label):
                 await self.controllers[label].handle_front("POST", "/agent/beat", body)
 
     async def to_cloud(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
@@ -491,33 +506,35 @@
             for name in json.loads(body)["bollards"]:
                 worker = self.workers.get(name)
                 if worker is not None:
-                    worker.gone = True
+                    worker.terminated = True
                     worker.tasks.clear()
             return 200, b"{}"
         if method == "POST":
             raw = json.loads(body)
-            if raw["charter"] not in self.rentals_done:
-                room = min(raw["howMany"], 3, self.capacity - len(self.alive()))
+            if raw["charter"] not in self.scale_out_results:
+                room = min(raw["howMany"], 3, self.max_machines - len(self.alive()))
                 if room <= 0:
                     return 503, b'{"error":"no capacity"}'
                 record = ScaleOutRecord(raw["build"], raw["harbor"], raw["driftwood"], raw["howMany"], 0.0)
-                self.rentals_done[raw["charter"]] = tuple(self.boot(record) for _ in range(room))
-            return 200, wire.encode({"bollards": self.rentals_done[raw["charter"]]})
+                self.scale_out_results[raw["charter"]] = tuple(self.boot(record) for _ in range(room))
+            return 200, wire.encode({"bollards": self.scale_out_results[raw["charter"]]})
         rows = self.listed_machines(lambda name: f"{name}:1")
         return 200, wire.encode({"bollards": rows, "truncated": False})
 
     def boot(self, record: ScaleOutRecord) -> str:
         """A machine comes up."""
-        self.rented += 1
-        name = f"vm-{self.rented:06d}"
+        self.machines_created += 1
+        name = f"vm-{self.machines_created:06d}"
         self.workers[name] = SimulatedWorker(self, name, self.types[record.machine_type], record.zone, record.spot)
         return name
 
     # -- users --------------------------------------------------------------------------------------------
 
-    async def ask(self, method: str, path: str, body: Any = None, label: str | None = None) -> tuple[int, Any]:
+    async def request(self, method: str, path: str, body: Any = None, label: str | None = None) -> tuple[int, Any]:
         """Send one user's request; 0 if no answer came."""
-        open_to_users = [other for other in LABELS if self.up(other) and other not in self.away_from["users"]]
+        open_to_users = [
+            other for other in LABELS if self.is_up(other) and other not in self.partitioned_from["users"]
+        ]
         if label is None and open_to_users:
             label = self.rng.choice(open_to_users)
         if label not in open_to_users:
@@ -529,102 +546,102 @@
             )
         except TimeoutError:
             return 0, None
-        if not self.up(label):
+        if not self.is_up(label):
             return 0, None
         return answer.status, json.loads(answer.body) if answer.body else None
 
-    def hand_in(self, raw: dict[str, Any], label: str | None = None) -> asyncio.Task[Any]:
+    def submit_until_accepted(self, raw: dict[str, Any], label: str | None = None) -> asyncio.Task[Any]:
         """A user submits a job, and again until it is answered for good."""
         spec: JobSpec = parse_submission(raw)
         self.specs[spec.id] = spec
-        self.wanted.add(spec.id)
+        self.submitted_ids.add(spec.id)
 
         async def submitting() -> None:
             for _ in range(60):
-                status, answer = await self.ask("POST", "/v1/jobs", raw, label)
+                status, answer = await self.request("POST", "/v1/jobs", raw, label)
                 if status in (200, 201):
-                    if spec.id not in self.told:
-                        self.told[spec.id] = "pending"
+                    if spec.id not in self.statuses:
+                        self.statuses[spec.id] = "pending"
                     if answer["bearing"] in ("done", "cancelled"):
-                        self.hear(spec.id, answer["bearing"])
+                        self.record_status(spec.id, answer["bearing"])
                     return
-                if status in (400, 422) and spec.id in self.told:
-                    raise RuleBrokenError(f"forgotten: {spec.id} got {status}")
+                if status in (400, 422) and spec.id in self.statuses:
+                    raise InvariantViolationError(f"forgotten: {spec.id} got {status}")
                 await asyncio.sleep(1.0)
 
         return self.spawn(submitting())
 
-    def call_off(self, job_id: str, label: str | None = None) -> asyncio.Task[Any]:
+    def cancel_until_confirmed(self, job_id: str, label: str | None = None) -> asyncio.Task[Any]:
         """A user cancels a job, and again until it is confirmed."""
 
         async def cancelling() -> None:
             while True:
-                status, answer = await self.ask("POST", f"/v1/jobs/{job_id}/cancel", label=label)
+                status, answer = await self.request("POST", f"/v1/jobs/{job_id}/cancel", label=label)
                 if status == 200:
-                    self.hear(job_id, answer["bearing"])
+                    self.record_status(job_id, answer["bearing"])
                     return
-                if status == 404 and job_id in self.told:
-                    raise RuleBrokenError(f"forgotten: {job_id}")
+                if status == 404 and job_id in self.statuses:
+                    raise InvariantViolationError(f"forgotten: {job_id}")
                 await asyncio.sleep(1.0)
 
         self.cancelled.add(job_id)
         return self.spawn(cancelling())
 
-    def hear(self, job_id: str, bearing: str) -> None:
+    def record_status(self, job_id: str, bearing: str) -> None:
         """A user is told a job's state."""
-        before = self.told.get(job_id)
+        before = self.statuses.get(job_id)
         if before in ("done", "cancelled") and bearing != before:
-            raise RuleBrokenError(f"went_back: {job_id} {before} -> {bearing}")
-        above = self.cancelled_before(job_id)
+            raise InvariantViolationError(f"went_back: {job_id} {before} -> {bearing}")
+        above = self.first_cancelled_at(job_id)
         if bearing == "cancelled":
-            if above is None and self.cancelled.isdisjoint(self.with_needs(job_id)):
-                raise RuleBrokenError(f"went_back: {job_id} cancelled by nobody")
+            if above is None and self.cancelled.isdisjoint(self.with_dependencies(job_id)):
+                raise InvariantViolationError(f"went_back: {job_id} cancelled by nobody")
             self.cancelled_at.setdefault(job_id, self.time())
         elif bearing != "done" and above is not None and self.time() > above + self.platform.cancel_s:
-            raise RuleBrokenError(f"orphaned: {job_id} is called {bearing}")
+            raise InvariantViolationError(f"orphaned: {job_id} is called {bearing}")
         if bearing == "done":
             missing = [index for index in range(self.specs[job_id].tasks) if (job_id, index) not in self.finished]
             if missing:
-                raise RuleBrokenError(f"not_done: {job_id} lacks {missing}")
-        self.told[job_id] = bearing
+                raise InvariantViolationError(f"not_done: {job_id} lacks {missing}")
+        self.statuses[job_id] = bearing
 
     cancelled: set[str]
 
     async def poll(self, job_id: str, label: str | None = None) -> int:
         """A user asks for a job once; return the status."""
-        status, answer = await self.ask("GET", f"/v1/jobs/{job_id}", label=label)
+        status, answer = await self.request("GET", f"/v1/jobs/{job_id}", label=label)
         if status == 200:
-            if job_id not in self.wanted:
-                raise RuleBrokenError(f"invented: {job_id}")
-            if job_id in self.told:
-                self.hear(job_id, answer["bearing"])
-        elif status == 404 and job_id in self.told:
-            raise RuleBrokenError(f"forgotten: {job_id}")
+            if job_id not in self.submitted_ids:
+                raise InvariantViolationError(f"invented: {job_id}")
+            if job_id in self.statuses:
+                self.record_status(job_id, answer["bearing"])
+        elif status == 404 and job_id in self.statuses:
+            raise InvariantViolationError(f"forgotten: {job_id}")
         return status
 
-    def check_start(self, worker: PlainWorker, task: Running) -> None:
+    def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
         """As in the plain world; a start after a confirmed cancellation is noted too."""
-        self.begun.add(task.job.id)
+        self.started_jobs.add(task.job.id)
         if task.job.id in self.cancelled_at:
             self.starts_after_cancel.append(f"{task.job.id}/{task.index} on {worker.name}")
         try:
             super().check_start(worker, task)
-        except RuleBrokenError as error:
+        except InvariantViolationError as error:
             # Whoever carried the command must not be the one to swallow this.
-            self.broken = error
+            self.failure = error
             raise
 
-    def _watch_waiting(self, passed_over: dict[str, float]) -> None:
+    def _check_starvation(self, passed_over: dict[str, float]) -> None:
         """No job waits for 90 s while a machine that fits has room and its team is under its limit."""
-        live = self.on_machines()
-        for job_id, state in self.told.items():
+        live = self.tasks_on_machines()
+        for job_id, state in self.statuses.items():
             spec = self.specs[job_id]
             team = self.platform.teams[spec.team]
             used = sum(task.job.gpus for _, task in live if task.job.team == spec.team)
             if (
                 state in ("done", "cancelled")
                 or job_id in self.cancelled
-                or any(self.told.get(need) != "done" for need in spec.dependencies or ())
+                or any(self.statuses.get(need) != "done" for need in spec.dependencies or ())
                 or any(task.job.id == job_id for _, task in live)
                 or (spec.kind is JobKind.GANG and spec.tasks > 1)
                 or used + spec.gpus > team.gpus_max + 1e-6
@@ -632,41 +649,41 @@
             ):
                 passed_over.pop(job_id, None)
             elif self.time() - passed_over.setdefault(job_id, self.time()) > 90.0:
-                raise RuleBrokenError(f"left waiting: {job_id} although there is room")
+                raise InvariantViolationError(f"left waiting: {job_id} although there is room")
 
-    def _has_room(self, worker: PlainWorker, spec: JobSpec) -> bool:
+    def _has_room(self, worker: ReferenceWorker, spec: JobSpec) -> bool:
         """Whether a machine fits a task and has room for it."""
         tasks = [task.job for task in worker.tasks.values() if task.state != "exited"]
-        return allowed(spec, worker.kind.name, worker.zone, worker.spot) and fits(
+        return allowed(spec, worker.machine_type.name, worker.zone, worker.spot) and fits(
             spec,
-            worker.kind.cpus - sum(job.cpus for job in tasks),
-            worker.kind.gpus - sum(job.gpus for job in tasks),
-            worker.kind.memory_gb - sum(job.memory_gb for job in tasks),
+            worker.machine_type.cpus - sum(job.cpus for job in tasks),
+            worker.machine_type.gpus - sum(job.gpus for job in tasks),
+            worker.machine_type.memory_gb - sum(job.memory_gb for job in tasks),
         )
 
-    async def settle_down(self) -> None:
+    async def verify_recovery(self) -> None:
         """All troubles end: every question is answered within 75 s, and work that has room begins within 90 s."""
         self.heal()
         calm_at = self.time()
-        open_jobs = set(self.told)
+        open_jobs = set(self.statuses)
         while open_jobs:
             if self.time() > calm_at + 75.0:
-                raise RuleBrokenError(f"forgotten: no answer about {sorted(open_jobs)}")
+                raise InvariantViolationError(f"forgotten: no answer about {sorted(open_jobs)}")
             open_jobs -= {job_id for job_id in sorted(open_jobs) if await self.poll(job_id) == 200}
-            await self.rest(1.0)
+            await self.advance(1.0)
         end = calm_at + 600.0
         passed_over: dict[str, float] = {}
         spec_of = self.specs
         while self.time() < end:
-            await self.rest(5.0)
-            self._watch_waiting(passed_over)
-            for job_id, state in sorted(self.told.items()):
+            await self.advance(5.0)
+            self._check_starvation(passed_over)
+            for job_id, state in sorted(self.statuses.items()):
                 if state not in ("done", "cancelled"):
                     await self.poll(job_id)
                     if spec_of[job_id].kind is JobKind.SERVICE and job_id not in self.cancelled:
                         # Services run, and hold their team's quota, until somebody calls them off.
-                        self.call_off(job_id)
-            if set(self.told.values()) <= {"done", "cancelled"} and not self.on_machines():
+                        self.cancel_until_confirmed(job_id)
+            if set(self.statuses.values()) <= {"done", "cancelled"} and not self.tasks_on_machines():
                 return
-        left = {job_id: state for job_id, state in self.told.items() if state not in ("done", "cancelled")}
-        raise RuleBrokenError(f"left waiting: {left}, {len(self.on_machines())} tasks on machines")
+        left = {job_id: state for job_id, state in self.statuses.items() if state not in ("done", "cancelled")}
+        raise InvariantViolationError(f"left waiting: {left}, {len(self.tasks_on_machines())} tasks on machines")
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -17,11 +17,11 @@
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.workers import Heartbeat, TaskStatus
 
-from .samples import BIG, TYPES, job, platform
-from .terms import new_term
+from .reference_model import ReferenceModel, ReferenceWorker
+from .samples import BIG, MACHINE_TYPES, job, platform
+from .scheduler_fixtures import new_scheduler
 from .test_core import commit, make_term, placed, report
-from .test_troubles import busy_world, holder
-from .world import PlainWorker, World
+from .test_troubles import busy_model, holder
 
 SITE = platform()
 
@@ -31,14 +31,14 @@
 
 def test_an_unresponsive_machine_is_returned_and_its_work_goes_on_elsewhere() -> None:
     """Guards against offering starts for ever to a machine that looks alive and hears nothing."""
-    world = busy_world()
-    worker = holder(world, 3)
-    worker.deaf = True
-    world.run(6 * world.platform.lease_s)
-    assert worker.gone, "its own reports show that it heeds nothing"
-    assert any(task.job.id == "req-000003" and task.state == "running" for _, task in world.on_machines())
-    world.settle()
-    assert set(world.states().values()) <= {"done", "cancelled"}
+    model = busy_model()
+    worker = holder(model, 3)
+    worker.inbound_cut = True
+    model.run(6 * model.platform.lease_s)
+    assert worker.terminated, "its own reports show that it heeds nothing"
+    assert any(task.job.id == "req-000003" and task.state == "running" for _, task in model.tasks_on_machines())
+    model.settle()
+    assert set(model.states().values()) <= {"done", "cancelled"}
 
 
 def test_a_machine_that_never_heard_us_is_given_nothing() -> None:
@@ -55,13 +55,13 @@
 
 
 def test_a_cancelled_task_on_an_unresponsive_machine_is_gone_in_time() -> None:
-    world = busy_world()
-    worker = holder(world, 3)
-    worker.deaf = True
-    world.cancel("req-000003")
-    world.run(world.platform.cancel_s)
-    assert world.told["req-000003"] == "cancelled"
-    assert all(task.job.id != "req-000003" for _, task in world.on_machines())
+    model = busy_model()
+    worker = holder(model, 3)
+    worker.inbound_cut = True
+    model.cancel("req-000003")
+    model.run(model.platform.cancel_s)
+    assert model.statuses["req-000003"] == "cancelled"
+    assert all(task.job.id != "req-000003" for _, task in model.tasks_on_machines())
 
 
 def test_one_lost_answer_makes_no_machine_unresponsive() -> None:
@@ -86,7 +86,7 @@
     scheduler.cluster.started_at = 0.0
     for number in range(2, 12):
         apply_heartbeat(scheduler.cluster, Heartbeat(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
-    empty = plan_fleet([], [], TYPES, lambda offer: False, 1)
+    empty = plan_fleet([], [], MACHINE_TYPES, lambda offer: False, 1)
     empty.machines_in_use.update(scheduler.cluster.machines)
     for count, machine in enumerate(scheduler.cluster.machines.values(), 1):
         machine.unacknowledged_responses, machine.unacknowledged_since = 9, 0.0
@@ -101,8 +101,8 @@
 def test_a_late_copy_proves_nothing_to_a_new_leader() -> None:
     """Guards against a report of a machine long gone: it was taken for a machine with room."""
     now = [100.0]
-    cluster = ClusterState(9, {}, dict(TYPES), now[0], SITE.lease_s)
-    scheduler = new_term(SITE, cluster, now)
+    cluster = ClusterState(9, {}, dict(MACHINE_TYPES), now[0], SITE.lease_s)
+    scheduler = new_scheduler(SITE, cluster, now)
     copy = Heartbeat("vm-1", "h:1", "big", "north", False, 1, 7, 5, (), 3.0)
     machine = apply_heartbeat(cluster, copy, now[0])
     assert machine is not None
@@ -133,88 +133,88 @@
 
 
 def test_copies_of_every_report_break_no_rule() -> None:
-    world = World(3, platform(), TYPES)
-    world.elect()
-    world.copies = 1.0
+    model = ReferenceModel(3, platform(), MACHINE_TYPES)
+    model.elect()
+    model.duplicate_rate = 1.0
     for number in range(1, 13):
-        world.submit(job(number, hands=2, rig="group" if number % 3 == 0 else "array", rank="high", voyageS=15.0))
-        world.run(6.0)
+        model.submit(job(number, hands=2, rig="group" if number % 3 == 0 else "array", rank="high", voyageS=15.0))
+        model.run(6.0)
         if number % 4 == 0:
-            world.leader.silent = True
-            world.elect("b")
+            model.leader.crashed = True
+            model.elect("b")
         if number % 5 == 0:
-            world.cancel(f"req-{number:06d}")
-    world.settle()
-    assert set(world.states().values()) <= {"done", "cancelled"} and world.started >= 20
+            model.cancel(f"req-{number:06d}")
+    model.settle()
+    assert set(model.states().values()) <= {"done", "cancelled"} and model.task_starts >= 20
 
 
 # -- a leader without store and peers, not without its workers -----------------------------------------------
 
 
 def test_a_leader_without_store_and_peers_decides_nothing_and_gives_its_workers_up() -> None:
-    world = busy_world()
-    old = world.leader
+    model = busy_model()
+    old = model.leader
     before = {
         (worker.name, task.job.id, task.attempt)
-        for worker, task in world.on_machines()
+        for worker, task in model.tasks_on_machines()
         if task.job.id == "req-000003"
     }
-    world.held_by = old
-    world.elect("b")
-    batches = old.term.counters.batches
-    world.run(2 * world.platform.lease_s)
+    model.sticky_leader = old
+    model.elect("b")
+    batches = old.scheduler.counters.batches
+    model.run(2 * model.platform.lease_s)
     assert old.stepped_down, "a worker that saw the new token told it"
-    assert old.term.counters.batches == batches
-    heard = [machine for machine in world.leader.term.cluster.machines.values() if machine.fence_acknowledged]
-    assert len(heard) >= len(world.alive()) - 1, "the workers are with the new leader"
-    assert before <= {(worker.name, task.job.id, task.attempt) for worker, task in world.on_machines()}
-    world.settle()
-    assert set(world.states().values()) <= {"done", "cancelled"}
+    assert old.scheduler.counters.batches == batches
+    heard = [machine for machine in model.leader.scheduler.cluster.machines.values() if machine.fence_acknowledged]
+    assert len(heard) >= len(model.alive()) - 1, "the workers are with the new leader"
+    assert before <= {(worker.name, task.job.id, task.attempt) for worker, task in model.tasks_on_machines()}
+    model.settle()
+    assert set(model.states().values()) <= {"done", "cancelled"}
 
 
 # -- back within a fraction of a second ----------------------------------------------------------------------
 
 
 def test_a_machine_that_is_back_at_once_is_told_from_what_it_was() -> None:
-    world = busy_world()
-    worker: PlainWorker = holder(world, 3)
+    model = busy_model()
+    worker: ReferenceWorker = holder(model, 3)
     worker.restart()
-    world.run(12.0)
-    found = [(where.name, task.attempt) for where, task in world.on_machines() if task.job.id == "req-000003"]
+    model.run(12.0)
+    found = [(where.name, task.attempt) for where, task in model.tasks_on_machines() if task.job.id == "req-000003"]
     assert len(found) == 1
-    world.settle()
-    assert set(world.states().values()) <= {"done", "cancelled"}
+    model.settle()
+    assert set(model.states().values()) <= {"done", "cancelled"}
 
 
 def test_controllers_that_come_back_at_once_lead_one_at_a_time() -> None:
-    world = busy_world()
+    model = busy_model()
     tokens = []
     for label in "aabcaab":
-        world.leader.silent = True
-        tokens.append(world.elect(label).term.cluster.fencing_token)
-        world.run(0.5)
+        model.leader.crashed = True
+        tokens.append(model.elect(label).scheduler.cluster.fencing_token)
+        model.run(0.5)
     assert tokens == sorted(set(tokens))
-    world.run(40.0)
-    assert any(task.job.id == "req-000003" and task.state == "running" for _, task in world.on_machines())
-    world.settle()
-    assert set(world.states().values()) <= {"done", "cancelled"}
+    model.run(40.0)
+    assert any(task.job.id == "req-000003" and task.state == "running" for _, task in model.tasks_on_machines())
+    model.settle()
+    assert set(model.states().values()) <= {"done", "cancelled"}
 
 
 def test_troubles_together_break_no_rule_and_work_goes_on() -> None:
-    world = busy_world(11)
-    world.copies = 0.5
-    holder(world, 1).deaf = True
-    world.held_by = world.leader
-    world.elect("b")
-    world.run(5.0)
-    for worker in world.alive()[:2]:
+    model = busy_model(11)
+    model.duplicate_rate = 0.5
+    holder(model, 1).inbound_cut = True
+    model.sticky_leader = model.leader
+    model.elect("b")
+    model.run(5.0)
+    for worker in model.alive()[:2]:
         worker.restart()
-    world.leader.silent = True
-    world.elect("c")
-    world.submit(job(30, hands=3))
-    world.run(60.0)
-    world.settle()
-    assert set(world.states().values()) <= {"done", "cancelled"} and world.told["req-000030"] == "done"
+    model.leader.crashed = True
+    model.elect("c")
+    model.submit(job(30, hands=3))
+    model.run(60.0)
+    model.settle()
+    assert set(model.states().values()) <= {"done", "cancelled"} and model.statuses["req-000030"] == "done"
 
 
 # -- the largest jobs ----------------------------------------------------------------------------------------
@@ -223,26 +223,26 @@
 def test_a_large_gang_starts_although_smaller_ones_keep_coming() -> None:
     """Guards against a gang of many machines that starves behind a stream of smaller jobs of its rank."""
     site = platform()
-    world = World(5, site, {"big": BIG})
-    world.elect()
+    model = ReferenceModel(5, site, {"big": BIG})
+    model.elect()
     for _ in range(6):
-        world.boot(ScaleOutRecord("big", "north", False, 1, 0.0))
+        model.boot(ScaleOutRecord("big", "north", False, 1, 0.0))
     # The cloud has no more: what comes free is all there is.
-    world.leader.term.scale_out.request = lambda plan: None  # type: ignore[method-assign]
+    model.leader.scheduler.scale_out.request = lambda plan: None  # type: ignore[method-assign]
     for number in range(1, 7):
-        world.submit(
+        model.submit(
             job(
                 number, hands=2, rig="group", rank="standard", crew="blue", accelerators=1.0, cores=12.0, voyageS=20.0
             )
         )
-    world.run(10.0)
-    world.submit(job(99, hands=4, rig="group", rank="high", together=True, cores=12.0, voyageS=30.0))
+    model.run(10.0)
+    model.submit(job(99, hands=4, rig="group", rank="high", together=True, cores=12.0, voyageS=30.0))
     for number in range(100, 124):
-        world.submit(
+        model.submit(
             job(number, hands=1, rig="group", rank="high", crew="blue", accelerators=1.0, cores=12.0, voyageS=15.0)
         )
-        world.run(4.0)
-    started = world.leader.term.cluster.jobs.get("req-000099")
+        model.run(4.0)
+    started = model.leader.scheduler.cluster.jobs.get("req-000099")
     assert started is None or started.placements, "the large one has its machines"
 
 
@@ -341,7 +341,7 @@
 def test_candidates_in_groups_hold_what_each_by_itself_holds(data: st.DataObject) -> None:
     rooms = []
     for number in range(data.draw(st.integers(0, 24))):
-        machine_type = data.draw(st.sampled_from([TYPES["big"], TYPES["small"]]))
+        machine_type = data.draw(st.sampled_from([MACHINE_TYPES["big"], MACHINE_TYPES["small"]]))
         share = data.draw(st.sampled_from([0.0, 0.5, 1.0]))
         rooms.append(
             Candidate(
--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -10,9 +10,9 @@
 from driftcleat.leadership import Role
 from driftcleat.settings import Platform, Tuning
 
+from .protocol_doubles import free_port
 from .samples import platform
 from .simulation import Simulation
-from .standins import free_port
 
 
 def on_loopback() -> Platform:
@@ -31,7 +31,7 @@
 
 
 def test_every_part_is_there_before_a_controller_runs() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         controller = Controller(on_loopback(), Tuning())
         assert not controller.is_serving and not controller.may_decide
         assert controller.election is controller.active_term.election and controller.election.role is Role.FOLLOWER
@@ -55,11 +55,11 @@
         assert (await controller.handle_back("GET", "/status", b"")).status == 200
         assert (await controller.handle_front("GET", "/nowhere", b"")).status == 404
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_controller_serves_while_it_runs_and_no_longer() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         settings = on_loopback()
         controller = Controller(settings, Tuning())
         running = asyncio.ensure_future(controller.run())
@@ -72,11 +72,11 @@
         assert not await asyncio.to_thread(accepts, settings.bind)
         assert not await asyncio.to_thread(accepts, settings.back)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_an_address_that_is_taken_ends_a_start_and_leaves_nothing_open() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         settings = on_loopback()
         host, _, port = settings.back.partition(":")
         with socket.create_server((host, int(port))):
@@ -86,23 +86,23 @@
             assert not controller.is_serving
             assert not await asyncio.to_thread(accepts, settings.bind)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_loop_that_is_cancelled_ends_its_controller() -> None:
     """Guards against a controller that goes on without one of its loops."""
 
-    async def story(sim: Simulation) -> None:
-        label = str(sim.lead())
+    async def scenario(simulation: Simulation) -> None:
+        label = str(simulation.leader_label())
 
         async def cancelled() -> None:
             raise asyncio.CancelledError
 
-        sim.end(label)
-        sim.start(label)
-        sim.controllers[label].dispatcher.scan = cancelled  # type: ignore[method-assign]
-        process = sim.processes.pop(label)
+        simulation.crash(label)
+        simulation.start(label)
+        simulation.controllers[label].dispatcher.scan = cancelled  # type: ignore[method-assign]
+        process = simulation.processes.pop(label)
         await asyncio.wait([process], timeout=5.0)
         assert process.cancelled()
 
-    Simulation(5).play(story)
+    Simulation(5).run_scenario(scenario)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -37,17 +37,17 @@
 from driftcleat.wire.users import JobSpec, JobStatus
 from driftcleat.wire.workers import Heartbeat, TaskStatus
 
-from .samples import BIG, TYPES, job, loaded_jobs, platform
-from .terms import new_term
-from .world import PlainStore
+from .reference_model import InMemoryStore
+from .samples import BIG, MACHINE_TYPES, decode_job_records, job, platform
+from .scheduler_fixtures import new_scheduler
 
 SITE = platform()
 
 
 def make_term(now: list[float], clock: Callable[[], float] | None = None) -> Scheduler:
     """Return a term with one empty machine `vm-1` that has reported; `clock` stands for the time in `now`."""
-    cluster = ClusterState(5, {}, dict(TYPES), now[0])
-    scheduler = new_term(SITE, cluster, now, clock)
+    cluster = ClusterState(5, {}, dict(MACHINE_TYPES), now[0])
+    scheduler = new_scheduler(SITE, cluster, now, clock)
     apply_heartbeat(cluster, report(1), now[0])
     return scheduler
 
@@ -228,11 +228,11 @@
 def test_big_jobs_keep_to_the_stores_limits(tasks: int, rig: str) -> None:
     """Every batch must fit txn_ops, value size and 64 KiB, and what is written must be read back the same."""
     site = platform(txn_ops=12)
-    store = PlainStore(site)
+    store = InMemoryStore(site)
     token = store.put_leader("a")
     layout = RecordLayout(site.value_bytes, site.txn_ops)
     spec = job(1, hands=tasks, rig=rig, cores=0.0, accelerators=0.0, memGb=0.0)
-    cluster = ClusterState(token, {}, dict(TYPES), 0.0)
+    cluster = ClusterState(token, {}, dict(MACHINE_TYPES), 0.0)
     now = [0.0]
     scheduler = Scheduler(
         site,
@@ -262,14 +262,14 @@
         scheduler.apply_commit(batch, revision, encoded.obsolete_keys)
     mine = cluster.jobs[spec.id]
     assert len(mine.placements) >= min(tasks, 500)
-    loaded, orphans = loaded_jobs(store.items(JOBS_PREFIX), store.items(CHUNKS_PREFIX))
+    loaded, orphans = decode_job_records(store.items(JOBS_PREFIX), store.items(CHUNKS_PREFIX))
     other = loaded[spec.id]
     assert not orphans and other.placements == mine.placements and other.task_states == mine.task_states
     assert other.mod_revision == mine.mod_revision and other.chunk_mod_revisions == mine.chunk_mod_revisions
 
 
 def test_a_batch_of_before_dies_once_there_is_a_new_leader() -> None:
-    store = PlainStore(SITE)
+    store = InMemoryStore(SITE)
     token = store.put_leader("a")
     scheduler = make_term([0.0])
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
@@ -334,7 +334,7 @@
     """Seen with the plain model: two half rooms in two zones were counted, nothing was rented."""
     spec = job(1, rig="group", hands=4, accelerators=2.0, together=True)
     rooms = [Candidate("a", "big", "north", False, 16, 4, 64), Candidate("b", "big", "south", False, 16, 4, 64)]
-    plan = plan_fleet([Demand(spec, 4, {})], rooms, TYPES, lambda offer: False, 10)
+    plan = plan_fleet([Demand(spec, 4, {})], rooms, MACHINE_TYPES, lambda offer: False, 10)
     assert sum(plan.scale_out.values()) >= 1 and len({zone for _, zone, _ in plan.scale_out}) == 1
 
 
@@ -371,18 +371,20 @@
 
 
 def test_what_can_never_run_is_named() -> None:
-    assert never_fits(job(1), TYPES, SITE) is None
-    assert "team" in (never_fits(job(1, crew="green"), TYPES, SITE) or "")
-    assert "fits no" in (never_fits(job(1, cores=99.0), TYPES, SITE) or "")
-    assert "fits no" in (never_fits(job(1, harbor="moon"), TYPES, SITE) or "")
-    assert "limit" in (never_fits(job(1, rig="group", hands=9), TYPES, SITE) or "")
-    assert never_fits(job(1, rig="array", hands=9), TYPES, SITE) is None
+    assert never_fits(job(1), MACHINE_TYPES, SITE) is None
+    assert "team" in (never_fits(job(1, crew="green"), MACHINE_TYPES, SITE) or "")
+    assert "fits no" in (never_fits(job(1, cores=99.0), MACHINE_TYPES, SITE) or "")
+    assert "fits no" in (never_fits(job(1, harbor="moon"), MACHINE_TYPES, SITE) or "")
+    assert "limit" in (never_fits(job(1, rig="group", hands=9), MACHINE_TYPES, SITE) or "")
+    assert never_fits(job(1, rig="array", hands=9), MACHINE_TYPES, SITE) is None
     # A gang whose own wishes contradict one another would wait for ever; an array's tasks may come one by one.
     for wishes in ({"together": True}, {"harbor": "north"}):
-        assert "spread" in (never_fits(job(1, rig="group", hands=2, spread=True, **wishes), TYPES, SITE) or "")
-        assert never_fits(job(1, rig="group", hands=1, spread=True, **wishes), TYPES, SITE) is None
-        assert never_fits(job(1, rig="array", hands=2, spread=True, **wishes), TYPES, SITE) is None
-    assert never_fits(job(1, rig="group", hands=2, spread=True), TYPES, SITE) is None
+        assert "spread" in (
+            never_fits(job(1, rig="group", hands=2, spread=True, **wishes), MACHINE_TYPES, SITE) or ""
+        )
+        assert never_fits(job(1, rig="group", hands=1, spread=True, **wishes), MACHINE_TYPES, SITE) is None
+        assert never_fits(job(1, rig="array", hands=2, spread=True, **wishes), MACHINE_TYPES, SITE) is None
+    assert never_fits(job(1, rig="group", hands=2, spread=True), MACHINE_TYPES, SITE) is None
 
 
 def test_a_gang_is_not_placed_while_a_task_of_an_older_attempt_may_be_there() -> None:
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -22,8 +22,8 @@
 )
 
 from .samples import BIG, job, raw_job
+from .scheduler_fixtures import commit_all, commit_next, commit_submissions, scheduler_with_machines
 from .simulation import Simulation
-from .terms import accept, commit_all, commit_next, fleet
 
 # Loaded only by what needs them: each costs a start milliseconds of a core, of which a controller has a small share.
 NOT_AT_START = (
@@ -49,12 +49,12 @@
 
 def test_sizing_looks_at_kinds_of_jobs_and_machines_not_at_each_of_them() -> None:
     """Guards against rounds of sizing that grow with the queue: they were a quarter of a leader's processor time."""
-    scheduler, _ = fleet(200)
+    scheduler, _ = scheduler_with_machines(200)
     # Whole machines, of two ranks, and one gang whose tasks depend on one another's zones.
     wide = {"accelerators": 4.0, "cores": 16.0, "hands": 1, "imageGb": 0.0}
     whole = [job(number, rank=("high", "standard")[number % 2], crew="blue", **wide) for number in range(1, 41)]
     gang = job(50, rig="group", together=True, crew="blue", **(wide | {"hands": 2, "accelerators": 0.0}))
-    accept(scheduler, *whole, gang)
+    commit_submissions(scheduler, *whole, gang)
     assert len(scheduler.queue.queued().jobs) == 41
     demands = scheduler.demand.queued.demands()
     # The team's limit of six accelerators leaves room for one of these.
@@ -64,10 +64,10 @@
 
 
 def test_jobs_alike_are_one_demand_with_all_their_tasks() -> None:
-    scheduler, _ = fleet(1)
+    scheduler, _ = scheduler_with_machines(1)
     ranks = ("high", "standard")
     specs = [job(n, hands=1 + n % 3, accelerators=0.0, rank=ranks[n % 2]) for n in range(1, 31)]
-    accept(scheduler, *specs)
+    commit_submissions(scheduler, *specs)
     jobs = scheduler.queue.queued().jobs
     assert len(jobs) == 30
     demands = scheduler.demand.queued.demands()
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_silence_counted_in_one_pass_is_what_counting_each_machine_gives(seed: int) -> None:
     rng = random.Random(seed)
-    scheduler, now = fleet(60)
+    scheduler, now = scheduler_with_machines(60)
     now[0] = 100.0
     for machine in scheduler.cluster.machines.values():
         machine.last_heartbeat_at = rng.uniform(60.0, 100.0)
@@ -101,27 +101,27 @@
 def test_a_report_without_news_is_answered_without_a_task() -> None:
     """Guards against a task for each of several hundred reports a second."""
 
-    async def story(sim: Simulation) -> None:
-        sim.hand_in(raw_job(1, rig="daemon", hands=1, voyageS=0.0))
-        await sim.until(sim.on_machines)
-        await sim.rest(8.0)
-        controller = sim.controllers[str(sim.lead())]
-        worker = sim.on_machines()[0][0]
+    async def scenario(simulation: Simulation) -> None:
+        simulation.submit_until_accepted(raw_job(1, rig="daemon", hands=1, voyageS=0.0))
+        await simulation.run_until(simulation.tasks_on_machines)
+        await simulation.advance(8.0)
+        controller = simulation.controllers[str(simulation.leader_label())]
+        worker = simulation.tasks_on_machines()[0][0]
         before = len(controller.background.tasks)
-        reply = controller.reply_front("POST", "/agent/beat", wire.encode(worker.report()))
+        reply = controller.reply_front("POST", "/agent/beat", wire.encode(worker.next_heartbeat()))
         assert isinstance(reply, Answer) and reply.status == 200
         assert wire.decode(reply.body, HeartbeatResponse).commands == []
         assert len(controller.background.tasks) == before
 
-    Simulation(5).play(story)
+    Simulation(5).run_scenario(scenario)
 
 
 def test_a_report_equal_to_the_last_one_looks_at_no_task(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a walk over a machine's tasks with each of its reports: most say what the last one said."""
-    scheduler, now = fleet(1)
+    scheduler, now = scheduler_with_machines(1)
     machine = scheduler.cluster.machines["vm-0"]
     spec = job(1, hands=8, crew="red", accelerators=0.0, cores=1.0, imageGb=0.0)
-    accept(scheduler, spec)
+    commit_submissions(scheduler, spec)
     commit_all(scheduler)
     assert len(machine.tasks) == 8
     split = Mock(side_effect=parse_task_name)
@@ -162,8 +162,10 @@
 
 def test_rounds_that_are_always_cut_reach_every_job() -> None:
     """Guards against a round that uses its time up before its first job, over and over."""
-    scheduler, now = fleet(40)
-    accept(scheduler, *(job(number, hands=1, accelerators=0.0, cores=1.0, imageGb=0.0) for number in range(1, 21)))
+    scheduler, now = scheduler_with_machines(40)
+    commit_submissions(
+        scheduler, *(job(number, hands=1, accelerators=0.0, cores=1.0, imageGb=0.0) for number in range(1, 21))
+    )
     slow = Mock(side_effect=lambda: now.__setitem__(0, now[0] + 1.0) or now[0])
     scheduler._placement._clock = slow
     for number in range(1, 21):
@@ -177,8 +179,8 @@
 
 def test_no_round_is_played_while_the_store_takes_no_change() -> None:
     """Guards against a look at every machine for a batch that can hold no place."""
-    scheduler, _ = fleet(10)
-    accept(scheduler, job(1, hands=1, accelerators=0.0, cores=1.0, imageGb=0.0))
+    scheduler, _ = scheduler_with_machines(10)
+    commit_submissions(scheduler, job(1, hands=1, accelerators=0.0, cores=1.0, imageGb=0.0))
     assert scheduler.build_batch(available_operations=0.0).is_empty and scheduler.counters.rounds == 0
     assert scheduler.has_work, "the round is still due"
     assert not scheduler.build_batch().is_empty and scheduler.counters.rounds == 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,11 +21,11 @@
 from driftcleat.wire.workers import Heartbeat, TaskStatus
 from driftcleat.workers import WorkerClient
 
-from .samples import TYPES, job, platform, raw_job
-from .standins import Site, free_port, until
+from .protocol_doubles import Site, free_port, wait_until
+from .reference_model import ReferenceModel
+from .samples import MACHINE_TYPES, job, platform, raw_job
 from .test_core import commit, make_term
 from .test_service import accepted, cut_peers, live, reaches
-from .world import World
 
 SITE = platform()
 
@@ -391,27 +391,27 @@
 
     The bound on tending and on being unsure is what this needs: with a lease more it fails.
     """
-    world = World(5, platform(), dict(TYPES))
-    world.elect()
+    model = ReferenceModel(5, platform(), dict(MACHINE_TYPES))
+    model.elect()
     for number in range(1, 5):
-        world.submit(job(number, hands=2, rig="daemon", crew="red" if number < 3 else "blue"))
-    world.run(10.0)
-    assert world.on_machines()
-    site = world.platform
+        model.submit(job(number, hands=2, rig="daemon", crew="red" if number < 3 else "blue"))
+    model.run(10.0)
+    assert model.tasks_on_machines()
+    site = model.platform
     max_unconfirmed_s = min(site.lease_s * 2.0, site.cancel_s - site.lease_s - site.report_s)
-    begun = world.now
-    for worker in world.alive():
-        worker.cut = True
-    world.cloud_up = False
+    begun = model.now
+    for worker in model.alive():
+        worker.partitioned = True
+    model.cloud_up = False
     for number in range(1, 5):
-        world.cancel(f"req-{number:06d}")
-    while world.now < begun + site.cancel_s + 5.0:
-        if world.now < begun + max_unconfirmed_s:
-            for worker in world.alive():
-                worker.leased_at = world.now
-        world.step()
-    assert set(world.told.values()) == {"cancelled"}
-    assert not world.on_machines()
+        model.cancel(f"req-{number:06d}")
+    while model.now < begun + site.cancel_s + 5.0:
+        if model.now < begun + max_unconfirmed_s:
+            for worker in model.alive():
+                worker.lease_renewed_at = model.now
+        model.step()
+    assert set(model.statuses.values()) == {"cancelled"}
+    assert not model.tasks_on_machines()
 
 
 @live
@@ -437,9 +437,9 @@
     status, _, _ = await site.call(inside, "POST", "/agent/beat", report)
     assert status == 421, "a follower names the leader"
     undo = await cut_peers(site, inside)
-    site.name_sender(inside)
+    site.identify_to_store(inside)
     site.store.down_for.add(inside)
-    await until(lambda: election.lease_keeping_token is not None, "it is isolated")
+    await wait_until(lambda: election.lease_keeping_token is not None, "it is isolated")
     status, answer, _ = await site.call(inside, "POST", "/agent/beat", report)
     assert (status, answer) == (200, {"helm": token, "signals": []}), "the last leader's token, and no command"
     status, _, _ = await site.call(inside, "POST", "/agent/beat", report | {"helm": token + 1})
@@ -450,13 +450,13 @@
     await asyncio.sleep(4 * election.ttl_s)
     assert election.lease_keeping_token is None
     election.superseded = False
-    await until(lambda: election.lease_keeping_token is not None, "it is isolated")
+    await wait_until(lambda: election.lease_keeping_token is not None, "it is isolated")
     election.max_unconfirmed_s = 0.0
     assert (await site.call(inside, "POST", "/agent/beat", report))[0] == 421, "not for ever"
     for back in undo:
         back()
     site.store.down_for.clear()
-    await until(lambda: election.role.value == "follower", "it follows again")
+    await wait_until(lambda: election.role.value == "follower", "it follows again")
     status, answer, _ = await site.call(inside, "POST", "/agent/beat", report)
     assert (status, answer) == (421, {"harbormaster": leader})
 
@@ -466,7 +466,7 @@
     leader = site.leader()
     assert leader is not None
     inside = next(label for label in "abc" if label != leader)
-    site.name_sender(inside)
+    site.identify_to_store(inside)
     site.store.down_for.add(inside)
     election = site.controllers[inside].election
     asked: list[bool] = []
@@ -478,7 +478,7 @@
         return outlook
 
     election.callbacks.ask_peers = noted
-    await until(lambda: len(asked) > 3, "it has asked")
+    await wait_until(lambda: len(asked) > 3, "it has asked")
     assert all(asked) and election.lease_keeping_token is None
     assert election.role.value == "follower"
 
@@ -495,23 +495,28 @@
     await reaches(site, leader, "req-000001", "done")
     await accepted(site, leader, raw_job(2, rig="daemon", hands=1))
     await reaches(site, leader, "req-000002", "running")
-    await until(lambda: cancelled(site, leader, 2), "cancelled")
+    await wait_until(lambda: cancelled(site, leader, 2), "cancelled")
     await site.kill(leader)
     site.start(leader)
-    second = await until(site.leader, "a leader")
-    started = site.world.started
+    second = await wait_until(site.leader, "a leader")
+    started = site.model.task_starts
     for label in "abc":
         for raw in (raw_job(1, voyageS=0.3), raw_job(2, rig="daemon", hands=1)):
-            await until(lambda label=label, raw=raw: repeated(site, label, raw), "the repeat is answered with 200")
+            await wait_until(
+                lambda label=label, raw=raw: repeated(site, label, raw), "the repeat is answered with 200"
+            )
     forward = json.dumps(["forward", "POST", "/v1/jobs/req-000001/cancel", ""]).encode()
-    assert site.world.session is not None
-    async with site.world.session.post(f"http://{site.platforms[second].back}/peer", data=forward) as answer:
+    assert site.model.session is not None
+    async with site.model.session.post(f"http://{site.platforms[second].back}/peer", data=forward) as answer:
         assert b'"done"' in (await answer.read()).replace(b"\\", b"")
     # A lease that nobody waits for any more holds no key, whatever becomes of it.
-    site.store.number += 1
-    site.store.leases[site.store.number], site.store.ttl[site.store.number] = site.store.now() + 0.2, 0.2
+    site.store.last_lease_id += 1
+    site.store.leases[site.store.last_lease_id], site.store.ttl[site.store.last_lease_id] = (
+        site.store.now() + 0.2,
+        0.2,
+    )
     await asyncio.sleep(0.6)
-    assert site.leader() == second and site.world.started == started, "no task was started again"
+    assert site.leader() == second and site.model.task_starts == started, "no task was started again"
     await reaches(site, second, "req-000001", "done")
     await reaches(site, second, "req-000002", "cancelled")
 
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -7,7 +7,7 @@
 
 from driftcleat.net import ConnectError, HttpAnswer, HttpClient, HttpError
 
-from .standins import free_port
+from .protocol_doubles import free_port
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 Script = Callable[["ScriptedServer", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/test_meetings_walk.py
+++ b/tests/test_meetings_walk.py
@@ -11,124 +11,124 @@
 from .simulation import LABELS, Simulation
 
 
-def refuse_one(sim: Simulation, rng: random.Random) -> None:
-    sim.state.down_for.add(sim.lead() or rng.choice(LABELS))
+def refuse_one(simulation: Simulation, rng: random.Random) -> None:
+    simulation.store_double.down_for.add(simulation.leader_label() or rng.choice(LABELS))
 
 
-def outage(sim: Simulation, rng: random.Random) -> None:
-    sim.state.down_for.add("all")
+def outage(simulation: Simulation, rng: random.Random) -> None:
+    simulation.store_double.down_for.add("all")
 
 
-def outage_ends(sim: Simulation, rng: random.Random) -> None:
-    sim.state.heal()
+def outage_ends(simulation: Simulation, rng: random.Random) -> None:
+    simulation.store_double.heal()
 
 
-def lose_all_but_workers(sim: Simulation, rng: random.Random) -> None:
-    sim.cut_off(sim.lead() or rng.choice(LABELS))
+def lose_all_but_workers(simulation: Simulation, rng: random.Random) -> None:
+    simulation.isolate(simulation.leader_label() or rng.choice(LABELS))
 
 
-def part(sim: Simulation, rng: random.Random) -> None:
-    sim.part(rng.choice(LABELS))
+def part(simulation: Simulation, rng: random.Random) -> None:
+    simulation.partition(rng.choice(LABELS))
 
 
-def zone_cut(sim: Simulation, rng: random.Random) -> None:
+def zone_cut(simulation: Simulation, rng: random.Random) -> None:
     """Controller c and the workers of its zone are alone together."""
-    sim.cut_off("c")
-    sim.away_from["users"].add("c")
-    for worker in sim.alive():
+    simulation.isolate("c")
+    simulation.partitioned_from["users"].add("c")
+    for worker in simulation.alive():
         if worker.zone == "south":
-            sim.attached[worker.name] = "c"
-            worker.only = "c"  # type: ignore[attr-defined]
+            simulation.worker_controllers[worker.name] = "c"
+            worker.only_controller = "c"  # type: ignore[attr-defined]
 
 
-def leader_ends(sim: Simulation, rng: random.Random) -> None:
-    sim.end(sim.lead() or rng.choice(LABELS))
+def leader_ends(simulation: Simulation, rng: random.Random) -> None:
+    simulation.crash(simulation.leader_label() or rng.choice(LABELS))
 
 
-def all_end(sim: Simulation, rng: random.Random) -> None:
-    sim.end(*LABELS)
-    unhang(sim)
+def all_end(simulation: Simulation, rng: random.Random) -> None:
+    simulation.crash(*LABELS)
+    unhang(simulation)
 
 
-def unhang(sim: Simulation) -> None:
+def unhang(simulation: Simulation) -> None:
     """Machines go on.
 
     Only the cloud can end a task on a machine that hangs for longer than a cancellation has: with no controller
     to ask it, or no cloud, no service could keep the rule.
     """
-    for worker in sim.alive():
+    for worker in simulation.alive():
         worker.hung = False
 
 
-def back_at_once(sim: Simulation, rng: random.Random) -> None:
-    for label in [sim.lead() or "a", rng.choice(LABELS)]:
-        sim.end(label)
-        sim.start(label)
+def back_at_once(simulation: Simulation, rng: random.Random) -> None:
+    for label in [simulation.leader_label() or "a", rng.choice(LABELS)]:
+        simulation.crash(label)
+        simulation.start(label)
 
 
-def one_returns(sim: Simulation, rng: random.Random) -> None:
-    missing = [label for label in LABELS if label not in sim.processes]
+def one_returns(simulation: Simulation, rng: random.Random) -> None:
+    missing = [label for label in LABELS if label not in simulation.processes]
     if missing:
-        sim.start(rng.choice(missing))
+        simulation.start(rng.choice(missing))
 
 
-def on_some(name: str) -> "Trouble":
+def on_some(name: str) -> "Fault":
     """Some machines fall into a state, or leave it."""
 
-    def happen(sim: Simulation, rng: random.Random) -> None:
-        if name == "hung" and not (sim.cloud_up and sim.processes):
+    def happen(simulation: Simulation, rng: random.Random) -> None:
+        if name == "hung" and not (simulation.cloud_up and simulation.processes):
             return
-        for worker in rng.sample(sim.alive(), min(len(sim.alive()), rng.choice([1, 1, 3]))):
+        for worker in rng.sample(simulation.alive(), min(len(simulation.alive()), rng.choice([1, 1, 3]))):
             setattr(worker, name, not getattr(worker, name))
 
     happen.__name__ = name
     return happen
 
 
-def die(sim: Simulation, rng: random.Random) -> None:
-    if sim.alive():
-        worker = rng.choice(sim.alive())
-        worker.gone = True
+def die(simulation: Simulation, rng: random.Random) -> None:
+    if simulation.alive():
+        worker = rng.choice(simulation.alive())
+        worker.terminated = True
         worker.tasks.clear()
 
 
-def machine_back_at_once(sim: Simulation, rng: random.Random) -> None:
-    if sim.alive():
-        rng.choice(sim.alive()).restart()
+def machine_back_at_once(simulation: Simulation, rng: random.Random) -> None:
+    if simulation.alive():
+        rng.choice(simulation.alive()).restart()
 
 
-def late_writes(sim: Simulation, rng: random.Random) -> None:
-    sim.late_writes = rng.choice([0.0, 0.3, 0.6])
+def late_writes(simulation: Simulation, rng: random.Random) -> None:
+    simulation.late_write_rate = rng.choice([0.0, 0.3, 0.6])
 
 
-def late_reports(sim: Simulation, rng: random.Random) -> None:
-    sim.copies = rng.choice([0.0, 0.5])
+def late_reports(simulation: Simulation, rng: random.Random) -> None:
+    simulation.duplicate_rate = rng.choice([0.0, 0.5])
 
 
-def held_commands(sim: Simulation, rng: random.Random) -> None:
-    sim.held_commands = rng.choice([0.0, 0.3])
+def held_commands(simulation: Simulation, rng: random.Random) -> None:
+    simulation.delayed_command_rate = rng.choice([0.0, 0.3])
 
 
-def slow_store(sim: Simulation, rng: random.Random) -> None:
-    sim.slow_s = rng.choice([0.0, 0.1, 0.6])
+def slow_store(simulation: Simulation, rng: random.Random) -> None:
+    simulation.store_delay_s = rng.choice([0.0, 0.1, 0.6])
 
 
-def cloud_down(sim: Simulation, rng: random.Random) -> None:
-    sim.cloud_up = not sim.cloud_up
-    unhang(sim)
+def cloud_down(simulation: Simulation, rng: random.Random) -> None:
+    simulation.cloud_up = not simulation.cloud_up
+    unhang(simulation)
 
 
-def links_heal(sim: Simulation, rng: random.Random) -> None:
-    sim.apart.clear()
-    for labels in sim.away_from.values():
+def links_heal(simulation: Simulation, rng: random.Random) -> None:
+    simulation.partitioned_links.clear()
+    for labels in simulation.partitioned_from.values():
         labels.clear()
-    for worker in sim.alive():
-        worker.only = None  # type: ignore[attr-defined]
+    for worker in simulation.alive():
+        worker.only_controller = None  # type: ignore[attr-defined]
 
 
-Trouble = Callable[[Simulation, random.Random], None]
+Fault = Callable[[Simulation, random.Random], None]
 
-TROUBLES: list[Trouble] = [
+FAULTS: list[Fault] = [
     refuse_one,
     outage,
     outage_ends,
@@ -142,10 +142,10 @@
     one_returns,
     one_returns,
     on_some("hung"),
-    on_some("cut"),
-    on_some("deaf"),
-    on_some("mute"),
-    on_some("sick"),
+    on_some("partitioned"),
+    on_some("inbound_cut"),
+    on_some("outbound_cut"),
+    on_some("fails_tasks"),
     die,
     machine_back_at_once,
     late_writes,
@@ -179,47 +179,47 @@
     )
 
 
-def accepted(sim: Simulation) -> list[str]:
+def accepted(simulation: Simulation) -> list[str]:
     """Return the accepted jobs that others may need."""
-    return sorted(job_id for job_id in sim.told if sim.specs[job_id].kind is not JobKind.SERVICE)
+    return sorted(job_id for job_id in simulation.statuses if simulation.specs[job_id].kind is not JobKind.SERVICE)
 
 
-def walk(seed: int, kind: type[Simulation] = Simulation) -> Simulation:
+def run_fault_walk(seed: int, kind: type[Simulation] = Simulation) -> Simulation:
     rng = random.Random(seed)
-    sim = kind(seed, next={"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0})
+    simulation = kind(seed, next={"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0})
 
-    async def story(sim: Simulation) -> None:
+    async def scenario(simulation: Simulation) -> None:
         number = 0
         for _ in range(6):
             number += 1
-            sim.hand_in(some_job(rng, number, accepted(sim)))
-            await sim.rest(0.5)
-        await sim.rest(9.0)
+            simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
+            await simulation.advance(0.5)
+        await simulation.advance(9.0)
         for _ in range(rng.randrange(4, 12)):
-            for trouble in rng.sample(TROUBLES, 2):
-                trouble(sim, rng)
-                await sim.rest(rng.choice([0.0, 0.1, 0.5, 2.0, 5.0]))
+            for fault in rng.sample(FAULTS, 2):
+                fault(simulation, rng)
+                await simulation.advance(rng.choice([0.0, 0.1, 0.5, 2.0, 5.0]))
                 if rng.random() < 0.4:
-                    sim.call_off(f"req-{rng.randrange(1, number + 1):06d}")
+                    simulation.cancel_until_confirmed(f"req-{rng.randrange(1, number + 1):06d}")
             if rng.random() < 0.5:
                 number += 1
-                sim.hand_in(some_job(rng, number, accepted(sim)))
+                simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
             if rng.random() < 0.1:
-                sim.lower_limits()
+                simulation.lower_limits()
             for _ in range(3):
-                await sim.poll(f"req-{rng.randrange(1, number + 1):06d}")
-            await sim.rest(rng.choice([0.5, 3.0, 15.0, 40.0]))
-            if not sim.cloud_up or not sim.processes:
-                unhang(sim)
+                await simulation.poll(f"req-{rng.randrange(1, number + 1):06d}")
+            await simulation.advance(rng.choice([0.5, 3.0, 15.0, 40.0]))
+            if not simulation.cloud_up or not simulation.processes:
+                unhang(simulation)
             if rng.random() < 0.5:
-                sim.cloud_up = True
-        await sim.settle_down()
+                simulation.cloud_up = True
+        await simulation.verify_recovery()
 
-    sim.play(story)
-    return sim
+    simulation.run_scenario(scenario)
+    return simulation
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_no_pair_of_troubles_breaks_a_rule(seed: int) -> None:
-    sim = walk(seed)
-    assert sim.started > 3
+    simulation = run_fault_walk(seed)
+    assert simulation.task_starts > 3
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -11,8 +11,8 @@
 from driftcleat.wire.job_ids import decode_job_ids, encode_job_ids
 from driftcleat.wire.job_spec_parsing import InvalidFieldError, parse_submission
 
-from .samples import TYPES, job, platform, raw_job
-from .world import World
+from .reference_model import ReferenceModel
+from .samples import MACHINE_TYPES, job, platform, raw_job
 
 
 class PlainGraph:
@@ -129,14 +129,14 @@
 # -- in the plain world --------------------------------------------------------------------------------------
 
 
-def pipeline(world: World, first: int, stages: int = 3, **last: object) -> list[str]:
+def pipeline(model: ReferenceModel, first: int, stages: int = 3, **last: object) -> list[str]:
     """Submit a chain; return its ids."""
     ids: list[str] = []
     for number in range(first, first + stages):
         more = last if number == first + stages - 1 else {}
         spec = job(number, hands=2, voyageS=5.0, cores=1.0, tows=ids[-1:], **more)
-        world.submit(spec)
-        world.run(1.0)
+        model.submit(spec)
+        model.run(1.0)
         ids.append(spec.id)
     return ids
 
@@ -148,82 +148,82 @@
 
 
 def test_a_chain_runs_in_its_order_and_waits_without_a_place() -> None:
-    """`World` raises if a task starts before all that its job needs is done."""
-    world = World(3, platform(), TYPES)
-    world.elect()
-    ids = pipeline(world, 1, 4)
-    assert world.leader.term.layout.version_2_active, "only who knows that all are new hands in such a job"
-    assert [world.told[job_id] for job_id in ids[1:]] == ["pending"] * 3
-    queued = world.leader.term.queue.queued()
+    """`ReferenceModel` raises if a task starts before all that its job needs is done."""
+    model = ReferenceModel(3, platform(), MACHINE_TYPES)
+    model.elect()
+    ids = pipeline(model, 1, 4)
+    assert model.leader.scheduler.layout.version_2_active, "only who knows that all are new hands in such a job"
+    assert [model.statuses[job_id] for job_id in ids[1:]] == ["pending"] * 3
+    queued = model.leader.scheduler.queue.queued()
     assert not {job.id for job in queued.jobs} & set(ids[1:]) and not queued.order.guaranteed & set(ids[1:])
-    world.leader.silent = True
-    world.elect("b")
-    world.settle()
-    assert set(world.states().values()) == {"done"}
+    model.leader.crashed = True
+    model.elect("b")
+    model.settle()
+    assert set(model.states().values()) == {"done"}
 
 
 def test_a_cancellation_reaches_what_depends_on_it_also_by_the_next_leader() -> None:
-    world = World(4, platform(), TYPES)
-    world.elect()
-    chains = [pipeline(world, 1, 4), pipeline(world, 11, 4)]
-    world.cancel(chains[0][0])
-    world.run(0.5)
-    assert world.told[chains[0][0]] == "cancelled"
-    scheduler = world.leader.term
+    model = ReferenceModel(4, platform(), MACHINE_TYPES)
+    model.elect()
+    chains = [pipeline(model, 1, 4), pipeline(model, 11, 4)]
+    model.cancel(chains[0][0])
+    model.run(0.5)
+    assert model.statuses[chains[0][0]] == "cancelled"
+    scheduler = model.leader.scheduler
     assert {status.state for job_id in chains[0] if (status := scheduler.admission.lookup(job_id)) is not None} == {
         "cancelled"
     }
     # The next leader finishes it from the records alone.
-    world.leader.silent = True
-    world.elect("b")
-    assert states_known(world.leader.term, chains[0]) <= {"cancelled"}
-    world.run(20.0)
-    assert [world.states()[job_id] for job_id in chains[0]] == ["cancelled"] * 4
+    model.leader.crashed = True
+    model.elect("b")
+    assert states_known(model.leader.scheduler, chains[0]) <= {"cancelled"}
+    model.run(20.0)
+    assert [model.states()[job_id] for job_id in chains[0]] == ["cancelled"] * 4
     late = job(30, hands=1, tows=[chains[0][2]])
-    world.submit(late)
-    world.run(2.0)
-    assert world.told[late.id] == "cancelled", "who names a cancelled job is accepted, and cancelled"
-    world.settle()
-    assert [world.states()[job_id] for job_id in chains[1]] == ["done"] * 4
+    model.submit(late)
+    model.run(2.0)
+    assert model.statuses[late.id] == "cancelled", "who names a cancelled job is accepted, and cancelled"
+    model.settle()
+    assert [model.states()[job_id] for job_id in chains[1]] == ["done"] * 4
 
 
 def test_a_cancellation_between_two_batches_of_it_is_finished_by_the_next_leader() -> None:
     """The records hold a cancelled job that is gone and active ones below it."""
-    world = World(6, platform(txn_ops=4), TYPES)
-    world.elect()
+    model = ReferenceModel(6, platform(txn_ops=4), MACHINE_TYPES)
+    model.elect()
     # No machine has eight accelerators: it has no task anywhere, so its record is replaced at once.
-    ids = pipeline(world, 1, 1, accelerators=8.0)
+    ids = pipeline(model, 1, 1, accelerators=8.0)
     for number in range(2, 12):
-        world.submit(job(number, hands=1, tows=ids))
-    world.run(5.0)
-    world.cancel(ids[0])
-    while world.told[ids[0]] != "cancelled":
-        world.step(0.01)
-    world.leader.silent = True
-    left = [key for key in world.store.data if key.startswith("driftcleat/jobs/")]
+        model.submit(job(number, hands=1, tows=ids))
+    model.run(5.0)
+    model.cancel(ids[0])
+    while model.statuses[ids[0]] != "cancelled":
+        model.step(0.01)
+    model.leader.crashed = True
+    left = [key for key in model.store.data if key.startswith("driftcleat/jobs/")]
     assert len(left) > 5 and f"driftcleat/jobs/{ids[0]}" not in left, "their own records are still open"
-    world.elect("b")
+    model.elect("b")
     assert {
-        world.leader.term.admission.lookup(f"req-{number:06d}").state  # type: ignore[union-attr]
+        model.leader.scheduler.admission.lookup(f"req-{number:06d}").state  # type: ignore[union-attr]
         for number in range(2, 12)
     } == {"cancelled"}
-    world.run(10.0)
-    assert not [key for key in world.store.data if key.startswith("driftcleat/jobs/")]
+    model.run(10.0)
+    assert not [key for key in model.store.data if key.startswith("driftcleat/jobs/")]
 
 
 def test_what_an_urgent_job_needs_is_urgent_too() -> None:
-    world = World(5, platform(), TYPES)
-    world.elect()
-    ids = pipeline(world, 1, 3, rank="critical")
-    jobs = world.leader.term.cluster.jobs
+    model = ReferenceModel(5, platform(), MACHINE_TYPES)
+    model.elect()
+    ids = pipeline(model, 1, 3, rank="critical")
+    jobs = model.leader.scheduler.cluster.jobs
     assert {jobs[job_id].priority_level for job_id in ids if job_id in jobs} == {0}
-    world.leader.silent = True
-    world.elect("b")
-    jobs = world.leader.term.cluster.jobs
+    model.leader.crashed = True
+    model.elect("b")
+    jobs = model.leader.scheduler.cluster.jobs
     assert {jobs[job_id].priority_level for job_id in ids if job_id in jobs} == {0}
-    world.cancel(ids[2])
-    world.run(2.0)
-    jobs = world.leader.term.cluster.jobs
+    model.cancel(ids[2])
+    model.run(2.0)
+    jobs = model.leader.scheduler.cluster.jobs
     assert {jobs[job_id].priority_level for job_id in ids if job_id in jobs} <= {2}
 
 
@@ -232,43 +232,43 @@
 
     A job that has to start soon for it goes before an older one of its rank, and one that has time does not.
     """
-    world = World(9, platform(), TYPES)
-    world.elect()
+    model = ReferenceModel(9, platform(), MACHINE_TYPES)
+    model.elect()
     # No machine has eight accelerators: everything stays queued.
     wide = {"hands": 1, "cores": 1.0, "accelerators": 8.0, "voyageS": 10.0}
-    world.submit(job(1, **wide))
-    world.run(5.0)
-    world.submit(job(2, **wide))
-    world.submit(job(3, **wide, tows=["req-000002"]))
-    world.run(1.0)
-    queued = world.leader.term.queue.queued
+    model.submit(job(1, **wide))
+    model.run(5.0)
+    model.submit(job(2, **wide))
+    model.submit(job(3, **wide, tows=["req-000002"]))
+    model.run(1.0)
+    queued = model.leader.scheduler.queue.queued
     assert [found.id for found in queued().jobs] == ["req-000001", "req-000002"]
-    world.run(4.0)
-    world.submit(job(4, **wide, tows=["req-000003"], tideS=50.0))
-    world.run(1.0)
-    jobs = world.leader.term.cluster.jobs
+    model.run(4.0)
+    model.submit(job(4, **wide, tows=["req-000003"], tideS=50.0))
+    model.run(1.0)
+    jobs = model.leader.scheduler.cluster.jobs
     handed_in = jobs["req-000004"].submitted_at
     assert jobs["req-000002"].start_deadline == handed_in + 50.0 - 3 * 10.0
     assert [found.id for found in queued().jobs] == ["req-000002", "req-000001"]
-    world.leader.silent = True
-    world.elect("b")
-    assert [found.id for found in world.leader.term.queue.queued().jobs] == ["req-000002", "req-000001"]
-    world.cancel("req-000004")
-    world.run(1.0)
-    assert [found.id for found in world.leader.term.queue.queued().jobs] == ["req-000001", "req-000002"]
+    model.leader.crashed = True
+    model.elect("b")
+    assert [found.id for found in model.leader.scheduler.queue.queued().jobs] == ["req-000002", "req-000001"]
+    model.cancel("req-000004")
+    model.run(1.0)
+    assert [found.id for found in model.leader.scheduler.queue.queued().jobs] == ["req-000001", "req-000002"]
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_random_pipelines_break_no_rule(seed: int) -> None:
     """Random graphs, cancellations, ends and changes of leader; few changes a transaction."""
     rng = random.Random(seed)
-    world = World(seed, platform(txn_ops=rng.choice([4, 8, 24])), TYPES)
-    world.elect()
-    world.chaos = rng.choice([0.0, 0.3])
+    model = ReferenceModel(seed, platform(txn_ops=rng.choice([4, 8, 24])), MACHINE_TYPES)
+    model.elect()
+    model.fault_rate = rng.choice([0.0, 0.3])
     for number in range(1, 41):
-        known = sorted(world.told)
+        known = sorted(model.statuses)
         needs = rng.sample(known, min(len(known), rng.randrange(4)))
-        world.submit(
+        model.submit(
             job(
                 number,
                 hands=rng.choice([1, 2, 3]),
@@ -282,13 +282,13 @@
             )
         )
         if known and rng.random() < 0.15:
-            world.cancel(rng.choice(known))
+            model.cancel(rng.choice(known))
         if rng.random() < 0.1:
-            world.leader.silent = rng.random() < 0.7
-            world.elect(rng.choice("abc"))
-        if world.leader.stepped_down:
-            world.elect()
-        world.run(rng.uniform(0.2, 3.0))
-        world.poll_all()
-    world.settle()
-    assert set(world.states().values()) <= {"done", "cancelled"} and world.started > 10
+            model.leader.crashed = rng.random() < 0.7
+            model.elect(rng.choice("abc"))
+        if model.leader.stepped_down:
+            model.elect()
+        model.run(rng.uniform(0.2, 3.0))
+        model.poll_all()
+    model.settle()
+    assert set(model.states().values()) <= {"done", "cancelled"} and model.task_starts > 10
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,8 +26,8 @@
 from driftcleat.workers.dispatch import StopDispatcher
 
 from .samples import job, platform, raw_job
+from .scheduler_fixtures import commit_all, commit_submissions, scheduler_with_machines
 from .simulation import Simulation
-from .terms import accept, commit_all, fleet
 
 SITE = platform()
 
@@ -103,7 +103,7 @@
 
 
 def test_one_need_for_many_machines_is_several_requests_of_what_the_cloud_takes() -> None:
-    scheduler, _ = fleet(1)
+    scheduler, _ = scheduler_with_machines(1)
     scheduler.scale_out.request(
         CapacityPlan({MachineOffer("big", "north", False): 2 * MAX_MACHINES_PER_REQUEST + 7}, set())
     )
@@ -153,7 +153,7 @@
 
 
 def test_a_scan_looks_only_at_machines_that_may_have_to_be_told_something(monkeypatch: pytest.MonkeyPatch) -> None:
-    scheduler, _ = fleet(50)
+    scheduler, _ = scheduler_with_machines(50)
     looks = Mock(return_value=[])
     monkeypatch.setattr("driftcleat.workers.dispatch.stop_commands", looks)
     none: Any = None
@@ -190,9 +190,9 @@
     """Counts of looks at machines in the round after a take-over, 4,000 against 400 machines."""
     looks: dict[int, int] = {}
     for machines in (400, 4000):
-        scheduler, _ = fleet(machines)
+        scheduler, _ = scheduler_with_machines(machines)
         spec = job(1, hands=8, accelerators=0.0, cores=1.0, imageGb=0.0)
-        accept(scheduler, spec)
+        commit_submissions(scheduler, spec)
         takes = Mock(side_effect=scheduler.candidates.takes_tasks)
         scheduler.candidates.takes_tasks = takes  # type: ignore[method-assign]
         commit_all(scheduler)
@@ -221,7 +221,7 @@
 
 
 def test_a_round_is_put_off_while_reports_are_late() -> None:
-    scheduler, now = fleet(10)
+    scheduler, now = scheduler_with_machines(10)
     scheduler.pacing.record_change()
     scheduler.pacing.end(now[0], now[0])
     assert scheduler.pacing.due(now[0])
@@ -234,8 +234,8 @@
     """Guards against a look at every task of thousands of machines in each round: a third of its time."""
     looks = Mock(side_effect=PreemptibleTasks)
     monkeypatch.setattr("driftcleat.scheduler.preemption_planning.PreemptibleTasks", looks)
-    scheduler, now = fleet(20)
-    accept(scheduler, job(1, rig="daemon", hands=2, accelerators=0.0, imageGb=4.0, rank="critical"))
+    scheduler, now = scheduler_with_machines(20)
+    commit_submissions(scheduler, job(1, rig="daemon", hands=2, accelerators=0.0, imageGb=4.0, rank="critical"))
     commit_all(scheduler)
     assert len(scheduler.cluster.jobs["req-000001"].placements) == 2 and looks.call_count == 0
     # Once a machine has the image, it is looked at.
@@ -244,24 +244,26 @@
         machine.last_heartbeat_at = now[0]
         if number < 2:
             machine.fetched_images.add("img-01")
-    accept(scheduler, job(2, rig="daemon", hands=40, accelerators=0.0, imageGb=4.0, hull="img-01", rank="critical"))
+    commit_submissions(
+        scheduler, job(2, rig="daemon", hands=40, accelerators=0.0, imageGb=4.0, hull="img-01", rank="critical")
+    )
     commit_all(scheduler)
     assert looks.call_count > 0
 
 
 def test_sizing_is_put_off_while_reports_are_late() -> None:
-    async def story(sim: Simulation) -> None:
-        controller = sim.controllers[str(sim.lead())]
+    async def scenario(simulation: Simulation) -> None:
+        controller = simulation.controllers[str(simulation.leader_label())]
         scheduler = controller.scheduler
         assert scheduler is not None
         sizes = Mock()
         controller.fleet_manager.autoscaler.scale = sizes  # type: ignore[method-assign]
-        await sim.rest(20.0)
+        await simulation.advance(20.0)
         usual = sizes.call_count
         scheduler.pacing.overload_pause_s = lambda: 2.0
-        await sim.rest(2.0)
+        await simulation.advance(2.0)
         sizes.reset_mock()
-        await sim.rest(20.0)
+        await simulation.advance(20.0)
         assert 0 < sizes.call_count <= usual / 2
 
-    Simulation(5).play(story)
+    Simulation(5).run_scenario(scenario)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -10,7 +10,7 @@
 from driftcleat.api.answers import encode_answer
 from driftcleat.api.server import Reply
 
-from .standins import free_port
+from .protocol_doubles import free_port
 
 MOST_BODY = 1000
 LARGE = b"x" * 1_000_000
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,8 +10,8 @@
 from driftcleat import wire
 from driftcleat.wire import peers
 
+from .protocol_doubles import Site, wait_until
 from .samples import job, raw_job
-from .standins import Site, until
 
 
 def live(test: Callable[[Site], Awaitable[None]]) -> Callable[[], None]:
@@ -20,13 +20,13 @@
     def run() -> None:
         async def inside() -> None:
             async with Site() as site:
-                await until(site.leader, "a leader")
+                await wait_until(site.leader, "a leader")
                 leader = site.leader()
-                await until(
+                await wait_until(
                     lambda: all(site.controllers[label].leader == leader for label in site.running),
                     "all know the leader",
                 )
-                await until(
+                await wait_until(
                     lambda: site.controllers[str(leader)].scheduler.cluster.machine_types, "the machine types"
                 )
                 await test(site)
@@ -39,14 +39,14 @@
 
 async def accepted(site: Site, label: str, raw: dict[str, Any]) -> None:
     """Submit until it is accepted, as users do."""
-    site.world.specs[raw["nameId"]] = job(int(raw["nameId"][4:]), **raw)
+    site.model.specs[raw["nameId"]] = job(int(raw["nameId"][4:]), **raw)
 
     async def once() -> bool:
         status, _, _ = await site.call(label, "POST", "/v1/jobs", raw)
         assert status in (200, 201, 429, 503)
         return status in (200, 201)
 
-    await until(once, "accepted")
+    await wait_until(once, "accepted")
 
 
 async def state_of(site: Site, label: str, job_id: str) -> str | None:
@@ -64,7 +64,7 @@
     async def once() -> bool:
         return await state_of(site, label, job_id) == state
 
-    await until(once, f"{job_id} {state}")
+    await wait_until(once, f"{job_id} {state}")
 
 
 @live
@@ -85,7 +85,7 @@
     await reaches(site, followers[0], "req-000002", "running")
     status, body, _ = await site.call(followers[1], "POST", "/v1/jobs/req-000002/cancel")
     assert (status, body["bearing"]) == (200, "cancelled")
-    await until(lambda: not site.world.on_machines(), "all is gone")
+    await wait_until(lambda: not site.model.tasks_on_machines(), "all is gone")
     for label in "abc":
         assert await state_of(site, label, "req-000002") == "cancelled"
         assert (await site.call(label, "GET", "/ready"))[0] == 200
@@ -127,12 +127,12 @@
 async def test_an_accepted_job_outlives_every_controller(site: Site) -> None:
     await accepted(site, "a", raw_job(1, hands=3, voyageS=2.0))
     await accepted(site, "a", raw_job(2, rig="group", hands=2, voyageS=2.0, crew="blue"))
-    await until(site.world.on_machines, "work has begun")
+    await wait_until(site.model.tasks_on_machines, "work has begun")
     for label in "abc":
         await site.kill(label)
     for label in "abc":
         site.start(label)
-    await until(site.leader, "a leader again")
+    await wait_until(site.leader, "a leader again")
     for number in (1, 2):
         await reaches(site, "b", f"req-{number:06d}", "done")
 
@@ -144,7 +144,7 @@
     await accepted(site, first, raw_job(1, hands=2, voyageS=3.0))
     token = site.controllers[first].election.fencing_token
     await site.kill(first)
-    second = await until(site.leader, "another leader")
+    second = await wait_until(site.leader, "another leader")
     assert second != first and site.controllers[second].election.fencing_token > token
     await reaches(site, second, "req-000001", "done")
     site.start(first)
@@ -159,14 +159,14 @@
     assert first is not None
     await accepted(site, first, raw_job(1, rig="daemon", hands=1))
     await reaches(site, first, "req-000001", "running")
-    site.name_sender(first)
+    site.identify_to_store(first)
     site.store.down_for.add(first)
-    second = await until(lambda: site.leader() if site.leader() != first else None, "another leader")
+    second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
     site.store.down_for.clear()
-    attempts = {task.attempt for _, task in site.world.on_machines()}
+    attempts = {task.attempt for _, task in site.model.tasks_on_machines()}
     assert await state_of(site, second, "req-000001") in ("pending", "running")
     await reaches(site, second, "req-000001", "running")
-    assert {task.attempt for _, task in site.world.on_machines()} == attempts, "no work was lost"
+    assert {task.attempt for _, task in site.model.tasks_on_machines()} == attempts, "no work was lost"
 
 
 @live
@@ -175,9 +175,9 @@
     assert first is not None
     await accepted(site, first, raw_job(1, rig="daemon", hands=1))
     await reaches(site, first, "req-000001", "running")
-    front = site.world.fronts.pop(first)
-    second = await until(lambda: site.leader() if site.leader() != first else None, "another leader")
-    site.world.fronts[first] = front
+    front = site.model.controller_addresses.pop(first)
+    second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
+    site.model.controller_addresses[first] = front
     await accepted(site, second, raw_job(2, voyageS=0.5))
     await reaches(site, first, "req-000002", "done")
 
@@ -188,26 +188,26 @@
     assert leader is not None
     await accepted(site, leader, raw_job(1, rig="daemon", hands=1))
     await reaches(site, leader, "req-000001", "running")
-    before = [(worker.name, task.attempt) for worker, task in site.world.on_machines()]
+    before = [(worker.name, task.attempt) for worker, task in site.model.tasks_on_machines()]
     site.store.down_for.add("all")
-    await until(lambda: site.leader() is None, "unsure")
+    await wait_until(lambda: site.leader() is None, "unsure")
     for label in "abc":
         status, _, headers = await site.call(label, "POST", "/v1/jobs", raw_job(2))
         assert status == 503 and int(headers["Retry-After"]) >= 1
         assert (await site.call(label, "GET", "/v1/jobs/req-000009"))[0] == 503, "nobody can say it is unknown"
     site.store.heal()
-    await until(site.leader, "a leader again")
-    assert [(worker.name, task.attempt) for worker, task in site.world.on_machines()] == before
+    await wait_until(site.leader, "a leader again")
+    assert [(worker.name, task.attempt) for worker, task in site.model.tasks_on_machines()] == before
     await accepted(site, leader, raw_job(2, voyageS=0.5))
     await reaches(site, leader, "req-000002", "done")
 
 
 @live
 async def test_a_cloud_that_is_down_delays_and_does_not_lose(site: Site) -> None:
-    site.world.cloud_down = True
+    site.model.cloud_down = True
     await accepted(site, "a", raw_job(1, voyageS=0.5))
     assert await state_of(site, "a", "req-000001") == "pending"
-    site.world.cloud_down = False
+    site.model.cloud_down = False
     await reaches(site, "a", "req-000001", "done")
 
 
@@ -263,19 +263,21 @@
     assert first is not None
     await accepted(site, first, raw_job(1, rig="daemon", hands=2))
     await reaches(site, first, "req-000001", "running")
-    before = {(worker.name, task.index, task.attempt) for worker, task in site.world.on_machines()}
+    before = {(worker.name, task.index, task.attempt) for worker, task in site.model.tasks_on_machines()}
     undo = await cut_peers(site, first)
     # It would step down by itself after a while; here only a worker's token can tell it.
     site.controllers[first].election.max_unconfirmed_s = 1000.0
-    site.name_sender(first)
+    site.identify_to_store(first)
     site.store.down_for.add(first)
-    second = await until(lambda: site.leader() if site.leader() != first else None, "another leader")
+    second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
     batches = site.controllers[first].commit_pipeline.batch_sequence
-    await until(lambda: not site.controllers[first].election.may_answer_heartbeats, "the old one has stepped down")
+    await wait_until(
+        lambda: not site.controllers[first].election.may_answer_heartbeats, "the old one has stepped down"
+    )
     assert site.controllers[first].commit_pipeline.batch_sequence == batches, "it decided nothing"
     await accepted(site, second, raw_job(2, voyageS=0.5))
     await reaches(site, second, "req-000002", "done")
-    assert before <= {(worker.name, task.index, task.attempt) for worker, task in site.world.on_machines()}
+    assert before <= {(worker.name, task.index, task.attempt) for worker, task in site.model.tasks_on_machines()}
     for back in undo:
         back()
     site.store.down_for.clear()
@@ -297,14 +299,14 @@
     async def unready() -> bool:
         return not await ready(follower)
 
-    await until(unready, "the follower is not ready")
+    await wait_until(unready, "the follower is not ready")
     assert await ready(leader)
     status, _, headers = await site.call(follower, "POST", "/v1/jobs", raw_job(2))
     assert (status, headers["Connection"]) == (503, "close") and int(headers["Retry-After"]) >= 1
     assert await state_of(site, follower, "req-000001") in ("pending", "running", "done"), "the store still tells"
     for back in undo:
         back()
-    await until(lambda: ready(follower), "ready again")
+    await wait_until(lambda: ready(follower), "ready again")
 
 
 @live
@@ -317,15 +319,15 @@
         site.start(label)
     # Every controller has looked for a key of its own and got no answer before the late put is carried out.
     await asyncio.sleep(1.5)
-    site.store.number += 1
-    lease = site.store.number
+    site.store.last_lease_id += 1
+    lease = site.store.last_lease_id
     site.store.ttl[lease] = 3600.0
     site.store.leases[lease] = site.store.now() + 3600.0
     site.store.store.revision += 1
     site.store.store.data["driftcleat/leader"] = (["a", "a life before"], site.store.store.revision)
     site.store.attached["driftcleat/leader"] = lease
     site.store.heal()
-    await until(site.leader, "a leader, long before that lease would end")
+    await wait_until(site.leader, "a leader, long before that lease would end")
 
 
 @live
@@ -333,7 +335,7 @@
     for number in (1, 2, 3):
         await accepted(site, "a", raw_job(number, rig="daemon", hands=1, crew=("red", "blue")[number % 2]))
     site.store.down_for.add("all")
-    await until(lambda: site.leader() is None, "unsure")
+    await wait_until(lambda: site.leader() is None, "unsure")
     for label in "abc":
         await site.kill(label)
     for label in "abc":
@@ -345,7 +347,7 @@
             async def answered(label: str = label, number: int = number) -> bool:
                 return await state_of(site, label, f"req-{number:06d}") is not None
 
-            await until(answered, f"{label} answers")
+            await wait_until(answered, f"{label} answers")
     for number in (1, 2, 3):
         await reaches(site, "b", f"req-{number:06d}", "running")
 
@@ -358,10 +360,10 @@
     election = site.controllers[leader].election
     election.max_unconfirmed_s = 0.8
     site.store.down_for.add("all")
-    await until(lambda: election.role.value == "unsure", "unsure")
+    await wait_until(lambda: election.role.value == "unsure", "unsure")
     await asyncio.sleep(3.0)
     assert election.role.value == "unsure", "nobody else can lead"
     await site.kill(next(label for label in "abc" if label != leader))
-    await until(lambda: election.role.value == "follower", "one that is silent may lead")
+    await wait_until(lambda: election.role.value == "follower", "one that is silent may lead")
     site.store.heal()
-    await until(site.leader, "a leader again")
+    await wait_until(site.leader, "a leader again")
--- a/tests/test_sharing_walk.py
+++ b/tests/test_sharing_walk.py
@@ -8,73 +8,73 @@
 from driftcleat.peers.client import PeerError
 from driftcleat.sharing.messages import LetGo
 
-from .sharing_simulation import SharedSimulation
+from .sharing_simulation import ShardedSimulation
 from .simulation import LABELS, Simulation
-from .test_meetings_walk import TROUBLES, Trouble, accepted, some_job
+from .test_meetings_walk import FAULTS, Fault, accepted, some_job
 
 
-def move(sim: Simulation, rng: random.Random) -> None:
+def move(simulation: Simulation, rng: random.Random) -> None:
     """An operator asks for a move."""
-    shared = cast(SharedSimulation, sim)
-    if any(sim.up(label) for label in LABELS):
+    shared = cast(ShardedSimulation, simulation)
+    if any(simulation.is_up(label) for label in LABELS):
         share, receiver = rng.randrange(1, shared.sharing.shares), rng.choice(LABELS)
-        sim.spawn(shared.order_move(share, receiver))
+        simulation.spawn(shared.request_move(share, receiver))
 
 
-def owner_ends(sim: Simulation, rng: random.Random) -> None:
+def owner_ends(simulation: Simulation, rng: random.Random) -> None:
     """The leader of some share ends."""
-    owner = cast(SharedSimulation, sim).owner(rng.randrange(3))
+    owner = cast(ShardedSimulation, simulation).shard_leader(rng.randrange(3))
     if owner is not None:
-        sim.end(owner)
+        simulation.crash(owner)
 
 
-def move_and_giver_ends(sim: Simulation, rng: random.Random) -> None:
+def move_and_giver_ends(simulation: Simulation, rng: random.Random) -> None:
     """A move begins, and its giver ends within its course."""
-    shared = cast(SharedSimulation, sim)
+    shared = cast(ShardedSimulation, simulation)
     share = rng.randrange(1, shared.sharing.shares)
-    giver = shared.owner(share)
+    giver = shared.shard_leader(share)
     if giver is None:
         return
     others = [label for label in LABELS if label != giver]
 
     async def moving() -> None:
-        await shared.order_move(share, rng.choice(others))
-        await sim.rest(rng.choice([0.0, 0.005, 0.01, 0.02, 0.05, 0.5]))
-        sim.end(rng.choice([giver, *others]))
+        await shared.request_move(share, rng.choice(others))
+        await simulation.advance(rng.choice([0.0, 0.005, 0.01, 0.02, 0.05, 0.5]))
+        simulation.crash(rng.choice([giver, *others]))
 
-    sim.spawn(moving())
+    simulation.spawn(moving())
 
 
-def stray_let_go(sim: Simulation, rng: random.Random) -> None:
+def stray_let_go(simulation: Simulation, rng: random.Random) -> None:
     """A message of a move that is over, or never was, comes late."""
-    shared = cast(SharedSimulation, sim)
+    shared = cast(ShardedSimulation, simulation)
     share = rng.randrange(1, shared.sharing.shares)
-    owner = shared.owner(share)
+    owner = shared.shard_leader(share)
     if owner is None:
         return
 
     async def sending() -> None:
         sender = rng.choice([label for label in LABELS if label != owner])
         host = shared.controllers.get(sender)
-        if host is None or not sim.up(sender):
+        if host is None or not simulation.is_up(sender):
             return
         try:
             await host.transfers._client.send(owner, LetGo(share, sender, rng.randrange(1, 5)), 1.0)
         except PeerError:
             pass
 
-    sim.spawn(sending())
+    simulation.spawn(sending())
 
 
-def cut_off_from_everything(sim: Simulation, rng: random.Random) -> None:
+def cut_off_from_everything(simulation: Simulation, rng: random.Random) -> None:
     """A controller stands still as far as anybody can tell, and may go on with what it has under way."""
     label = rng.choice(LABELS)
-    sim.cut_off(label)
-    sim.away_from["workers"].add(label)
-    sim.away_from["users"].add(label)
+    simulation.isolate(label)
+    simulation.partitioned_from["workers"].add(label)
+    simulation.partitioned_from["users"].add(label)
 
 
-SHARING_TROUBLES: list[Trouble] = [
+SHARING_FAULTS: list[Fault] = [
     *[move] * 6,
     *[owner_ends] * 2,
     *[move_and_giver_ends] * 4,
@@ -83,41 +83,41 @@
 ]
 
 
-def shared_walk(seed: int, kind: type[SharedSimulation] = SharedSimulation) -> SharedSimulation:
+def run_sharded_fault_walk(seed: int, kind: type[ShardedSimulation] = ShardedSimulation) -> ShardedSimulation:
     """Play shares that move while other troubles come and go."""
     rng = random.Random(seed)
-    sim = kind(seed, next={"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0})
+    simulation = kind(seed, next={"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0})
 
-    async def story(played: Simulation) -> None:
+    async def scenario(running: Simulation) -> None:
         number = 0
-        await sim.ready()
+        await simulation.wait_until_ready()
         for _ in range(8):
             number += 1
-            sim.hand_in(some_job(rng, number, accepted(sim)))
-            await sim.rest(0.5)
-        await sim.rest(9.0)
+            simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
+            await simulation.advance(0.5)
+        await simulation.advance(9.0)
         for _ in range(rng.randrange(6, 16)):
-            rng.choice(SHARING_TROUBLES)(sim, rng)
-            await sim.rest(rng.choice([0.0, 0.01, 0.05, 0.5]))
+            rng.choice(SHARING_FAULTS)(simulation, rng)
+            await simulation.advance(rng.choice([0.0, 0.01, 0.05, 0.5]))
             if rng.random() < 0.4:
-                rng.choice(TROUBLES)(sim, rng)
+                rng.choice(FAULTS)(simulation, rng)
             if rng.random() < 0.4:
-                sim.call_off(f"req-{rng.randrange(1, number + 1):06d}")
+                simulation.cancel_until_confirmed(f"req-{rng.randrange(1, number + 1):06d}")
             if rng.random() < 0.6:
                 number += 1
-                sim.hand_in(some_job(rng, number, accepted(sim)))
+                simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
             for _ in range(3):
-                await sim.poll(f"req-{rng.randrange(1, number + 1):06d}")
-            await sim.rest(rng.choice([0.1, 0.5, 3.0, 15.0]))
-            if rng.random() < 0.4 or not sim.cloud_up or not sim.processes:
-                sim.heal()
-        await sim.settle_down()
+                await simulation.poll(f"req-{rng.randrange(1, number + 1):06d}")
+            await simulation.advance(rng.choice([0.1, 0.5, 3.0, 15.0]))
+            if rng.random() < 0.4 or not simulation.cloud_up or not simulation.processes:
+                simulation.heal()
+        await simulation.verify_recovery()
 
-    sim.play(story)
-    return sim
+    simulation.run_scenario(scenario)
+    return simulation
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_trouble_breaks_a_rule_while_shares_move(seed: int) -> None:
-    sim = shared_walk(seed)
-    assert sim.started > 3
+    simulation = run_sharded_fault_walk(seed)
+    assert simulation.task_starts > 3
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -55,9 +55,9 @@
 TIMING = ["count", "p50_ms", "p95_ms", "p99_ms", "p100_ms"]
 
 
-async def shown(sim: Simulation, label: str, path: str = "/status") -> dict[str, Any]:
+async def shown(simulation: Simulation, label: str, path: str = "/status") -> dict[str, Any]:
     """Return what a controller shows to operators."""
-    answer = await sim.controllers[label].handle_back("GET", path, b"")
+    answer = await simulation.controllers[label].handle_back("GET", path, b"")
     assert answer.status == 200
     status: dict[str, Any] = json.loads(answer.body)
     return status
@@ -65,43 +65,43 @@
 
 @pytest.mark.parametrize("path", ["/status", "/metrics"])
 def test_a_leader_shows_exactly_these_keys_in_this_order(path: str) -> None:
-    async def story(sim: Simulation) -> None:
-        sim.hand_in(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
-        await sim.until(lambda: len(sim.on_machines()) == 2)
-        await sim.rest(4.0)
-        status = await shown(sim, str(sim.lead()), path)
+    async def scenario(simulation: Simulation) -> None:
+        simulation.submit_until_accepted(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
+        await simulation.run_until(lambda: len(simulation.tasks_on_machines()) == 2)
+        await simulation.advance(4.0)
+        status = await shown(simulation, str(simulation.leader_label()), path)
         assert list(status) == EVERY_CONTROLLER + LEADER_ONLY
         for timing in ("build", "batch", "users", "reports", "loop_delay"):
             assert list(status[timing]) == TIMING
         assert list(status["parts_s"]) == ["build", "commit", "encode", "orders", "reports", "sizing"]
         assert [list(row) for row in status["classes"].values()] == [["jobs", "queued", "placed"]]
 
-    Simulation(5).play(story)
+    Simulation(5).run_scenario(scenario)
 
 
 def test_a_follower_shows_exactly_these_keys_in_this_order() -> None:
-    async def story(sim: Simulation) -> None:
-        follower = next(label for label in LABELS if label != sim.lead())
-        status = await shown(sim, follower)
+    async def scenario(simulation: Simulation) -> None:
+        follower = next(label for label in LABELS if label != simulation.leader_label())
+        status = await shown(simulation, follower)
         assert list(status) == EVERY_CONTROLLER
         assert status["role"] == "follower" and status["holds"] is False and status["lease_left_s"] == 0.0
 
-    Simulation(5).play(story)
+    Simulation(5).run_scenario(scenario)
 
 
 def test_a_status_says_what_the_owners_of_its_figures_know() -> None:
-    async def story(sim: Simulation) -> None:
-        sim.hand_in(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
-        await sim.until(lambda: len(sim.on_machines()) == 2)
-        await sim.rest(4.0)
-        label = str(sim.lead())
-        controller = sim.controllers[label]
+    async def scenario(simulation: Simulation) -> None:
+        simulation.submit_until_accepted(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
+        await simulation.run_until(lambda: len(simulation.tasks_on_machines()) == 2)
+        await simulation.advance(4.0)
+        label = str(simulation.leader_label())
+        controller = simulation.controllers[label]
         scheduler = controller.scheduler
         assert scheduler is not None
         await controller.handle_front("POST", "/agent/beat", b"{")
         await controller.answer_peer(b"{")
         await controller.handle_front("GET", "/v1/jobs/req-000001", b"")
-        status = await shown(sim, label)
+        status = await shown(simulation, label)
         assert status["controller"] == status["leader"] == label
         assert status["role"] == "leading" and status["holds"] is True
         assert status["term"] == controller.election.fencing_token
@@ -112,9 +112,9 @@
         assert status["users"]["count"] > 0 and status["reports"]["count"] > 0 and status["batch"]["count"] > 0
         assert status["data_version"] in (1, 2) and status["records_to_move"] == 0
         assert status["machines"] == {"up": len(scheduler.cluster.machines)}
-        assert status["classes"] == {sim.specs["req-000001"].job_class: {"jobs": 1, "queued": 0, "placed": 2}}
+        assert status["classes"] == {simulation.specs["req-000001"].job_class: {"jobs": 1, "queued": 0, "placed": 2}}
         assert status["batches"] == scheduler.counters.batches > 0
         assert status["placed"] == scheduler.counters.placed == 2
         assert status["rented"] == scheduler.counters.machines_created > 0
 
-    Simulation(5).play(story)
+    Simulation(5).run_scenario(scenario)
