--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -33,7 +33,7 @@
 from driftcleat.sharing.settings import SharingSettings, load_sharing
 
 from .samples import raw_job
-from .sharing_simulation import SharedSimulation
+from .sharing_simulation import ShardedSimulation
 from .simulation import LABELS, Simulation
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -301,44 +301,44 @@
     return type(value).__name__ if isinstance(value, (int, float)) and not isinstance(value, bool) else repr(value)
 
 
-async def _work(sim: Simulation) -> None:
+async def _work(simulation: Simulation) -> None:
     """Have a site work: jobs done, running and queued."""
-    sim.hand_in(raw_job(1, voyageS=1.0))
-    sim.hand_in(raw_job(2, rig="daemon", hands=3, voyageS=0.0, crew="blue"))
-    await sim.rest(60.0)
-    await sim.until(lambda: len(sim.told) == 2)
+    simulation.submit_until_accepted(raw_job(1, voyageS=1.0))
+    simulation.submit_until_accepted(raw_job(2, rig="daemon", hands=3, voyageS=0.0, crew="blue"))
+    await simulation.advance(60.0)
+    await simulation.run_until(lambda: len(simulation.statuses) == 2)
 
 
 def answers() -> Iterator[str]:
     """Say what leader and follower answer at each path, and a host that shares machines."""
-    sim, shared, found = Simulation(1), SharedSimulation(1), []
+    simulation, shared, found = Simulation(1), ShardedSimulation(1), []
 
-    async def story(playing: Simulation) -> None:
-        await _work(playing)
-        leader = playing.lead()
+    async def scenario(running: Simulation) -> None:
+        await _work(running)
+        leader = running.leader_label()
         follower = next(label for label in LABELS if label != leader)
         for title, label in (("leader", str(leader)), ("follower", follower)):
             found.append(f"== {title}")
-            found.extend(await _answers(playing.controllers[label]))
+            found.extend(await _answers(running.controllers[label]))
 
-    async def shared_story(playing: Simulation) -> None:
-        await shared.ready()
-        await _work(playing)
+    async def sharded_scenario(running: Simulation) -> None:
+        await shared.wait_until_ready()
+        await _work(running)
         found.append("== coordinator of shares")
-        found.extend(await _answers(shared.controllers[str(shared.lead())]))
+        found.extend(await _answers(shared.controllers[str(shared.leader_label())]))
 
-    sim.play(story)
-    shared.play(shared_story)
+    simulation.run_scenario(scenario)
+    shared.run_scenario(sharded_scenario)
     yield from found
 
 
 # -- store ----------------------------------------------------------------------------------------------------------
 
 
-def _written(sim: Simulation, jobs: int) -> set[str]:
+def _written(simulation: Simulation, jobs: int) -> set[str]:
     """Return the forms of all keys that a site writes, removes or compares, numbers as N."""
     seen: set[str] = set()
-    carry_out = sim.state.txn
+    carry_out = simulation.store_double.txn
 
     def txn(body: bytes) -> tuple[int, Any]:
         raw = json.loads(body)
@@ -348,17 +348,21 @@
             seen.add(change["put"] if "put" in change else change["remove"])
         return carry_out(body)
 
-    sim.state.txn = txn  # type: ignore[method-assign]
+    simulation.store_double.txn = txn  # type: ignore[method-assign]
 
-    async def story(playing: Simulation) -> None:
-        if isinstance(playing, SharedSimulation):
-            await playing.ready()
+    async def scenario(running: Simulation) -> None:
+        if isinstance(running, ShardedSimulation):
+            await running.wait_until_ready()
         for number in range(1, jobs + 1):
-            playing.hand_in(raw_job(number, hands=90, cores=0.1, accelerators=0.0, memGb=0.1, voyageS=5.0))
-        playing.hand_in(raw_job(jobs + 1, rig="daemon", hands=1, voyageS=0.0, cores=0.1, accelerators=0.0))
-        await playing.rest(90.0)
+            running.submit_until_accepted(
+                raw_job(number, hands=90, cores=0.1, accelerators=0.0, memGb=0.1, voyageS=5.0)
+            )
+        running.submit_until_accepted(
+            raw_job(jobs + 1, rig="daemon", hands=1, voyageS=0.0, cores=0.1, accelerators=0.0)
+        )
+        await running.advance(90.0)
 
-    sim.play(story)
+    simulation.run_scenario(scenario)
     return {_key_form(key) for key in seen}
 
 
@@ -371,13 +375,13 @@
     limits: dict[str, Any] = {"next": {"value_kb": 2.0, "txn_ops": 4, "write_rps": 45.0}}
     old = Simulation(3)
     # Controllers that may be of an older version: the first data version stays.
-    old.old = set(LABELS)
+    old.old_version_controllers = set(LABELS)
     yield "== data version 1"
     yield from sorted(_written(old, 4))
     yield "== data version 2"
     yield from sorted(_written(Simulation(3, **limits), 4))
     yield "== shares"
-    yield from sorted(_written(SharedSimulation(3, **limits), 9))
+    yield from sorted(_written(ShardedSimulation(3, **limits), 9))
 
 
 # -- messages and records -------------------------------------------------------------------------------------------
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,9 +20,9 @@
 from driftcleat.wire import peers
 from driftcleat.wire import state as state_messages
 
-from .samples import TYPES, job, loaded_jobs, platform, raw_job, raw_settings
+from .reference_model import ReferenceModel
+from .samples import MACHINE_TYPES, decode_job_records, job, platform, raw_job, raw_settings
 from .simulation import LABELS, Simulation
-from .world import World
 
 
 def recorded(version: str) -> dict[str, Any]:
@@ -79,7 +79,7 @@
 
 
 def test_what_production_wrote_is_read_and_written_the_same_way() -> None:
-    jobs, orphans = loaded_jobs(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
+    jobs, orphans = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     assert len(jobs) == 6 and not orphans
     ours = layout()
     for found in jobs.values():
@@ -104,7 +104,7 @@
 
 
 def test_what_production_rewrites_loses_nothing_before_the_switch() -> None:
-    jobs, _ = loaded_jobs(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
+    jobs, _ = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     for found in jobs.values():
         rewritten = wire.encode(wire.decode(wire.encode(layout().head_record(found)), PlainHead))
         again = decode_head(state_messages.KeyValue(msgspec.Raw(rewritten), 9, JOBS_PREFIX + found.id))
@@ -127,7 +127,7 @@
 def test_what_the_version_before_wrote_is_read_and_written_to_the_letter(rows: str, switched: bool) -> None:
     """Each version works on the other's data, of both data versions: what ours writes is what 0.4.0 would write."""
     written = BEFORE[rows]
-    jobs, orphans = loaded_jobs(items(JOBS_PREFIX, written), items(CHUNKS_PREFIX, written))
+    jobs, orphans = decode_job_records(items(JOBS_PREFIX, written), items(CHUNKS_PREFIX, written))
     assert len(jobs) == (7 if switched else 6) and not orphans
     ours = layout(switched)
     for found in jobs.values():
@@ -172,7 +172,7 @@
 
 def test_a_move_that_ends_in_the_middle_leaves_the_old_records_valid() -> None:
     """Chunks of another split than the head names are garbage, of whatever number."""
-    jobs, _ = loaded_jobs(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
+    jobs, _ = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     big = jobs["req-000003"]
     new = layout(switched=True)
     split = new.preferred_tasks_per_record(big)
@@ -185,7 +185,7 @@
         )
         for number in range(1, 4)
     ]
-    again, orphans = loaded_jobs(items(JOBS_PREFIX), [*items(CHUNKS_PREFIX), *half])
+    again, orphans = decode_job_records(items(JOBS_PREFIX), [*items(CHUNKS_PREFIX), *half])
     assert facts(again[big.id]) == facts(big)
     assert orphans == [key_value.key for key_value in half]
     whole = [
@@ -200,7 +200,7 @@
     moved.tasks_per_record = split
     head = state_messages.KeyValue(msgspec.Raw(wire.encode(new.head_record(moved))), 8, JOBS_PREFIX + big.id)
     assert len(bytes(head.value)) <= 2048 and all(len(bytes(key_value.value)) <= 2048 for key_value in whole)
-    after, orphans = loaded_jobs([head], [*items(CHUNKS_PREFIX), *whole])
+    after, orphans = decode_job_records([head], [*items(CHUNKS_PREFIX), *whole])
     assert facts(after[big.id]) == facts(big)
     assert {key_value.key for key_value in whole}.isdisjoint(orphans) and set(
         after[big.id].chunk_mod_revisions.values()
@@ -208,37 +208,37 @@
 
 
 def test_a_cancellation_of_a_job_that_is_not_moved_yet_goes_first() -> None:
-    world = World(3, platform(next=NEXT, value_kb=16.0), TYPES)
-    world.elect(old=True)
+    model = ReferenceModel(3, platform(next=NEXT, value_kb=16.0), MACHINE_TYPES)
+    model.elect(previous_version=True)
     for number in range(1, 6):
-        world.submit(job(number, hands=110, cores=0.1, accelerators=0.0, memGb=0.1, voyageS=300.0))
-    world.run(25.0)
-    scheduler = world.elect("b").term
-    world.run(6.0)
+        model.submit(job(number, hands=110, cores=0.1, accelerators=0.0, memGb=0.1, voyageS=300.0))
+    model.run(25.0)
+    scheduler = model.elect("b").scheduler
+    model.run(6.0)
     scheduler.migration.request_latch()
-    world.step()
-    world.store.lower()
+    model.step()
+    model.store.lower_limits()
     assert scheduler.layout.version_2_active and len(scheduler.migration.jobs_to_migrate) > 1
     last = max(scheduler.migration.jobs_to_migrate)
-    world.cancel(last)
+    model.cancel(last)
     before = len(scheduler.migration.jobs_to_migrate)
-    while world.told[last] != "cancelled":
-        world.step(0.02)
+    while model.statuses[last] != "cancelled":
+        model.step(0.02)
     assert len(scheduler.migration.jobs_to_migrate) >= before - 2 > 0, (
         "its move goes before the others', but for one that had begun"
     )
-    world.run(world.platform.cancel_s)
-    assert not any(task.job.id == last for _, task in world.on_machines())
+    model.run(model.platform.cancel_s)
+    assert not any(task.job.id == last for _, task in model.tasks_on_machines())
 
 
 def test_a_gang_of_many_records_can_change_before_the_switch() -> None:
     """Guards against everything waiting behind it: more records than the lower limit allows to change at once."""
     site = platform(next=NEXT | {"txn_ops": 3})
-    jobs, _ = loaded_jobs(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
+    jobs, _ = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     gang = jobs["req-000005"]
     ours = layout()
     assert max(ours.chunk_of(gang, index) for index in range(gang.spec.tasks)) + 1 > site.txn_ops - 1
-    cluster = ClusterState(5, {gang.id: gang}, dict(TYPES), 0.0, site.lease_s)
+    cluster = ClusterState(5, {gang.id: gang}, dict(MACHINE_TYPES), 0.0, site.lease_s)
     scheduler = Scheduler(site, Tuning(), cluster, ours, random.Random(1), lambda: 0.0, lambda: 0.0)
     name = next(iter(gang.placements.values())).machine
     cluster.record_terminated(cluster.register_machine(name, "big", "north", False, "", 0.0), 0.0)
@@ -254,15 +254,17 @@
     transactions.
     """
     rng = random.Random(seed)
-    world = World(seed, platform(next=NEXT, value_kb=rng.choice([4.0, 8.0, 16.0])), TYPES)
-    world.elect(old=rng.random() < 0.7)
-    world.chaos = rng.choice([0.0, 0.2])
+    model = ReferenceModel(seed, platform(next=NEXT, value_kb=rng.choice([4.0, 8.0, 16.0])), MACHINE_TYPES)
+    model.elect(previous_version=rng.random() < 0.7)
+    model.fault_rate = rng.choice([0.0, 0.2])
     switch_at, fall_after = rng.randrange(4, 20), rng.randrange(0, 8)
     switched_at = None
     for step in range(30):
         number = step + 1
-        needs: list[str] = rng.sample(sorted(world.told), min(len(world.told), 2)) if switched_at is not None else []
-        world.submit(
+        needs: list[str] = (
+            rng.sample(sorted(model.statuses), min(len(model.statuses), 2)) if switched_at is not None else []
+        )
+        model.submit(
             job(
                 number,
                 hands=rng.choice([1, 3, 30, 110, 130]),
@@ -275,25 +277,25 @@
                 tows=needs,
             )
         )
-        if world.told and rng.random() < 0.2:
-            world.cancel(rng.choice(sorted(world.told)))
+        if model.statuses and rng.random() < 0.2:
+            model.cancel(rng.choice(sorted(model.statuses)))
         new = step >= switch_at
-        if rng.random() < 0.25 or world.leader.stepped_down or (new and world.leader.old):
-            world.leader.silent = rng.random() < 0.7
-            world.elect(rng.choice("abc"), old=not new and rng.random() < 0.5)
+        if rng.random() < 0.25 or model.leader.stepped_down or (new and model.leader.previous_version):
+            model.leader.crashed = rng.random() < 0.7
+            model.elect(rng.choice("abc"), previous_version=not new and rng.random() < 0.5)
         if new:
-            world.leader.term.migration.request_latch()
-        if switched_at is None and DATA_VERSION_KEY in world.store.data:
+            model.leader.scheduler.migration.request_latch()
+        if switched_at is None and DATA_VERSION_KEY in model.store.data:
             switched_at = step
         if switched_at is not None and step >= switched_at + fall_after:
-            world.store.lower()
-        world.run(rng.choice([0.05, 0.3, 2.0, 6.0]))
-        world.poll_all()
-    world.store.lower()
-    world.settle(1200.0)
-    assert set(world.states().values()) <= {"done", "cancelled"}, world.states()
-    assert DATA_VERSION_KEY in world.store.data and world.started > 20
-    assert not world.leader.term.migration.jobs_to_migrate
+            model.store.lower_limits()
+        model.run(rng.choice([0.05, 0.3, 2.0, 6.0]))
+        model.poll_all()
+    model.store.lower_limits()
+    model.settle(1200.0)
+    assert set(model.states().values()) <= {"done", "cancelled"}, model.states()
+    assert DATA_VERSION_KEY in model.store.data and model.task_starts > 20
+    assert not model.leader.scheduler.migration.jobs_to_migrate
 
 
 # -- whole controllers ---------------------------------------------------------------------------------------
@@ -304,62 +306,65 @@
     return raw_job(number, hands=100, cores=0.1, accelerators=0.0, memGb=0.1, voyageS=60.0, **more)
 
 
-async def upgraded_one_by_one(sim: Simulation) -> None:
+async def upgraded_one_by_one(simulation: Simulation) -> None:
     """Each controller ends and comes back new; the last one makes the switch possible."""
     for label in LABELS:
-        assert DATA_VERSION_KEY not in sim.store.data, "not before every controller is new"
-        sim.end(label)
-        await sim.rest(2.0)
-        sim.old.discard(label)
-        sim.start(label)
-        await sim.rest(5.0)
+        assert DATA_VERSION_KEY not in simulation.store.data, "not before every controller is new"
+        simulation.crash(label)
+        await simulation.advance(2.0)
+        simulation.old_version_controllers.discard(label)
+        simulation.start(label)
+        await simulation.advance(5.0)
 
 
 def test_the_switch_comes_with_the_last_controller_and_limits_may_fall_at_once() -> None:
-    async def story(sim: Simulation) -> None:
+    async def scenario(simulation: Simulation) -> None:
         for number in range(1, 5):
-            sim.hand_in(big(number))
-        await sim.rest(12.0)
-        await upgraded_one_by_one(sim)
-        await sim.until(lambda: DATA_VERSION_KEY in sim.store.data, 10.0)
-        sim.lower_limits()
-        sim.call_off("req-000002")
-        await sim.settle_down()
-        assert sim.state.refused == 0
+            simulation.submit_until_accepted(big(number))
+        await simulation.advance(12.0)
+        await upgraded_one_by_one(simulation)
+        await simulation.run_until(lambda: DATA_VERSION_KEY in simulation.store.data, 10.0)
+        simulation.lower_limits()
+        simulation.cancel_until_confirmed("req-000002")
+        await simulation.verify_recovery()
+        assert simulation.store_double.rejected_txns == 0
 
-    sim = Simulation(2, value_kb=16.0, next=NEXT)
-    sim.old.update(LABELS)
-    sim.play(story)
+    simulation = Simulation(2, value_kb=16.0, next=NEXT)
+    simulation.old_version_controllers.update(LABELS)
+    simulation.run_scenario(scenario)
 
 
 def test_limits_that_fall_before_the_switch_prove_that_all_are_new() -> None:
     """A refusal for size ends no term, turns in no circle and loses nothing."""
 
-    async def story(sim: Simulation) -> None:
-        leader = sim.lead()
-        assert leader is not None and DATA_VERSION_KEY not in sim.store.data
-        token = sim.controllers[leader].election.fencing_token
-        sim.lower_limits()
+    async def scenario(simulation: Simulation) -> None:
+        leader = simulation.leader_label()
+        assert leader is not None and DATA_VERSION_KEY not in simulation.store.data
+        token = simulation.controllers[leader].election.fencing_token
+        simulation.lower_limits()
         # Each task on a machine of its own: more than the lower limit holds, in one record of the first version.
-        sim.hand_in(raw_job(1, hands=75, cores=16.0, accelerators=0.0, voyageS=60.0))
+        simulation.submit_until_accepted(raw_job(1, hands=75, cores=16.0, accelerators=0.0, voyageS=60.0))
         for _ in range(75):
-            sim.boot(ScaleOutRecord("big", "north", False, 1, 0.0))
-        await sim.until(lambda: DATA_VERSION_KEY in sim.store.data, 60.0)
-        sim.hand_in(big(4))
-        await sim.settle_down()
-        assert sim.controllers[leader].election.fencing_token == token and 1 <= sim.state.refused < 5
-        assert set(sim.told.values()) == {"done"}
+            simulation.boot(ScaleOutRecord("big", "north", False, 1, 0.0))
+        await simulation.run_until(lambda: DATA_VERSION_KEY in simulation.store.data, 60.0)
+        simulation.submit_until_accepted(big(4))
+        await simulation.verify_recovery()
+        assert (
+            simulation.controllers[leader].election.fencing_token == token
+            and 1 <= simulation.store_double.rejected_txns < 5
+        )
+        assert set(simulation.statuses.values()) == {"done"}
 
-    sim = Simulation(3, value_kb=16.0, next=NEXT)
-    sim.old.update(LABELS)
-    sim.play(story)
+    simulation = Simulation(3, value_kb=16.0, next=NEXT)
+    simulation.old_version_controllers.update(LABELS)
+    simulation.run_scenario(scenario)
 
 
 def test_what_a_submission_needs_is_answered_at_any_controller() -> None:
-    async def story(sim: Simulation) -> None:
-        sim.hand_in(raw_job(1, voyageS=40.0, hands=1))
-        sim.hand_in(raw_job(2, rig="daemon", hands=1, voyageS=0.0))
-        await sim.rest(3.0)
+    async def scenario(simulation: Simulation) -> None:
+        simulation.submit_until_accepted(raw_job(1, voyageS=40.0, hands=1))
+        simulation.submit_until_accepted(raw_job(2, rig="daemon", hands=1, voyageS=0.0))
+        await simulation.advance(3.0)
         for label in LABELS:
             too_many = [f"req-{number:018d}" for number in range(10**17, 10**17 + 9 * 10**15, 10**13)]
             for needs, expected in (
@@ -370,29 +375,31 @@
                 (["x"], 400),
                 (too_many, 400),
             ):
-                status, _ = await sim.ask("POST", "/v1/jobs", raw_job(50, tows=needs), label)
+                status, _ = await simulation.request("POST", "/v1/jobs", raw_job(50, tows=needs), label)
                 assert status == expected, (label, needs[:3])
-            assert (await sim.ask("GET", "/v1/jobs/req-000050", label=label))[0] == 404
-        sim.hand_in(raw_job(3, tows=["req-000001"], hands=1))
-        await sim.rest(1.0)
-        sim.hand_in(raw_job(4, tows=["req-000003", "req-000003"], hands=1))
-        await sim.rest(1.0)
+            assert (await simulation.request("GET", "/v1/jobs/req-000050", label=label))[0] == 404
+        simulation.submit_until_accepted(raw_job(3, tows=["req-000001"], hands=1))
+        await simulation.advance(1.0)
+        simulation.submit_until_accepted(raw_job(4, tows=["req-000003", "req-000003"], hands=1))
+        await simulation.advance(1.0)
         # A repeat is known by its id, whatever else it says.
-        assert (await sim.ask("POST", "/v1/jobs", raw_job(4, tows=["req-000099"])))[0] == 200
-        leader = sim.lead()
+        assert (await simulation.request("POST", "/v1/jobs", raw_job(4, tows=["req-000099"])))[0] == 200
+        leader = simulation.leader_label()
         assert leader is not None
         follower = next(label for label in LABELS if label != leader)
         # What hangs below a cancelled job is called cancelled by whoever answers, from the records alone.
-        sim.controllers[leader].scheduler.admission.append_dependent_cancellations = lambda batch: None  # type: ignore[union-attr,method-assign]
-        await sim.call_off("req-000001")
-        sim.part(follower)
-        assert await sim.poll("req-000004", follower) == 200 and sim.told["req-000004"] == "cancelled"
-        assert await sim.poll("req-000003", leader) == 200 and sim.told["req-000003"] == "cancelled"
-        sim.state.down_for.add("all")
-        await sim.rest(3.0)
-        status, _ = await sim.ask("POST", "/v1/jobs", raw_job(60, tows=["req-000001"]), leader)
+        simulation.controllers[leader].scheduler.admission.append_dependent_cancellations = lambda batch: None  # type: ignore[union-attr,method-assign]
+        await simulation.cancel_until_confirmed("req-000001")
+        simulation.partition(follower)
+        assert (
+            await simulation.poll("req-000004", follower) == 200 and simulation.statuses["req-000004"] == "cancelled"
+        )
+        assert await simulation.poll("req-000003", leader) == 200 and simulation.statuses["req-000003"] == "cancelled"
+        simulation.store_double.down_for.add("all")
+        await simulation.advance(3.0)
+        status, _ = await simulation.request("POST", "/v1/jobs", raw_job(60, tows=["req-000001"]), leader)
         assert status == 503
-        del sim.controllers[leader].scheduler.admission.append_dependent_cancellations  # type: ignore[union-attr]
-        await sim.settle_down()
+        del simulation.controllers[leader].scheduler.admission.append_dependent_cancellations  # type: ignore[union-attr]
+        await simulation.verify_recovery()
 
-    Simulation(4).play(story)
+    Simulation(4).run_scenario(scenario)
--- a/tools/load/__main__.py
+++ b/tools/load/__main__.py
@@ -31,7 +31,7 @@
             )
             await scenario.play(seconds, phases)
             peaks = scenario.peaks
-            return peaks.memory_mb < size.memory_mb and peaks.descriptors < size.fd_limit and site.world.lapses() == 0
+            return peaks.memory_mb < size.memory_mb and peaks.descriptors < size.fd_limit and site.model.lapses() == 0
     finally:
         site.clean_up()
 
--- a/tools/load/fleet.py
+++ b/tools/load/fleet.py
@@ -15,8 +15,8 @@
 from driftcleat.cloud.client import LIST_PAGE_SIZE
 from driftcleat.net import HttpClient, HttpError
 from driftcleat.wire.workers import Heartbeat, HeartbeatResponse
-from tests.standins import LiveWorld
-from tests.world import PlainWorker, Running
+from tests.protocol_doubles import HttpReferenceModel
+from tests.reference_model import ReferenceWorker, WorkerTask
 
 # A worker gives an answer up after so long.
 WORKER_TIMEOUT_S = 4.0
@@ -42,7 +42,7 @@
         self.failures[why] = self.failures.get(why, 0) + 1
 
 
-class LoadWorld(LiveWorld):
+class LoadWorld(HttpReferenceModel):
     """Workers and cloud of a fleet."""
 
     def __init__(self, platform: Any) -> None:
@@ -52,49 +52,51 @@
         # Zones that no controller reaches.
         self.cut_zones: set[str] = set()
 
-    async def _report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
+    async def _send_heartbeat(self, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         """Send a report over the worker's own connection."""
-        if not self.fronts:
-            worker.waiting_answer, worker.next_report = None, self.now + REFUSED_S
+        if not self.controller_addresses:
+            worker.awaiting_response_since, worker.next_heartbeat_at = None, self.now + REFUSED_S
             return
         if worker.zone in self.cut_zones:
             await asyncio.sleep(WORKER_TIMEOUT_S)
-            worker.waiting_answer, worker.next_report = None, self.now + REFUSED_S
+            worker.awaiting_response_since, worker.next_heartbeat_at = None, self.now + REFUSED_S
             return
-        label = self.attached.get(worker.name)
-        if label not in self.fronts:
-            label = self.attached[worker.name] = self.rng.choice(sorted(self.fronts))
+        label = self.worker_controllers.get(worker.name)
+        if label not in self.controller_addresses:
+            label = self.worker_controllers[worker.name] = self.rng.choice(sorted(self.controller_addresses))
         client = self.clients.setdefault(worker.name, HttpClient(1, 1, 75.0))
         body = wire.encode(msgspec.structs.replace(heartbeat, address=f"{self.addresses['workers']}/{worker.name}"))
         began = time.monotonic()
         leader: str | None = None
         try:
-            answer = await client.request("POST", self.fronts[label], "/agent/beat", body, WORKER_TIMEOUT_S)
+            answer = await client.request(
+                "POST", self.controller_addresses[label], "/agent/beat", body, WORKER_TIMEOUT_S
+            )
         except (HttpError, TimeoutError) as error:
             self.reports.fail(f"{type(error).__name__} {str(error)[:24]}")
         else:
             if answer.status == 200:
                 self.reports.waits.append(time.monotonic() - began)
                 response = wire.decode(answer.body, HeartbeatResponse)
-                worker.answer(
+                worker.receive_response(
                     heartbeat.worker_epoch, heartbeat.sequence, response.fencing_token, response.commands, sent_at
                 )
                 if response.commands:
-                    worker.next_report = min(worker.next_report, self.now + CHANGED_S)
+                    worker.next_heartbeat_at = min(worker.next_heartbeat_at, self.now + CHANGED_S)
                 return
             self.reports.redirected += 1
             leader = json.loads(answer.body).get("harbormaster") if answer.status == 421 else None
-        others = sorted(name for name in self.fronts if name != label)
-        known = leader is not None and leader in self.fronts and leader != label
-        self.attached[worker.name] = str(leader) if known else self.rng.choice(others or [label])
+        others = sorted(name for name in self.controller_addresses if name != label)
+        known = leader is not None and leader in self.controller_addresses and leader != label
+        self.worker_controllers[worker.name] = str(leader) if known else self.rng.choice(others or [label])
         pause_s = self.rng.uniform(0.0, REDIRECTED_S) if known else REFUSED_S
-        worker.waiting_answer, worker.next_report = None, self.now + pause_s
-        worker.reported_at = worker.next_report
+        worker.awaiting_response_since, worker.next_heartbeat_at = None, self.now + pause_s
+        worker.heartbeat_sent_at = worker.next_heartbeat_at
 
-    async def cloud(self, request: web.BaseRequest) -> web.Response:
+    async def handle_cloud(self, request: web.BaseRequest) -> web.Response:
         """Answer the cloud's interface; the list comes in pages."""
         if request.method != "GET" or request.path != "/rentals":
-            return await super().cloud(request)
+            return await super().handle_cloud(request)
         rows = self.listed_machines(lambda name: f"{self.addresses['workers']}/{name}")
         after = request.query.get("from", "")
         rows = [row for row in rows if row["nameId"] > after]
@@ -102,11 +104,11 @@
             body=wire.encode({"bollards": rows[:LIST_PAGE_SIZE], "truncated": len(rows) > LIST_PAGE_SIZE})
         )
 
-    def check_start(self, worker: PlainWorker, task: Running) -> None:
+    def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
         """Count a start."""
-        self.started += 1
+        self.task_starts += 1
 
-    async def live(self) -> None:
+    async def run_clock(self) -> None:
         """Let the workers' time pass."""
         while True:
             self.now = asyncio.get_running_loop().time()
@@ -116,4 +118,4 @@
 
     def lapses(self) -> int:
         """Return how many leases of workers have run out."""
-        return sum(worker.session - 1 for worker in self.workers.values())
+        return sum(worker.worker_epoch - 1 for worker in self.workers.values())
--- a/tools/load/processes.py
+++ b/tools/load/processes.py
@@ -12,7 +12,7 @@
 
 from driftcleat.net import HttpClient, HttpError
 from driftcleat.settings import Team
-from tests.standins import Site, until
+from tests.protocol_doubles import Site, wait_until
 
 from .fleet import LoadWorld
 from .sizes import SIZES, Size
@@ -26,16 +26,16 @@
 class LoadSite(Site):
     """A site whose controllers are processes."""
 
-    world: LoadWorld
+    model: LoadWorld
 
     def __init__(self, size: Size, throttled: bool = False) -> None:
         """`throttled`: each controller is held to its share of a core."""
         super().__init__()
         self.size, self.throttled = size, throttled
-        self.world = LoadWorld(self.platforms["a"])
+        self.model = LoadWorld(self.platforms["a"])
         free = Team("red", 0.0, 0.0, 0.0, 0.0)
-        self.world.platform = dataclasses.replace(
-            self.world.platform, teams={"red": free}, report_s=size.report_s, lease_s=size.lease_s
+        self.model.platform = dataclasses.replace(
+            self.model.platform, teams={"red": free}, report_s=size.report_s, lease_s=size.lease_s
         )
         self.store_process: asyncio.subprocess.Process | None = None
         self.paths: list[Path] = []
@@ -50,7 +50,7 @@
         name = next(name for name, size in SIZES.items() if size is self.size)
         command = [sys.executable, "-m", "tools.load.store", str(self.ports["state"]), name]
         self.store_process = await asyncio.create_subprocess_exec(*command, cwd=ROOT)
-        await until(self._store_answers, "the state service answers")
+        await wait_until(self._store_answers, "the state service answers")
 
     async def _store_answers(self) -> bool:
         address = f"127.0.0.1:{self.ports['state']}"
@@ -72,7 +72,7 @@
         path.write_text(settings_file(self, label))
         self.paths.append(path)
         self.running[label] = asyncio.ensure_future(self._run(label, path))
-        self.world.fronts[label] = self.platforms[label].bind
+        self.model.controller_addresses[label] = self.platforms[label].bind
 
     async def _run(self, label: str, path: Path) -> None:
         limit = self.size.fd_limit
@@ -130,7 +130,7 @@
     )
     teams = "".join(
         f'[[deployment.teams]]\nname = "{team.name}"\ngpus = {team.gpus}\ngpus_max = {team.gpus_max}\n'
-        for team in site.world.platform.teams.values()
+        for team in site.model.platform.teams.values()
     )
     return f"""label = "{label}"
 domain = "north"
--- a/tools/load/scenario.py
+++ b/tools/load/scenario.py
@@ -79,8 +79,8 @@
     async def phase(self, name: str, play: Callable[[], Awaitable[list[str]]]) -> None:
         """Play a phase and print what it took."""
         site = self.site
-        site.world.reports = Reports()
-        lapses, before = site.world.lapses(), self._core_seconds()
+        site.model.reports = Reports()
+        lapses, before = site.model.lapses(), self._core_seconds()
         own, began = time.process_time(), time.monotonic()
         parts = {label: await self._parts(label) for label in LABELS}
         lines = await play()
@@ -97,7 +97,7 @@
             changed = {part: (now[part] - parts[label].get(part, 0.0)) / spent for part in now}
             said = ", ".join(f"{part} {share:.1%}" for part, share in changed.items() if share >= 0.0005)
             print(f"  {role} {label}: {core:.1%} of a core ({said})")
-        print(self._reports_line(spent, site.world.lapses() - lapses))
+        print(self._reports_line(spent, site.model.lapses() - lapses))
         for line in lines:
             print(line, flush=True)
 
@@ -109,7 +109,7 @@
         return dict(counted["parts_s"]) if counted is not None else {}
 
     def _reports_line(self, spent: float, lapses: int) -> str:
-        reports = self.site.world.reports
+        reports = self.site.model.reports
         waits = sorted(reports.waits)
         if not waits:
             return "  reports: none answered"
@@ -156,18 +156,18 @@
             if counted is not None:
                 delay = counted.get("loop_delay", {})
                 print(f"  {label}: event loop held up to {delay.get('p100_ms', 0):.0f} ms, {counted['role']}")
-        print(f"leases that ran out in all: {self.site.world.lapses()}")
+        print(f"leases that ran out in all: {self.site.model.lapses()}")
 
     async def _wait(self, seconds: float) -> list[str]:
         await asyncio.sleep(seconds)
         return []
 
     async def _join(self) -> list[str]:
-        world = self.site.world
+        model = self.site.model
         for number in range(self.machines):
-            world.boot(ScaleOutRecord("big", "north" if number % 2 else "south", False, 1, 0.0))
+            model.boot(ScaleOutRecord("big", "north" if number % 2 else "south", False, 1, 0.0))
         began = time.monotonic()
-        heard = await self._until(lambda: all(worker.token > 0 for worker in world.alive()), 60.0)
+        heard = await self._until(lambda: all(worker.fencing_token > 0 for worker in model.alive()), 60.0)
         took = time.monotonic() - began
         return [f"  every machine answered once after {took:.1f} s" if heard else "  NOT EVERY MACHINE ANSWERED"]
 
@@ -184,7 +184,7 @@
         return [f"  {state} of {self.machines} replicas at work after {took:.1f} s", asked.line("submissions")]
 
     def _running(self) -> int:
-        return sum(len(worker.tasks) for worker in self.site.world.workers.values() if not worker.gone)
+        return sum(len(worker.tasks) for worker in self.site.model.workers.values() if not worker.terminated)
 
     async def _users(self, a_second: int, seconds: float) -> list[str]:
         """A fifth submissions, the rest polls of jobs handed in; spread over all controllers."""
@@ -214,7 +214,7 @@
     def _new(self, changes: dict[str, Any]) -> JobSpec:
         self.number += 1
         spec = job(self.number, **changes)
-        self.site.world.specs[spec.id] = spec
+        self.site.model.specs[spec.id] = spec
         return spec
 
     async def _submit(self, spec: JobSpec, changes: dict[str, Any], asked: Requests, tries: int = 30) -> None:
@@ -227,7 +227,7 @@
             await asyncio.sleep(1.0)
 
     async def _ask(self, method: str, path: str, body: bytes | None, timeout_s: float, asked: Requests) -> int:
-        label = self.site.world.rng.choice(LABELS)
+        label = self.site.model.rng.choice(LABELS)
         began = time.monotonic()
         try:
             answer = await self.site.users.request(method, self.site.platforms[label].bind, path, body, timeout_s)
@@ -240,25 +240,25 @@
 
     async def _third_silent(self) -> list[str]:
         """A third of the machines hang for less than a lease, all at once."""
-        alive = self.site.world.alive()
+        alive = self.site.model.alive()
         for worker in alive[::3]:
             worker.hung = True
         await asyncio.sleep(self.site.size.report_s * 3)
         for worker in alive[::3]:
             worker.hung = False
         await asyncio.sleep(self.site.size.report_s * 3)
-        return [f"  {len(alive[::3])} machines; {len(self.site.world.alive())} of {len(alive)} kept"]
+        return [f"  {len(alive[::3])} machines; {len(self.site.model.alive())} of {len(alive)} kept"]
 
     async def _zone_away(self) -> list[str]:
         """One zone reaches no controller for less than a lease."""
-        world = self.site.world
-        before = len(world.alive())
-        world.cut_zones.add("south")
+        model = self.site.model
+        before = len(model.alive())
+        model.cut_zones.add("south")
         await asyncio.sleep(self.site.size.lease_s * 0.5)
-        world.cut_zones.clear()
+        model.cut_zones.clear()
         await asyncio.sleep(self.site.size.report_s * 3)
-        away = sum(worker.zone == "south" for worker in world.alive())
-        return [f"  {away} machines away; {len(world.alive())} of {before} kept"]
+        away = sum(worker.zone == "south" for worker in model.alive())
+        return [f"  {away} machines away; {len(model.alive())} of {before} kept"]
 
     async def _leader_paused(self) -> list[str]:
         """The leader's process stands still for longer than its lease, as on a machine that is short of time."""
@@ -306,22 +306,22 @@
         return await self._take_over(token)
 
     def _highest_token(self) -> int:
-        return max((worker.token for worker in self.site.world.workers.values()), default=0)
+        return max((worker.fencing_token for worker in self.site.model.workers.values()), default=0)
 
     async def _take_over(self, token: int) -> list[str]:
         """Wait for a leader after this token, for every machine's report, and for a job handed in now to run."""
-        world, began = self.site.world, time.monotonic()
-        world.reports = Reports()
+        model, began = self.site.model, time.monotonic()
+        model.reports = Reports()
         led = await self._until_async(self.site.leading, 60.0)
         led_s = time.monotonic() - began
         spec = self._new(SHORT)
         asked = Requests()
         submitting = asyncio.ensure_future(self._submit(spec, SHORT, asked))
-        answered = await self._until(lambda: any(worker.token > token for worker in world.alive()), 60.0)
+        answered = await self._until(lambda: any(worker.fencing_token > token for worker in model.alive()), 60.0)
         answered_s = time.monotonic() - began
         placed = await self._until(lambda: self._started(spec.id), 60.0)
         placed_s = time.monotonic() - began
-        heard = await self._until(lambda: all(worker.token > token for worker in world.alive()), 60.0)
+        heard = await self._until(lambda: all(worker.fencing_token > token for worker in model.alive()), 60.0)
         await submitting
         said = [
             f"a leader after {led_s:.1f} s" if led else "NO LEADER",
@@ -332,7 +332,7 @@
         return ["  " + ", ".join(said), asked.line("its submission")]
 
     def _started(self, job_id: str) -> bool:
-        return any(key[0] == job_id for worker in self.site.world.alive() for key in worker.tasks)
+        return any(key[0] == job_id for worker in self.site.model.alive() for key in worker.tasks)
 
     async def _until(self, condition: Callable[[], bool], most_s: float) -> bool:
         end = time.monotonic() + most_s
--- a/tools/load/store.py
+++ b/tools/load/store.py
@@ -11,17 +11,17 @@
 from aiohttp import web
 
 from driftcleat.settings.platform import parse_platform
+from tests.protocol_doubles import ChangeLogStoreDouble, serve
+from tests.reference_model import InMemoryStore
 from tests.samples import raw_settings
-from tests.standins import WatchingStore, serve
-from tests.world import PlainStore
 
 from .sizes import SIZES, Size
 
 
-class SlowStore(WatchingStore):
+class SlowStore(ChangeLogStoreDouble):
     """A state service with the reply time and the changes a second of a site."""
 
-    def __init__(self, store: PlainStore, size: Size) -> None:
+    def __init__(self, store: InMemoryStore, size: Size) -> None:
         super().__init__(store)
         self.write_rps = size.write_rps
         self._reply_s = size.store_s
@@ -38,7 +38,7 @@
 
 async def run(port: int, size: Size) -> None:
     """Serve until the process is ended."""
-    store = SlowStore(PlainStore(parse_platform("load", raw_settings())), size)
+    store = SlowStore(InMemoryStore(parse_platform("load", raw_settings())), size)
     await serve(store.handle, port)
     await asyncio.Event().wait()
 
--- a/tools/mixed.py
+++ b/tools/mixed.py
@@ -18,8 +18,8 @@
 import click
 
 from driftcleat.store.keys import LEADER_KEY
+from tests.protocol_doubles import Site, wait_until
 from tests.samples import job, raw_job
-from tests.standins import Site, until
 
 ROOT = Path(__file__).resolve().parent.parent
 # What a controller that came back has until the next one ends.
@@ -67,11 +67,11 @@
             cwd=sources,
             env={"LOG_LEVEL": "error", "PATH": "/usr/bin:/bin"},
         )
-        self.site.world.fronts[label] = self.site.platforms[label].bind
+        self.site.model.controller_addresses[label] = self.site.platforms[label].bind
 
     def end(self, label: str) -> None:
         """End a controller without a word."""
-        self.site.world.fronts.pop(label, None)
+        self.site.model.controller_addresses.pop(label, None)
         process = self.running.pop(label)
         process.kill()
         process.wait()
@@ -90,10 +90,10 @@
 async def accepted(site: Site, number: int, **changes: Any) -> str:
     """Submit a job until it is accepted."""
     raw = raw_job(number, accelerators=0.0, cores=0.2, memGb=0.1, **changes)
-    site.world.specs[raw["nameId"]] = job(number, **raw)
+    site.model.specs[raw["nameId"]] = job(number, **raw)
 
     async def once() -> bool:
-        for label in list(site.world.fronts):
+        for label in list(site.model.controller_addresses):
             try:
                 if (await site.call(label, "POST", "/v1/jobs", raw))[0] in (200, 201):
                     return True
@@ -101,7 +101,7 @@
                 continue
         return False
 
-    await until(once, "accepted")
+    await wait_until(once, "accepted")
     return str(raw["nameId"])
 
 
@@ -109,7 +109,7 @@
     """Poll until a job has a final state."""
 
     async def once() -> bool:
-        for label in list(site.world.fronts):
+        for label in list(site.model.controller_addresses):
             try:
                 status, answer, _ = await site.call(label, "GET", f"/v1/jobs/{job_id}")
             except OSError:
@@ -118,7 +118,7 @@
                 return bool(answer["bearing"] == state)
         return False
 
-    await until(once, f"{job_id} {state}", 120.0)
+    await wait_until(once, f"{job_id} {state}", 120.0)
 
 
 def switched(site: Site) -> bool:
@@ -139,7 +139,7 @@
         async with site:
             noting = asyncio.ensure_future(processes.note_leaders())
             jobs = [await accepted(site, number, hands=90, voyageS=6.0) for number in range(1, 4)]
-            await until(site.world.on_machines, "work has begun")
+            await wait_until(site.model.tasks_on_machines, "work has begun")
             await asyncio.sleep(SETTLED_S)
             began_with_switch = switched(site)
             for turn, label in enumerate("abc"):
@@ -149,7 +149,7 @@
                 processes.start(label, newest)
                 await asyncio.sleep(SETTLED_S)
                 jobs.append(await accepted(site, 20 + turn, hands=2, rig="group", voyageS=3.0))
-            await until(lambda: switched(site), "the switch")
+            await wait_until(lambda: switched(site), "the switch")
             jobs.append(await accepted(site, 30, hands=2, voyageS=1.0, tows=jobs[:2]))
             for turn, label in enumerate("abc" if began_with_switch else ""):
                 processes.end(label)
--- a/tools/shares/run.py
+++ b/tools/shares/run.py
@@ -14,10 +14,10 @@
 from driftcleat.settings import Team
 from driftcleat.settings.platform import parse_platform
 from driftcleat.wire.job_spec_parsing import parse_submission
+from tests.protocol_doubles import wait_until
+from tests.reference_model import InMemoryStore
 from tests.samples import raw_settings
-from tests.standins import until
 from tests.test_meetings_walk import some_job
-from tests.world import PlainStore
 from tools.load.processes import LABELS, LoadSite, usage
 from tools.load.sizes import Size
 
@@ -42,12 +42,12 @@
 
     def __init__(self, seed: int, shares: int, checker: Checker) -> None:
         super().__init__(SIZE)
-        platform = self.world.platform
+        platform = self.model.platform
         self.history_world = HistoryWorld(platform, seed, checker.take)
-        self.world = self.history_world  # type: ignore[assignment]
+        self.model = self.history_world  # type: ignore[assignment]
         self.shares = shares
-        self.history_store = HistoryStore(PlainStore(platform), shares, checker.take)
-        self.world.store = self.history_store.store
+        self.history_store = HistoryStore(InMemoryStore(platform), shares, checker.take)
+        self.model.store = self.history_store.store
         ini = Path(tempfile.mkstemp(suffix=".ini")[1])
         ini.write_text(f"[sharing]\nshares = {shares}\nbalance = 0\n")
         self.paths.append(ini)
@@ -68,7 +68,7 @@
         platform = load_platform_of_run()
         self.checker = Checker(platform.teams, SIZE.lease_s * 2, SIZE.cancel_s)
         self.site = ShareSite(seed, shares, self.checker)
-        self.site.world.platform = platform
+        self.site.model.platform = platform
         self.site.history_store.store.platform = platform
         self.users = HttpClient(100, 40, 30.0)
         self.told: dict[str, str] = {}
@@ -90,15 +90,15 @@
         """A user is told a job's state; a final one is not overwritten by an answer that crossed it."""
         if self.told.get(job_id) not in ("done", "cancelled"):
             self.told[job_id] = state
-        tasks = self.site.world.specs[job_id].tasks
+        tasks = self.site.model.specs[job_id].tasks
         self.checker.take(Told(_now(), job_id, state, tasks, asked_at))
 
     async def _submit(self) -> None:
         self.number += 1
-        known = [job_id for job_id in self.told if self.site.world.specs[job_id].estimated_run_s > 0]
+        known = [job_id for job_id in self.told if self.site.model.specs[job_id].estimated_run_s > 0]
         raw = some_job(self.rng, self.number, known[-20:])
         raw |= {"voyageS": 0.0 if raw["rig"] == "daemon" else self.rng.choice([2.0, 5.0]), "imageGb": 0.0}
-        spec = self.site.world.specs.setdefault(f"req-{self.number:06d}", parse(raw))
+        spec = self.site.model.specs.setdefault(f"req-{self.number:06d}", parse(raw))
         for _ in range(60):
             asked_at = _now()
             status, answer = await self._ask("POST", "/v1/jobs", raw)
@@ -111,13 +111,13 @@
             await asyncio.sleep(0.5)
 
     async def _cancel(self, job_id: str) -> None:
-        self.site.world.wanted_off.add(job_id)
+        self.site.model.cancel_requested.add(job_id)
         for _ in range(120):
             asked_at = _now()
             status, answer = await self._ask("POST", f"/v1/jobs/{job_id}/cancel")
             if status == 200:
                 self._hear(job_id, answer["bearing"], asked_at)
-                self.site.world.cancelled_at.setdefault(job_id, self.site.world.now)
+                self.site.model.cancelled_at.setdefault(job_id, self.site.model.now)
                 return
             await asyncio.sleep(0.5)
 
@@ -173,7 +173,7 @@
 
     async def play(self, moves: int) -> bool:
         """Play so many moves; print the verdict and return whether nothing was broken."""
-        await until(self._all_led, "every share is led")
+        await wait_until(self._all_led, "every share is led")
         began, before = _now(), self.site.history_store.changes_in_all
         loading = asyncio.ensure_future(self._load())
         for _ in range(moves):
@@ -204,7 +204,7 @@
             if not open_jobs:
                 break
             for job_id in open_jobs:
-                if self.site.world.specs[job_id].estimated_run_s == 0:
+                if self.site.model.specs[job_id].estimated_run_s == 0:
                     await self._cancel(job_id)
                 elif await self._poll(job_id) == 404:
                     unknown.add(job_id)
@@ -216,7 +216,7 @@
     def _print(self, lasted: float, changes: int) -> None:
         store, checker = self.site.history_store, self.checker
         gaps = sorted(store.handovers_s)
-        print(f"{lasted:.0f} s, {self.shares} shares, {len(self.told)} jobs, {len(self.site.world.workers)} machines")
+        print(f"{lasted:.0f} s, {self.shares} shares, {len(self.told)} jobs, {len(self.site.model.workers)} machines")
         print("  " + ", ".join(f"{count} {name}" for name, count in sorted(self.asked.items())))
         print(f"  {len(checker.terms)} terms; {changes / lasted:.1f} changes of the store a second")
         if gaps:
--- a/tools/shares/world.py
+++ b/tools/shares/world.py
@@ -15,61 +15,61 @@
 from driftcleat.store.keys import BATCH_MARKER_KEY, LEADER_KEY
 from driftcleat.store.records import ScaleOutRecord
 from driftcleat.wire.workers import Command
-from tests.standins import LiveWorld, WatchingStore
-from tests.world import PlainStore, PlainWorker, RuleBrokenError, Running
+from tests.protocol_doubles import ChangeLogStoreDouble, HttpReferenceModel
+from tests.reference_model import InMemoryStore, InvariantViolationError, ReferenceWorker, WorkerTask
 
 from .history import Allotted, Answered, Event, Lapsed, Led, MachineAssigned, MachineEnded, Started, Stopped
 
 Note = Callable[[Event], None]
 
 
-class HistoryWorker(PlainWorker):
+class HistoryWorker(ReferenceWorker):
     """A worker that tells what it does."""
 
-    world: "HistoryWorld"
+    model: "HistoryWorld"
 
-    def answer(self, session: int, seq: int, token: int, commands: list[Command], sent_at: float) -> None:
+    def receive_response(self, session: int, seq: int, token: int, commands: list[Command], sent_at: float) -> None:
         """Take an answer."""
-        before = self.leased_at
-        super().answer(session, seq, token, commands, sent_at)
-        if self.leased_at != before and token == self.token:
-            self.world.note(Answered(self.world.now, self.name, token))
+        before = self.lease_renewed_at
+        super().receive_response(session, seq, token, commands, sent_at)
+        if self.lease_renewed_at != before and token == self.fencing_token:
+            self.model.note(Answered(self.model.now, self.name, token))
 
     def step(self) -> None:
         """Let time pass; tell what has ended by it."""
-        session, running = self.session, self.live()
+        session, running = self.worker_epoch, self.live()
         super().step()
-        if self.session != session:
-            self.world.note(Lapsed(self.world.now, self.name))
+        if self.worker_epoch != session:
+            self.model.note(Lapsed(self.model.now, self.name))
         self.tell_stops(running)
 
-    def carry_out(self, commands: list[Command]) -> None:
+    def execute_commands(self, commands: list[Command]) -> None:
         """Execute commands; tell what has ended by them."""
         running = self.live()
-        super().carry_out(commands)
+        super().execute_commands(commands)
         self.tell_stops(running)
 
-    def live(self) -> dict[tuple[str, int, int], Running]:
+    def live(self) -> dict[tuple[str, int, int], WorkerTask]:
         """Return the tasks that are on the machine."""
         return {key: task for key, task in self.tasks.items() if task.state != "exited"}
 
-    def tell_stops(self, before: dict[tuple[str, int, int], Running]) -> None:
+    def tell_stops(self, before: dict[tuple[str, int, int], WorkerTask]) -> None:
         """Tell which tasks are on the machine no more."""
         now = self.live()
         for key, task in before.items():
             if key not in now:
-                done = (task.job.id, task.index) in self.world.finished
-                self.world.note(Stopped(self.world.now, self.name, task.job.id, task.index, done))
+                done = (task.job.id, task.index) in self.model.finished
+                self.model.note(Stopped(self.model.now, self.name, task.job.id, task.index, done))
 
-    def leave_quietly(self, task: Running, why: str) -> None:
+    def exit_gang_task(self, task: WorkerTask, why: str) -> None:
         """A gang's task follows the others; it may have been told by them already."""
         was_live = task.state != "exited"
-        super().leave_quietly(task, why)
+        super().exit_gang_task(task, why)
         if was_live:
-            self.world.note(Stopped(self.world.now, self.name, task.job.id, task.index, why == "done"))
+            self.model.note(Stopped(self.model.now, self.name, task.job.id, task.index, why == "done"))
 
 
-class HistoryWorld(LiveWorld):
+class HistoryWorld(HttpReferenceModel):
     """Workers and cloud; every event is noted."""
 
     def __init__(self, platform: Any, seed: int, note: Note) -> None:
@@ -80,44 +80,44 @@
 
     def boot(self, record: ScaleOutRecord) -> str:
         """A machine comes up."""
-        self.rented += 1
-        name = f"vm-{self.rented:06d}"
+        self.machines_created += 1
+        name = f"vm-{self.machines_created:06d}"
         self.workers[name] = HistoryWorker(self, name, self.types[record.machine_type], record.zone, record.spot)
         return name
 
-    async def cloud(self, request: web.BaseRequest) -> web.Response:
+    async def handle_cloud(self, request: web.BaseRequest) -> web.Response:
         """Answer the cloud's interface; machines that are returned are gone."""
         alive = {worker.name for worker in self.alive()}
         running = {name: self.workers[name].live() for name in alive}  # type: ignore[attr-defined]
-        answer = await super().cloud(request)
+        answer = await super().handle_cloud(request)
         for name in alive:
             worker = self.workers[name]
-            if worker.gone:
+            if worker.terminated:
                 worker.tell_stops(running[name])  # type: ignore[attr-defined]
                 self.note(MachineEnded(self.now, name))
         return answer
 
-    def check_start(self, worker: PlainWorker, task: Running) -> None:
+    def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
         """A task starts."""
         self.note(Started(self.now, worker.name, task.job.id, task.index, task.job.team, task.job.gpus))
         try:
             super().check_start(worker, task)
-        except RuleBrokenError as error:
+        except InvariantViolationError as error:
             self.rule_breaks.append(str(error))
 
-    async def live(self) -> None:
+    async def run_clock(self) -> None:
         """Let the workers' time pass."""
         while True:
             self.now = asyncio.get_running_loop().time()
             for worker in list(self.workers.values()):
                 worker.step()
-            await asyncio.sleep(self.pause_s)
+            await asyncio.sleep(self.tick_s)
 
 
-class HistoryStore(WatchingStore):
+class HistoryStore(ChangeLogStoreDouble):
     """The state service; leaders, machines' shares and allotments go into the history as they are committed."""
 
-    def __init__(self, store: PlainStore, shares: int, note: Note) -> None:
+    def __init__(self, store: InMemoryStore, shares: int, note: Note) -> None:
         super().__init__(store)
         self._note, self._shares = note, shares
         self._leader_keys = {in_share(share, LEADER_KEY): share for share in range(shares)}
@@ -130,9 +130,9 @@
         self.changes_in_all = 0
         self.began = time.monotonic()
 
-    def note(self, change: dict[str, Any], revision: int) -> None:
+    def record_change(self, change: dict[str, Any], revision: int) -> None:
         """Remember a change, and tell what it means."""
-        super().note(change, revision)
+        super().record_change(change, revision)
         self.changes_in_all += 1
         key, now = change.get("put"), self.now()
         if key is None:
--- a/tools/walk.py
+++ b/tools/walk.py
@@ -12,25 +12,25 @@
 
 import click
 
-from tests.sharing_simulation import SharedSimulation
+from tests.sharing_simulation import ShardedSimulation
 from tests.simulation import Simulation
-from tests.test_meetings_walk import walk
-from tests.test_sharing_walk import shared_walk
+from tests.test_meetings_walk import run_fault_walk
+from tests.test_sharing_walk import run_sharded_fault_walk
 
 
 class DigestedSimulation(Simulation):
     """A simulation that says what its store holds in the end."""
 
-    def play(self, story: Callable[[Simulation], Awaitable[None]]) -> None:
+    def run_scenario(self, scenario: Callable[[Simulation], Awaitable[None]]) -> None:
         """Play a story and print the digest, whatever came of it."""
         try:
-            super().play(story)
+            super().run_scenario(scenario)
         finally:
             records = json.dumps(self.store.data, sort_keys=True).encode()
             click.echo(f"{self.store.revision} changes, {hashlib.sha256(records).hexdigest()[:16]}")
 
 
-class DigestedSharedSimulation(DigestedSimulation, SharedSimulation):
+class DigestedShardedSimulation(DigestedSimulation, ShardedSimulation):
     """The same where the controllers share the machines."""
 
 
@@ -45,9 +45,9 @@
     for seed in range(first, last + 1):
         try:
             if sharing:
-                shared_walk(seed, DigestedSharedSimulation if digest else SharedSimulation)
+                run_sharded_fault_walk(seed, DigestedShardedSimulation if digest else ShardedSimulation)
             else:
-                walk(seed, DigestedSimulation if digest else Simulation)
+                run_fault_walk(seed, DigestedSimulation if digest else Simulation)
         except AssertionError as error:
             broken += 1
             click.echo(f"seed {seed}: {error}")
