--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,7 +24,7 @@
 from .protocol_doubles import Site, free_port, wait_until
 from .reference_model import ReferenceModel
 from .samples import MACHINE_TYPES, job, platform, raw_job
-from .test_core import commit, make_term
+from .test_scheduler_units import commit, make_term
 from .test_service import accepted, cut_peers, live, reaches
 
 SITE = platform()
--- a/tests/test_sharing_walk.py
+++ b/tests/test_sharing_walk.py
@@ -10,7 +10,7 @@
 
 from .sharing_simulation import ShardedSimulation
 from .simulation import LABELS, Simulation
-from .test_meetings_walk import FAULTS, Fault, accepted, some_job
+from .test_controller_fault_walk import FAULTS, Fault, accepted, some_job
 
 
 def move(simulation: Simulation, rng: random.Random) -> None:
--- a/tests/test_added_rules.py
+++ b/tests/test_stale_heartbeats_and_placement.py
@@ -20,8 +20,8 @@
 from .reference_model import ReferenceModel, ReferenceWorker
 from .samples import BIG, MACHINE_TYPES, job, platform
 from .scheduler_fixtures import new_scheduler
-from .test_core import commit, make_term, placed, report
-from .test_troubles import busy_model, holder
+from .test_fault_injection import busy_model, holder
+from .test_scheduler_units import commit, make_term, placed, report
 
 SITE = platform()
 
--- a/tools/shares/run.py
+++ b/tools/shares/run.py
@@ -17,7 +17,7 @@
 from tests.protocol_doubles import wait_until
 from tests.reference_model import InMemoryStore
 from tests.samples import raw_settings
-from tests.test_meetings_walk import some_job
+from tests.test_controller_fault_walk import some_job
 from tools.load.processes import LABELS, LoadSite, usage
 from tools.load.sizes import Size
 
--- a/tools/walk.py
+++ b/tools/walk.py
@@ -1,4 +1,4 @@
-"""Plays more of the random walk of `tests/test_meetings_walk.py`: `python -m tools.walk FIRST LAST [--digest]`.
+"""Plays the random walk of `tests/test_controller_fault_walk.py`: `python -m tools.walk FIRST LAST [--digest]`.
 
 With `--sharing` it plays the walk of `tests/test_sharing_walk.py`, where shares move. With `--digest` each walk ends
 with the number of the store's changes and a digest of all records: two versions of the sources that decide alike
@@ -14,7 +14,7 @@
 
 from tests.sharing_simulation import ShardedSimulation
 from tests.simulation import Simulation
-from tests.test_meetings_walk import run_fault_walk
+from tests.test_controller_fault_walk import run_fault_walk
 from tests.test_sharing_walk import run_sharded_fault_walk
 
 
