--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of driftcleat; none needs the bench."""
+"""Tests of driftcleat; they need nothing outside of the repository."""
--- a/tests/protocol_doubles.py
+++ b/tests/protocol_doubles.py
@@ -1,4 +1,4 @@
-"""Stand-ins that speak HTTP: state service, cloud and workers, for real controllers on loopback."""
+"""Protocol doubles of state service, cloud and workers that serve HTTP on loopback for real controllers."""
 
 import asyncio
 import bisect
@@ -21,14 +21,14 @@
 
 
 def free_port() -> int:
-    """Return a port that is free just now."""
+    """Return a loopback port that is free at the time of the call."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
 
 
 async def wait_until(condition: Any, what: str, timeout_s: float = 60.0) -> Any:
-    """Wait for a condition (plain or async); the limit only guards against hanging for ever."""
+    """Poll a sync or async condition until it is true and return its value; fail after `timeout_s` seconds."""
     end = asyncio.get_running_loop().time() + timeout_s
     while True:
         value = condition()
@@ -36,12 +36,15 @@
             value = await value
         if value:
             return value
-        assert asyncio.get_running_loop().time() < end, f"never: {what}"
+        assert asyncio.get_running_loop().time() < end, f"timed out waiting: {what}"
         await asyncio.sleep(0.02)
 
 
 class StoreDouble:
-    """The state service: txns, leases, watches, outages for all or for one."""
+    """The state service: transactions, leases, watches, and outages for all controllers or for some.
+
+    A watch only reports that everything under its prefix was removed, which is all that the leader key needs.
+    """
 
     def __init__(self, store: InMemoryStore) -> None:
         self.store = store
@@ -50,9 +53,9 @@
         self.attached: dict[str, int] = {}
         self.down_for: set[str] = set()
         self.last_lease_id = 0
-        # Transactions in all, and those above the limits.
+        # Number of transactions received, and of those rejected because they exceed the size limits.
         self.txns = self.rejected_txns = 0
-        # The changes a second that are taken, if that is bounded, and what is left of a second's worth.
+        # Limit on changes per second, if there is one, and the token bucket that enforces it.
         self.write_rps: float | None = None
         self.write_tokens, self.tokens_refilled_at = 0.0, 0.0
 
@@ -60,7 +63,7 @@
         return asyncio.get_running_loop().time()
 
     def expire_leases(self) -> None:
-        """End leases that were not renewed; in an outage time stands still for them."""
+        """Revoke leases that were not kept alive; callers skip this during an outage for all controllers."""
         for lease in [lease for lease, end in self.leases.items() if end < self.now()]:
             self.revoke(lease)
 
@@ -72,7 +75,7 @@
                 self.store.revision += 1
 
     def heal(self) -> None:
-        """The outage is over: every lease has its full time again."""
+        """End the outage and give every lease its full time to live again."""
         self.down_for.clear()
         for lease in self.leases:
             self.leases[lease] = self.now() + self.ttl[lease]
@@ -88,13 +91,13 @@
         return web.json_response(value, status=status)
 
     def is_unavailable_to(self, sender: str) -> bool:
-        """Whether this controller is refused just now."""
+        """Return whether requests of this controller fail because of an outage."""
         return "all" in self.down_for or sender in self.down_for
 
     async def respond(
         self, sender: str, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, Any]:
-        """Answer one request; return status and JSON value."""
+        """Process one request; return the HTTP status and the JSON value of the response."""
         if self.is_unavailable_to(sender):
             return 503, {"error": "trouble"}
         if "all" not in self.down_for:
@@ -154,7 +157,7 @@
         return 200, {"key": key, "v": value, "entry": version, "berth": self.attached.get(key)}
 
     def txn(self, body: bytes) -> tuple[int, Any]:
-        """Carry out a transaction."""
+        """Apply a transaction unless it exceeds a limit, names an unknown lease or fails a compare."""
         raw = json.loads(body)
         self.txns += 1
         if not self.store.within_limits(raw):
@@ -181,7 +184,7 @@
 
 
 class ChangeLogStoreDouble(StoreDouble):
-    """A state service whose watches tell every change under a prefix, as the protocol says."""
+    """A state service whose watches report every change under a prefix, as the protocol specifies."""
 
     def __init__(self, store: InMemoryStore) -> None:
         super().__init__(store)
@@ -189,17 +192,17 @@
         self._revisions: list[int] = []
 
     def record_change(self, change: dict[str, Any], revision: int) -> None:
-        """Remember a change."""
+        """Append a change to the log that watches are answered from."""
         self.log.append(change | {"entry": revision})
         self._revisions.append(revision)
 
     def txn(self, body: bytes) -> tuple[int, Any]:
-        status, answer = super().txn(body)
+        status, response = super().txn(body)
         if status == 200:
             for change in json.loads(body)["then"]:
                 kept = {key: change[key] for key in ("put", "remove", "v") if key in change}
-                self.record_change(kept, answer["logline"])
-        return status, answer
+                self.record_change(kept, response["logline"])
+        return status, response
 
     def revoke(self, lease: int) -> None:
         keys = [key for key, other in self.attached.items() if other == lease and key in self.store.data]
@@ -208,7 +211,7 @@
             self.record_change({"remove": key}, self.store.revision)
 
     def changes(self, prefix: str, revision: int) -> list[dict[str, Any]]:
-        """Return what changed under a prefix after a revision."""
+        """Return the log entries under a prefix after a revision."""
         after = self.log[bisect.bisect_right(self._revisions, revision) :]
         return [entry for entry in after if str(entry.get("put", entry.get("remove"))).startswith(prefix)]
 
@@ -232,7 +235,7 @@
 
 
 class HttpReferenceModel(ReferenceModel):
-    """The plain world on the real clock, its workers talking HTTP to real controllers."""
+    """The reference model on the real clock; its workers and cloud exchange HTTP messages with real controllers."""
 
     def __init__(self, platform: Any) -> None:
         super().__init__(1, platform, dict(MACHINE_TYPES))
@@ -252,7 +255,7 @@
     async def _send_heartbeat(self, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float) -> None:
         assert self.session is not None
         if not self.controller_addresses:
-            # All controllers are down: as a connection that is refused.
+            # All controllers are down: handled like a refused connection.
             worker.awaiting_response_since, worker.next_heartbeat_at = None, self.now + 1.0
             return
         label = self.worker_controllers.get(worker.name)
@@ -270,11 +273,11 @@
             ) as response:
                 data = await response.read()
                 if response.status == 200:
-                    orders = wire.decode(data, HeartbeatResponse)
+                    reply = wire.decode(data, HeartbeatResponse)
                     worker.receive_response(
-                        heartbeat.worker_epoch, heartbeat.sequence, orders.fencing_token, orders.commands, sent_at
+                        heartbeat.worker_epoch, heartbeat.sequence, reply.fencing_token, reply.commands, sent_at
                     )
-                    if orders.commands:
+                    if reply.commands:
                         worker.next_heartbeat_at = min(worker.next_heartbeat_at, self.now + 0.1)
                     return
                 leader = json.loads(data).get("harbormaster") if response.status == 421 else None
@@ -320,7 +323,7 @@
         return web.json_response({"bollards": rows, "truncated": False})
 
     async def run_clock(self) -> None:
-        """Let the workers' time pass."""
+        """Run the workers and check cancellations every `tick_s` seconds, until cancelled."""
         while True:
             self.now = asyncio.get_running_loop().time()
             for worker in list(self.workers.values()):
@@ -331,7 +334,7 @@
 
 
 async def serve(handler: Any, port: int) -> web.ServerRunner:
-    """Listen on a port."""
+    """Serve a handler on a loopback port."""
     runner = web.ServerRunner(web.Server(handler, access_log=None))
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", port).start()
@@ -339,7 +342,7 @@
 
 
 class Site:
-    """Three controllers with everything around them."""
+    """Three real controllers on loopback, with protocol doubles of store, cloud and workers."""
 
     def __init__(self) -> None:
         self.ports = {
@@ -395,11 +398,11 @@
         await self.model.session.close()
 
     async def start_store(self) -> None:
-        """Start the state service."""
+        """Serve the state service on its port."""
         self.runners.append(await serve(self.store.handle, self.ports["state"]))
 
     def start(self, label: str) -> None:
-        """Start a controller."""
+        """Start a controller and let workers and users send requests to it."""
         from driftcleat.controller.controller import Controller
 
         controller = Controller(self.platforms[label], Tuning())
@@ -408,24 +411,24 @@
         self.model.controller_addresses[label] = self.platforms[label].bind
 
     def identify_to_store(self, label: str) -> None:
-        """Have a controller name itself to the store, which can then refuse it alone."""
+        """Add the controller's label to its requests to the store, so that an outage can be limited to it."""
         store = self.controllers[label].store
         for client in (store.client, store.lease_client):
             client.headers["X-Sender"] = label
 
     async def kill(self, label: str) -> None:
-        """End a controller without a word."""
+        """Cancel a controller's task, as a crash does, and wait until it has ended."""
         task = self.running.pop(label)
         self.model.controller_addresses.pop(label, None)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
     def leader(self) -> str | None:
-        """Return who leads for certain."""
+        """Return the label of the controller that may decide as the leader, or None."""
         return next((label for label in self.running if self.controllers[label].may_decide), None)
 
     async def call(self, label: str, method: str, path: str, body: Any = None) -> tuple[int, Any, Any]:
-        """Send a user's request to one controller; return status, JSON and headers."""
+        """Send a user's request to one controller; return status, decoded JSON and headers of the response."""
         assert self.model.session is not None
         data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
         async with self.model.session.request(
--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -1,7 +1,7 @@
-"""A small world against which the deciding core is run: workers, cloud, store, and a plain model of the rules.
+"""Reference model of workers, cloud and store against which the real scheduler runs without controllers or sockets.
 
-Everything is slow and simple on purpose. Messages may be lost, held back, repeated and delivered in any
-order; the model watches what tasks do on machines and raises `InvariantViolationError` at once.
+Messages may be lost, delayed, duplicated and reordered. The model checks the protocol's invariants when a task starts
+and when a user receives a status, and raises `InvariantViolationError` at once. It favours simplicity over speed.
 """
 
 import json
@@ -44,11 +44,11 @@
 
 
 class InvariantViolationError(AssertionError):
-    """One of the protocol's rules does not hold."""
+    """An invariant of the protocol does not hold."""
 
 
 def downgrade_transaction(body: bytes) -> bytes:
-    """Return a transaction as the production version would have sent it: heads without the trailing fields."""
+    """Return a transaction as the previous version sends it: job head records without the fields added since."""
     raw = json.loads(body)
     for change in raw["then"]:
         if change.get("put", "").startswith(JOBS_PREFIX):
@@ -57,21 +57,21 @@
 
 
 class InMemoryStore:
-    """The state service as a dictionary: versions, conditions, limits."""
+    """The state service's data as a dictionary, with mod revisions, compare-and-swap transactions and size limits."""
 
     def __init__(self, platform: Platform) -> None:
         self.platform = platform
         self.data: dict[str, tuple[Any, int]] = {}
         self.revision = 0
-        # Today's limits, until `lower`.
+        # The limits that hold until `lower_limits` is called.
         self.value_bytes, self.txn_ops = platform.first_value_bytes, platform.first_txn_ops
 
     def lower_limits(self) -> None:
-        """The limits fall to those that the settings have announced; what is stored stays readable."""
+        """Apply the lower limits that the settings announce; records that are stored already stay readable."""
         self.value_bytes, self.txn_ops = self.platform.value_bytes, self.platform.txn_ops
 
     def within_limits(self, raw: dict[str, Any]) -> bool:
-        """Whether a transaction keeps to the limits."""
+        """Return whether a transaction is within the limits on operations and value size."""
         return len(raw["then"]) <= self.txn_ops and all(
             len(json.dumps(change["v"], separators=(",", ":"))) <= self.value_bytes
             for change in raw["then"]
@@ -79,12 +79,12 @@
         )
 
     def txn(self, body: bytes) -> int | None:
-        """Carry out a transaction as it came over the wire; None if a condition fails."""
+        """Apply a transaction as encoded on the wire and return its revision, or None if a compare fails."""
         assert len(body) <= 64 * 1024
         raw = json.loads(body)
         assert self.within_limits(raw) and len(raw["if"]) <= 4 * self.txn_ops
-        for condition in raw["if"]:
-            if self.data.get(condition["key"], (None, 0))[1] != condition["entry"]:
+        for compare in raw["if"]:
+            if self.data.get(compare["key"], (None, 0))[1] != compare["entry"]:
                 return None
         self.revision += 1
         for change in raw["then"]:
@@ -95,13 +95,13 @@
         return self.revision
 
     def put_leader(self, label: str) -> int:
-        """Make somebody leader (its lease is not played here); return the token."""
+        """Write the leader key for a controller, without a lease, and return its fencing token."""
         self.revision += 1
         self.data[LEADER_KEY] = ([label, "x"], self.revision)
         return self.revision
 
     def items(self, prefix: str) -> list[state_messages.KeyValue]:
-        """Return the items under a prefix."""
+        """Return the records under a prefix, sorted by key."""
         return [
             state_messages.KeyValue(wire.encode(value), version, key)  # type: ignore[arg-type]
             for key, (value, version) in sorted(self.data.items())
@@ -111,7 +111,7 @@
 
 @dataclass
 class WorkerTask:
-    """A task on a worker."""
+    """A task on a worker, until the worker is told to forget it."""
 
     job: JobSpec
     index: int
@@ -123,14 +123,15 @@
 
 
 class ReferenceWorker:
-    """A worker as the protocol describes it."""
+    """A worker that follows the protocol between workers and controllers."""
 
     def __init__(self, model: "ReferenceModel", name: str, machine_type: MachineType, zone: str, spot: bool) -> None:
         self.model, self.name, self.machine_type, self.zone, self.spot = model, name, machine_type, zone, spot
         self.worker_epoch, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int, int], WorkerTask] = {}
         self.lease_renewed_at = model.now
-        # `cut`: nothing passes; `deaf`: its reports arrive, answers and commands do not reach it.
+        # `partitioned`: no message passes either way.
+        # `inbound_cut`: its heartbeats arrive, but responses and commands do not reach it.
         self.terminated = self.hung = self.partitioned = self.fails_tasks = self.inbound_cut = False
         self.next_heartbeat_at = model.now
         self.awaiting_response_since: float | None = None
@@ -138,11 +139,11 @@
         self.last_sent_state: Any = None
 
     def observable_state(self) -> Any:
-        """Return what a worker reports at once when it changes."""
+        """Return the state whose change makes the worker send a heartbeat before the next one is due."""
         return (self.worker_epoch, self.fencing_token, [(key, task.state) for key, task in self.tasks.items()])
 
     def next_heartbeat(self) -> Heartbeat:
-        """Return the newest report."""
+        """Return a heartbeat with the current state and the next sequence number."""
         self.sequence += 1
         return Heartbeat(
             self.name,
@@ -165,31 +166,33 @@
             ),
         )
 
-    def receive_response(self, session: int, seq: int, token: int, commands: list[Command], sent_at: float) -> None:
-        """Take the answer to a report, unless it comes too late or from a leader of before."""
+    def receive_response(
+        self, worker_epoch: int, sequence: int, fencing_token: int, commands: list[Command], sent_at: float
+    ) -> None:
+        """Process a heartbeat response unless it is late or carries the fencing token of an earlier leader."""
         if (
             self.terminated
-            or session != self.worker_epoch
+            or worker_epoch != self.worker_epoch
             or self.awaiting_response_since != sent_at
             or self.model.now > sent_at + 4
         ):
             return
         self.awaiting_response_since = None
-        if token < self.fencing_token:
+        if fencing_token < self.fencing_token:
             return
-        self.fencing_token = token
+        self.fencing_token = fencing_token
         self.lease_renewed_at = sent_at
         self.execute_commands(commands)
 
-    def receive_commands(self, token: int, session: int, commands: list[Command]) -> None:
-        """Take commands sent straight here, however late."""
-        if self.terminated or token < self.fencing_token or session != self.worker_epoch:
+    def receive_commands(self, fencing_token: int, worker_epoch: int, commands: list[Command]) -> None:
+        """Execute commands that a controller sent directly, if fencing token and worker epoch are current."""
+        if self.terminated or fencing_token < self.fencing_token or worker_epoch != self.worker_epoch:
             return
-        self.fencing_token = token
+        self.fencing_token = fencing_token
         self.execute_commands(commands)
 
     def execute_commands(self, commands: list[Command]) -> None:
-        """Execute commands in order."""
+        """Execute commands in the given order."""
         for command in commands:
             split = parse_task_name(command.task)
             assert split is not None
@@ -210,13 +213,13 @@
                 del self.tasks[key]
 
     def restart(self) -> None:
-        """The machine is back within a fraction of a second, all it did is lost."""
+        """Restart the machine at once: its tasks are lost and a new worker epoch begins."""
         self.tasks.clear()
         self.worker_epoch += 1
         self.lease_renewed_at, self.awaiting_response_since = self.model.now, None
 
     def start(self, key: tuple[str, int, int]) -> None:
-        """Start a task, or refuse it."""
+        """Start a task; it exits at once if the same task still runs here or the machine has no room for it."""
         job = self.model.specs[key[0]]
         task = WorkerTask(job, key[1], key[2], "running")
         self.tasks[key] = task
@@ -232,24 +235,24 @@
             self.model.check_start(self, task)
             task.ends_at = self.model.now + job.estimated_run_s * self.model.rng.uniform(0.3, 1.5)
 
-    def exit_task(self, task: WorkerTask, why: str) -> None:
-        """A task exits; what is left of its gang notices."""
-        task.state, task.exit_reason = "exited", why
-        if why == "done":
+    def exit_task(self, task: WorkerTask, reason: str) -> None:
+        """End a task; the other tasks of its gang attempt end with it."""
+        task.state, task.exit_reason = "exited", reason
+        if reason == "done":
             self.model.finished.add((task.job.id, task.index))
         if task.job.kind is JobKind.GANG:
             for other in self.model.tasks_on_machines():
                 if other[1].job.id == task.job.id and other[1].attempt == task.attempt:
-                    other[0].exit_gang_task(other[1], "done" if why == "done" else "mates_gone")
+                    other[0].exit_gang_task(other[1], "done" if reason == "done" else "mates_gone")
 
-    def exit_gang_task(self, task: WorkerTask, why: str) -> None:
-        """A gang's task follows the others."""
-        task.state, task.exit_reason = "exited", why
-        if why == "done":
+    def exit_gang_task(self, task: WorkerTask, reason: str) -> None:
+        """End a gang's task because another task of the gang ended."""
+        task.state, task.exit_reason = "exited", reason
+        if reason == "done":
             self.model.finished.add((task.job.id, task.index))
 
     def step(self) -> None:
-        """Let time pass: leases run out, tasks end, reports go out."""
+        """Process what is due at the model's time: lease expiry, exits of tasks, heartbeats."""
         now = self.model.now
         if self.terminated or self.hung:
             return
@@ -274,17 +277,17 @@
 
 
 def check_in_sync(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> None:
-    """An equal report that need not be looked at: a look at every task finds nothing either."""
-    offered = dict(machine.starts_sent)
+    """Check that a machine marked as in sync needs no commands if its heartbeat is processed in full."""
+    starts_sent = dict(machine.starts_sent)
     machine.in_sync = False
     assert not cluster.has_uncommitted_exits(machine) and not needs_reconciliation(cluster, machine)
-    assert commands_for_heartbeat(cluster, machine, heartbeat) == [] and machine.starts_sent == offered
+    assert commands_for_heartbeat(cluster, machine, heartbeat) == [] and machine.starts_sent == starts_sent
     machine.in_sync = True
 
 
 @dataclass
 class Leader:
-    """A controller that believes to lead."""
+    """A controller that acts as the leader, possibly after another has taken over."""
 
     scheduler: Scheduler
     marker_revision: int
@@ -292,13 +295,13 @@
     crashed: bool = False
     in_flight: tuple[Any, EncodedBatch] | None = None
     stepped_down: bool = False
-    # A leader of the production version, which drops what it does not know from the records that it rewrites.
+    # A leader of the previous version drops fields that it does not know from the records that it rewrites.
     previous_version: bool = False
 
 
 @dataclass(order=True)
 class Message:
-    """Something on its way."""
+    """A message in transit, delivered at time `at`."""
 
     at: float
     order: int
@@ -306,7 +309,7 @@
 
 
 class ReferenceModel:
-    """All of it, with a clock of its own."""
+    """Workers, cloud, store, users and leaders, driven by a virtual clock and checked against the invariants."""
 
     def __init__(self, seed: int, platform: Platform, types: dict[str, MachineType]) -> None:
         self.rng = random.Random(seed)
@@ -325,18 +328,18 @@
         self.machines_created = 0
         self.scale_out_results: dict[str, tuple[str, ...]] = {}
         self.fault_rate = 0.0
-        # How many of the reports are delivered again, late, to whoever leads by then.
+        # Fraction of the heartbeats that are delivered a second time, late, to the leader at that time.
         self.duplicate_rate = 0.0
-        # A leader that all workers stay with for as long as it answers.
+        # While this leader responds, all workers send their heartbeats to it.
         self.sticky_leader: Leader | None = None
         self.cloud_up = True
         self.store_up = True
         self.task_starts = 0
 
-    # -- messages -----------------------------------------------------------------------------------------
+    # Messages
 
     def send_message(self, deliver: Any, lossy: bool = True) -> None:
-        """Send something: it may be lost, repeated or held back for long."""
+        """Put a message in transit; depending on the fault rate it is lost, duplicated or delayed."""
         roll = self.rng.random()
         copies = 1
         if lossy and roll < self.fault_rate * 0.15:
@@ -351,7 +354,7 @@
             self.in_transit.append(Message(self.now + delay, self.message_count, deliver))
 
     def send_heartbeat(self, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float) -> None:
-        """A report goes to one of the leaders."""
+        """Send a heartbeat to one of the controllers that act as the leader."""
         leaders = [leader for leader in self.leaders if not leader.crashed and not leader.stepped_down]
         if not leaders or worker.partitioned:
             return
@@ -363,13 +366,13 @@
             late = self.now + self.rng.choice([2.0, 6.0, 20.0, 60.0])
             self.in_transit.append(Message(late, self.message_count, lambda: self.receive_duplicate(heartbeat)))
 
-        def arrive() -> None:
+        def deliver() -> None:
             self.receive_heartbeat(leader, worker, heartbeat, sent_at)
 
-        self.send_message(arrive)
+        self.send_message(deliver)
 
     def receive_duplicate(self, heartbeat: Heartbeat) -> None:
-        """A late copy of a report; nobody waits for its answer any more."""
+        """Process a late duplicate of a heartbeat at the current leader; its response is dropped."""
         leader = self.leader
         if leader.crashed or leader.stepped_down or heartbeat.fencing_token > leader.scheduler.cluster.fencing_token:
             return
@@ -380,7 +383,7 @@
     def receive_heartbeat(
         self, leader: Leader, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float
     ) -> None:
-        """What a controller does with a report."""
+        """Process a heartbeat as a controller does: step down on a newer fencing token, else send commands."""
         if leader.crashed or leader.stepped_down:
             return
         cluster = leader.scheduler.cluster
@@ -393,27 +396,32 @@
         commands = [] if machine is None else commands_for_heartbeat(cluster, machine, heartbeat)
         token = cluster.fencing_token
 
-        def arrive() -> None:
+        def deliver() -> None:
             if not worker.partitioned and not worker.inbound_cut:
                 worker.receive_response(heartbeat.worker_epoch, heartbeat.sequence, token, commands, sent_at)
 
-        self.send_message(arrive)
+        self.send_message(deliver)
 
-    # -- leaders ------------------------------------------------------------------------------------------
+    # Leaders
 
     def elect(self, label: str = "a", previous_version: bool = False) -> Leader:
-        """Somebody wins the key and reads all records."""
+        """Make a controller the leader: write the leader key and load all records into a new scheduler."""
         token = self.store.put_leader(label)
         site = self.platform
         layout = RecordLayout(site.value_bytes, site.txn_ops, site.first_value_bytes, site.first_txn_ops, site.zones)
         layout.version_2_active = DATA_VERSION_KEY in self.store.data
-        assert not (previous_version and layout.version_2_active), "there is no way back"
+        assert not (previous_version and layout.version_2_active), "the previous version cannot read data version 2"
         jobs, orphans = decode_job_records(self.store.items(JOBS_PREFIX), self.store.items(CHUNKS_PREFIX))
-        over = {need for job in jobs.values() for need in job.spec.dependencies or () if need not in jobs}
+        unknown = {
+            dependency
+            for job in jobs.values()
+            for dependency in job.spec.dependencies or ()
+            if dependency not in jobs
+        }
         ended = {
-            need: str(self.store.data[ENDED_JOBS_PREFIX + need][0][0])
-            for need in over
-            if ENDED_JOBS_PREFIX + need in self.store.data
+            dependency: str(self.store.data[ENDED_JOBS_PREFIX + dependency][0][0])
+            for dependency in unknown
+            if ENDED_JOBS_PREFIX + dependency in self.store.data
         }
         cluster = ClusterState(token, jobs, dict(self.types), self.now, self.platform.lease_s, ended)
         scheduler = Scheduler(
@@ -429,18 +437,18 @@
         for key_value in self.store.items(SCALE_OUTS_PREFIX):
             name = key_value.key[len(SCALE_OUTS_PREFIX) :]
             scheduler.scale_out.restore(ScaleOutRequest(name, wire.decode(bytes(key_value.value), ScaleOutRecord)))
-        mark = self.store.data.get(BATCH_MARKER_KEY, (None, 0))
-        leader = Leader(scheduler, mark[1], previous_version=previous_version)
+        marker = self.store.data.get(BATCH_MARKER_KEY, (None, 0))
+        leader = Leader(scheduler, marker[1], previous_version=previous_version)
         self.leaders.append(leader)
         return leader
 
     @property
     def leader(self) -> Leader:
-        """The newest leader."""
+        """The controller that was elected last."""
         return self.leaders[-1]
 
     def step_writer(self, leader: Leader) -> None:
-        """One step of a leader's writing: send a batch, or find out about the one that is under way."""
+        """Advance a leader's writer by one step: send the next batch, or retry the batch in flight."""
         if leader.crashed or leader.stepped_down or not self.store_up or leader is self.sticky_leader:
             return
         if leader.in_flight is None:
@@ -464,7 +472,7 @@
             leader.in_flight = (batch, encoded)
         batch, encoded = leader.in_flight
         if self.rng.random() < self.fault_rate * 0.1:
-            # Lost on the way there; a copy may still turn up much later.
+            # The request is lost; a delayed copy of it may still reach the store.
             self.send_message(lambda: self.store.txn(encoded.body))
             return
         revision = self.store.txn(encoded.body)
@@ -483,7 +491,7 @@
             self.send_stops(leader, leader.scheduler.urgent_stops.pop())
 
     def send_stops(self, leader: Leader, name: str) -> None:
-        """Stops go straight to the worker too, and may land late."""
+        """Send stop commands directly to the worker, in addition to heartbeat responses; they may arrive late."""
         machine = leader.scheduler.cluster.machines.get(name)
         worker = self.workers.get(name)
         if machine is None or worker is None or machine.last_heartbeat is None:
@@ -503,7 +511,7 @@
         )
 
     def manage_capacity(self, leader: Leader) -> None:
-        """Rent and return as the leader's fleet keeper does."""
+        """Create and delete machines as the leader's capacity loop does."""
         scheduler = leader.scheduler
         if leader.crashed or leader.stepped_down or not self.cloud_up:
             return
@@ -522,7 +530,7 @@
             if machine.state.value != "gone":
                 scheduler.cluster.record_terminated(machine, self.now)
         if self.sticky_leader is not None and self.now >= scheduler.pacing.placement_starts_at:
-            # Workers that an earlier leader holds are shown the new token.
+            # Workers that still send heartbeats to an earlier leader receive the new fencing token directly.
             for worker in self.alive():
                 known = scheduler.cluster.machines.get(worker.name)
                 if (
@@ -539,74 +547,80 @@
             scheduler.scale_out.record_answer(request, machines, self.now)
 
     def boot(self, record: ScaleOutRecord) -> str:
-        """A machine comes up."""
+        """Add a running machine and return its name."""
         self.machines_created += 1
         name = f"vm-{self.machines_created:06d}"
         self.workers[name] = ReferenceWorker(self, name, self.types[record.machine_type], record.zone, record.spot)
         return name
 
-    # -- users --------------------------------------------------------------------------------------------
+    # Users
 
     def submit(self, spec: JobSpec) -> None:
-        """A user submits a job (again)."""
+        """Submit a job, or submit it again."""
         known = ENDED_JOBS_PREFIX + spec.id in self.store.data
         if known or self.leader.stepped_down or self.leader.crashed:
             return
         self.specs[spec.id] = spec
         leader = self.leader
 
-        def answered(status: JobStatus | None) -> None:
+        def respond(status: JobStatus | None) -> None:
             if status is not None:
                 self.record_response(status)
 
-        # What the users' interface finds out: the final states of needed jobs that are over.
+        # The final states of dependencies that have ended, which a controller's user API looks up in the store.
         ended = {
-            need: str(self.store.data[ENDED_JOBS_PREFIX + need][0][0])
-            for need in spec.dependencies or ()
-            if ENDED_JOBS_PREFIX + need in self.store.data
+            dependency: str(self.store.data[ENDED_JOBS_PREFIX + dependency][0][0])
+            for dependency in spec.dependencies or ()
+            if ENDED_JOBS_PREFIX + dependency in self.store.data
         }
-        leader.scheduler.admission.submit(PendingRequest(answered, spec, spec.id, ended))
+        leader.scheduler.admission.submit(PendingRequest(respond, spec, spec.id, ended))
 
     def cancel(self, job_id: str) -> None:
-        """A user cancels a job."""
+        """Cancel a job if the leader knows it."""
         if self.leader.scheduler.admission.lookup(job_id) is None:
             return
 
-        def answered(status: JobStatus | None) -> None:
+        def respond(status: JobStatus | None) -> None:
             if status is not None:
                 self.record_response(status)
                 if status.state == "cancelled":
                     self.cancelled_at.setdefault(job_id, self.now)
 
         self.cancel_requested.add(job_id)
-        self.leader.scheduler.admission.cancel(PendingRequest(answered, None, job_id))
+        self.leader.scheduler.admission.cancel(PendingRequest(respond, None, job_id))
 
     def record_response(self, status: JobStatus) -> None:
-        """A user is told a job's state."""
+        """Record a status sent to a user and check that it agrees with what tasks did and users received before."""
         before = self.statuses.get(status.id)
         if before in ("done", "cancelled") and status.state != before:
-            raise InvariantViolationError(f"went_back: {status.id} {before} -> {status.state}")
+            raise InvariantViolationError(f"went_back: {status.id} changed from {before} to {status.state}")
         if status.state == "done":
             missing = [
                 index for index in range(self.specs[status.id].tasks) if (status.id, index) not in self.finished
             ]
             if missing:
-                raise InvariantViolationError(f"not_done: {status.id} lacks {missing}")
+                raise InvariantViolationError(
+                    f"not_done: {status.id} is reported as done, but tasks {missing} are not"
+                )
         at = self.first_cancelled_at(status.id)
         if status.state in ("pending", "running") and at is not None and self.now > at + self.platform.cancel_s:
-            raise InvariantViolationError(f"orphaned: {status.id} is called {status.state}")
+            raise InvariantViolationError(
+                f"orphaned: {status.id} is reported as {status.state} although a dependency is cancelled"
+            )
         if status.state == "cancelled" and at is None and status.id not in self.cancel_requested:
-            raise InvariantViolationError(f"went_back: {status.id} was cancelled by nobody")
+            raise InvariantViolationError(
+                f"went_back: {status.id} is reported as cancelled, but no user cancelled it"
+            )
         self.statuses[status.id] = status.state
 
-    # -- the rules ----------------------------------------------------------------------------------------
+    # Invariants
 
     def alive(self) -> list[ReferenceWorker]:
-        """Machines that are not gone."""
+        """Return the workers whose machines are not terminated."""
         return [worker for worker in self.workers.values() if not worker.terminated]
 
     def listed_machines(self, address: Callable[[str], str]) -> list[dict[str, Any]]:
-        """Return the cloud's list of machines that are not gone, each at the address made of its name."""
+        """Return the cloud's list of machines that are not terminated; `address` maps a name to an address."""
         return [
             {
                 "nameId": worker.name,
@@ -621,14 +635,14 @@
         ]
 
     def tasks_on_machines(self) -> list[tuple[ReferenceWorker, WorkerTask]]:
-        """Every task that is on a machine."""
+        """Return every task that has not exited, with its worker."""
         return [(worker, task) for worker in self.alive() for task in worker.tasks.values() if task.state != "exited"]
 
     def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
-        """A task starts: compare with everything else that is on machines."""
+        """Check a starting task against all tasks on machines: uniqueness, placement, quota and dependencies."""
         self.task_starts += 1
         job = task.job
-        others = [(where, other) for where, other in self.tasks_on_machines() if other is not task]
+        others = [(holder, other) for holder, other in self.tasks_on_machines() if other is not task]
         if any(other.job.id == job.id and other.index == task.index for _, other in others):
             raise InvariantViolationError(f"ran_twice: {job.id}/{task.index} on {worker.name}")
         if (
@@ -637,47 +651,49 @@
             or (worker.spot and not job.spot)
         ):
             raise InvariantViolationError(f"wrong_place: {job.id} on {worker.name}")
-        mates = [where.zone for where, other in others if other.job.id == job.id]
-        if job.single_zone and any(zone != worker.zone for zone in mates):
-            raise InvariantViolationError(f"wrong_place: {job.id} in two zones")
-        if job.spread and mates.count(worker.zone) + 1 > -(-job.tasks // 2):
-            raise InvariantViolationError(f"wrong_place: {job.id} not spread")
+        zones = [holder.zone for holder, other in others if other.job.id == job.id]
+        if job.single_zone and any(zone != worker.zone for zone in zones):
+            raise InvariantViolationError(f"wrong_place: {job.id} runs in two zones")
+        if job.spread and zones.count(worker.zone) + 1 > -(-job.tasks // 2):
+            raise InvariantViolationError(f"wrong_place: {job.id} is not spread over zones")
         team = self.platform.teams[job.team]
         gpus = job.gpus + sum(other.job.gpus for _, other in others if other.job.team == job.team)
         if team.gpus_max > 0 and gpus > team.gpus_max + 1e-6:
-            raise InvariantViolationError(f"quota: {job.team} uses {gpus}")
-        for need in job.dependencies or ():
-            if any((need, index) not in self.finished for index in range(self.specs[need].tasks)):
-                raise InvariantViolationError(f"too_early: {job.id} starts before {need} is done")
+            raise InvariantViolationError(f"quota: {job.team} uses {gpus} GPUs")
+        for dependency in job.dependencies or ():
+            if any((dependency, index) not in self.finished for index in range(self.specs[dependency].tasks)):
+                raise InvariantViolationError(f"too_early: {job.id} starts before {dependency} is done")
         self.check_cancelled(job.id)
 
     def with_dependencies(self, job_id: str) -> set[str]:
-        """Return a job and all that it needs, directly or through others."""
-        seen, asked = set(), [job_id]
-        while asked:
-            current = asked.pop()
+        """Return a job and its direct and transitive dependencies."""
+        seen, unvisited = set(), [job_id]
+        while unvisited:
+            current = unvisited.pop()
             if current not in seen:
                 seen.add(current)
-                asked.extend(self.specs[current].dependencies or ())
+                unvisited.extend(self.specs[current].dependencies or ())
         return seen
 
     def first_cancelled_at(self, job_id: str) -> float | None:
-        """Return when a user was first told that this job, or any that it needs, is cancelled."""
+        """Return when a user was first told that this job or one of its dependencies is cancelled."""
         return min(
             (self.cancelled_at[other] for other in self.with_dependencies(job_id) if other in self.cancelled_at),
             default=None,
         )
 
     def check_cancelled(self, job_id: str) -> None:
-        """A task of this job is on a machine now."""
+        """Check that a job with a task on a machine was not cancelled more than `cancel_s` seconds ago."""
         at = self.cancelled_at.get(job_id)
         if at is not None and self.now > at + self.platform.cancel_s:
-            raise InvariantViolationError(f"ran_cancelled: {job_id}, {self.now - at:.1f} s after")
+            raise InvariantViolationError(
+                f"ran_cancelled: {job_id} runs {self.now - at:.1f} s after its cancellation"
+            )
 
-    # -- time ---------------------------------------------------------------------------------------------
+    # Time
 
     def step(self, seconds: float = 0.25) -> None:
-        """Let a moment pass."""
+        """Advance the clock by `seconds` and process everything that is due."""
         self.now += seconds
         due = sorted(message for message in self.in_transit if message.at <= self.now)
         self.in_transit = [message for message in self.in_transit if message.at > self.now]
@@ -696,13 +712,13 @@
             self.check_cancelled(task.job.id)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock in steps until `seconds` have passed."""
         end = self.now + seconds
         while self.now < end:
             self.step()
 
     def poll_all(self) -> None:
-        """Users ask for the state of every accepted job; none may be forgotten."""
+        """Request the status of every accepted job; raise if one is unknown."""
         for job_id in list(self.statuses):
             status = self.leader.scheduler.admission.lookup(job_id)
             if status is None:
@@ -713,7 +729,7 @@
             self.record_response(status)
 
     def settle(self, seconds: float = 400.0) -> None:
-        """All trouble ends; then every job that is no service must be done, and cancelled ones gone."""
+        """End all faults, cancel services and run until every job has ended or `seconds` have passed."""
         self.fault_rate, self.cloud_up, self.store_up = 0.0, True, True
         for worker in self.workers.values():
             worker.hung = worker.partitioned = worker.fails_tasks = worker.inbound_cut = False
@@ -721,7 +737,7 @@
         if self.leader.stepped_down or self.leader.crashed:
             self.elect()
         self.run(5.0)
-        # Services hold quota for as long as they run.
+        # Services run until they are cancelled, and use quota until then.
         for job_id, state in self.states().items():
             if self.specs[job_id].kind is JobKind.SERVICE and state not in ("done", "cancelled"):
                 self.cancel(job_id)
@@ -733,11 +749,11 @@
         self.poll_all()
 
     def all_ended(self) -> bool:
-        """Whether nothing is left to be done."""
+        """Return whether every accepted job is done or cancelled."""
         return all(state in ("done", "cancelled") for state in self.states().values())
 
     def states(self) -> dict[str, str]:
-        """Every accepted job's state."""
+        """Return the state of every accepted job, by its id."""
         out = {}
         for job_id in self.statuses:
             job = self.leader.scheduler.cluster.jobs.get(job_id)
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -1,4 +1,4 @@
-"""Jobs, machine types and settings that the tests share."""
+"""Sample jobs, machine types and settings for tests."""
 
 import asyncio
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 def raw_job(number: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a submission as users send it."""
+    """Return the JSON of a submission as a user sends it, with `changes` applied."""
     raw: dict[str, Any] = {
         "nameId": f"req-{number:06d}",
         "cargo": "train",
@@ -41,7 +41,7 @@
 
 
 def job(number: int = 1, **changes: Any) -> JobSpec:
-    """Return a checked submission."""
+    """Return a parsed submission, with `changes` applied to its JSON."""
     return parse_submission(raw_job(number, **changes))
 
 
@@ -51,7 +51,7 @@
 
 
 def raw_settings() -> dict[str, Any]:
-    """Return settings as a platform hands them over."""
+    """Return the raw platform settings of controller `a`."""
     return {
         "label": "a",
         "domain": "north",
@@ -77,12 +77,12 @@
 
 
 def platform(**limits: Any) -> Platform:
-    """Return checked settings; `limits` change the state service's."""
+    """Return parsed platform settings; `limits` replace those of the state service."""
     raw = raw_settings()
     raw["deployment"]["state"].update(limits)
     return parse_platform("test.toml", raw)
 
 
 def decode_job_records(heads: list[state.KeyValue], chunks: list[state.KeyValue]) -> tuple[dict[str, Job], list[str]]:
-    """Return jobs as a new leader reads them, and the keys of chunks that no job has."""
+    """Return the jobs that a new leader decodes from head and chunk records, and the keys of orphaned chunks."""
     return asyncio.run(decode_jobs(heads, chunks))
--- a/tests/scheduler_fixtures.py
+++ b/tests/scheduler_fixtures.py
@@ -1,4 +1,4 @@
-"""Terms that tests build by hand, without a world around them."""
+"""Schedulers built directly from a cluster state, without the reference model."""
 
 import random
 from collections.abc import Callable
@@ -13,14 +13,14 @@
 
 from .samples import MACHINE_TYPES, platform
 
-# The leader of every term that `fleet` makes.
+# Fencing token of the leader in `scheduler_with_machines`.
 FENCING_TOKEN = 5
 
 
 def new_scheduler(
     site: Platform, cluster: ClusterState, now: list[float], clock: Callable[[], float] | None = None
 ) -> Scheduler:
-    """Return a term on a store that is brand new; `clock` stands for the time in `now`."""
+    """Return a scheduler on an empty store; without `clock` it reads the time from `now[0]`."""
     return Scheduler(
         site,
         Tuning(),
@@ -34,7 +34,7 @@
 
 
 def scheduler_with_machines(machines: int) -> tuple[Scheduler, list[float]]:
-    """Return a term with that many empty machines, and its clock."""
+    """Return a scheduler with `machines` idle machines, and the list whose only item is its current time."""
     now = [0.0]
     site = platform()
     cluster = ClusterState(FENCING_TOKEN, {}, dict(MACHINE_TYPES), 0.0, site.lease_s)
@@ -46,7 +46,7 @@
 
 
 def commit_next(scheduler: Scheduler) -> bool:
-    """Commit the next batch; False if there is nothing to commit."""
+    """Build and commit the next batch; return False if it is empty."""
     batch = scheduler.build_batch()
     if batch.is_empty:
         return False
@@ -58,13 +58,13 @@
 
 
 def commit_all(scheduler: Scheduler) -> None:
-    """Commit until nothing is left to do."""
+    """Commit batches until one is empty."""
     while commit_next(scheduler):
         pass
 
 
 def commit_submissions(scheduler: Scheduler, *specs: JobSpec) -> None:
-    """Commit submissions; what they ask for may be placed from now on, and is not yet."""
+    """Submit jobs and commit them without placing a task; placement is enabled when this returns."""
     scheduler.pacing.placement_starts_at = float("inf")
     for spec in specs:
         scheduler.admission.submit(PendingRequest(lambda status: None, spec))
--- a/tests/sharing_simulation.py
+++ b/tests/sharing_simulation.py
@@ -1,4 +1,4 @@
-"""The simulated site with sharing switched on: three hosts, and the invariants of sharing checked as time goes."""
+"""Simulation of a site whose controllers divide the machines into shards, with the invariants of sharding checked."""
 
 import asyncio
 import json
@@ -30,7 +30,7 @@
 
 
 class SimulatedShardHost(SharingHost):
-    """The real host without sockets."""
+    """A real shard host whose clients and listeners use no sockets."""
 
     def __init__(self, simulation: "ShardedSimulation", platform: Platform, rng: random.Random) -> None:
         loop = asyncio.get_running_loop()
@@ -42,8 +42,8 @@
         self.store, self.cloud, self.workers = clients.store, clients.cloud, clients.workers
         return []
 
-    def make_peers(self, share: int) -> Any:
-        return self.make_sharing_client("/peer" if share == 0 else f"/peer/{share}")
+    def make_peers(self, shard: int) -> Any:
+        return self.make_sharing_client("/peer" if shard == 0 else f"/peer/{shard}")
 
     def make_sharing_client(self, path: str) -> Any:
         none: Any = SimpleNamespace()
@@ -57,7 +57,7 @@
 
 
 class ShardedSimulation(Simulation):
-    """The simulated site, its controllers sharing the machines."""
+    """A simulation whose three controllers each run some of the shards."""
 
     controllers: dict[str, SimulatedShardHost]  # type: ignore[assignment]
 
@@ -65,7 +65,7 @@
         super().__init__(seed, **limits)
         self.sharing = SharingSettings(shares=shard_count, balance=balance)
         self.store_double = ChangeLogStoreDouble(self.store)
-        # Who started a task on a machine under which token: one share's leaders only.
+        # The shard of each machine as first seen in the store; it must not change.
         self.machine_shards: dict[str, int] = {}
         self.moves = 0
 
@@ -88,77 +88,77 @@
     def leader_label(self) -> str | None:
         return next((label for label in sorted(self.processes) if self.controllers[label].may_decide), None)
 
-    def shard_leader(self, share: int) -> str | None:
-        """Return who leads a share for certain."""
-        owners = [label for label in sorted(self.processes) if self.controllers[label].leads(share)]
-        assert len(owners) <= 1, f"share {share} is led by {owners}"
-        return owners[0] if owners else None
+    def shard_leader(self, shard: int) -> str | None:
+        """Return the controller that leads a shard, or None; fail if there are two."""
+        leaders = [label for label in sorted(self.processes) if self.controllers[label].leads(shard)]
+        assert len(leaders) <= 1, f"shard {shard} is led by {leaders}"
+        return leaders[0] if leaders else None
 
     def all_shards_led(self) -> bool:
-        """Whether every share is led."""
-        return ASSIGNMENT in self.store.data and all(self.shard_leader(share) for share in range(self.sharing.shares))
+        """Return whether shards are assigned and each has a leader."""
+        return ASSIGNMENT in self.store.data and all(self.shard_leader(shard) for shard in range(self.sharing.shares))
 
     async def wait_until_ready(self) -> None:
-        """Wait until sharing has begun and every share is led."""
+        """Wait until shards are assigned and each has a leader."""
         await self.run_until(self.all_shards_led)
 
-    async def request_move(self, share: int, receiver: str) -> tuple[int, Any]:
-        """An operator asks for a move, at any controller."""
+    async def request_move(self, shard: int, target: str) -> tuple[int, Any]:
+        """Request a shard move as an operator does, at a random controller; return status and decoded body."""
         up = [other for other in LABELS if self.is_up(other)]
         if not up:
             return 0, None
         label = self.rng.choice(up)
-        body = wire.encode({"share": share, "receiver": receiver})
-        answer = await self.controllers[label].handle_back("POST", "/shares/move", body)
-        return answer.status, json.loads(answer.body) if answer.body else None
+        body = wire.encode({"share": shard, "receiver": target})
+        response = await self.controllers[label].handle_back("POST", "/shares/move", body)
+        return response.status, json.loads(response.body) if response.body else None
 
     def overwrite_key(self, key: str, value: Any) -> None:
-        """Somebody writes a key that is not theirs."""
+        """Overwrite a key in the store, as a writer outside of the protocol would."""
         self.store.revision += 1
         self.store.data[key] = (value, self.store.revision)
         assert isinstance(self.store_double, ChangeLogStoreDouble)
         self.store_double.record_change({"put": key, "v": value}, self.store.revision)
 
     def assignment(self) -> Any:
-        """Return the stored assignment as plain data."""
+        """Return the shard assignment in the store as decoded JSON."""
         return self.store.data[ASSIGNMENT][0]
 
-    # -- invariants ---------------------------------------------------------------------------------------
+    # Invariants
 
     def check_shard_invariants(self) -> None:
-        """Raise `InvariantViolationError` unless the invariants of `docs/sharing.md` hold just now."""
-        for share in range(self.sharing.shares):
-            self.shard_leader(share)
+        """Raise `InvariantViolationError` unless the invariants of `docs/sharing.md` hold now."""
+        for shard in range(self.sharing.shares):
+            self.shard_leader(shard)
         for key, (value, _) in self.store.data.items():
             if key.startswith(MACHINES):
                 name = key[len(MACHINES) :]
                 if self.machine_shards.setdefault(name, value) != value:
                     raise InvariantViolationError(
-                        f"two owners: {name} was of share {self.machine_shards[name]}, now {value}"
+                        f"two owners: {name} moved from shard {self.machine_shards[name]} to {value}"
                     )
             elif key.startswith(ALLOTMENTS):
-                self._check_allotment(key[len(ALLOTMENTS) :], value)
+                self._check_quota_allocation(key[len(ALLOTMENTS) :], value)
 
-    def _check_allotment(self, team: str, value: Any) -> None:
+    def _check_quota_allocation(self, team: str, value: Any) -> None:
         total = wire.convert(value, Allotment).total()
         if not limit_of(self.platform.teams[team]).covers(total):
-            raise InvariantViolationError(f"quota: {team}'s parts add up to {total}")
+            raise InvariantViolationError(f"quota: allocations of {team} add up to {total}")
 
     def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
-        """As everywhere; and a task of a job starts only on a machine of the job's own share."""
+        """Check a starting task as the base class does, and that its machine belongs to the job's home shard."""
         super().check_start(worker, task)
-        home = next(
+        home_shard = next(
             (
-                share
-                for share in range(self.sharing.shares)
-                if f"{share_root(share)}jobs/{task.job.id}" in self.store.data
+                shard
+                for shard in range(self.sharing.shares)
+                if f"{share_root(shard)}jobs/{task.job.id}" in self.store.data
             ),
             None,
         )
-        owner = self.store.data.get(MACHINES + worker.name, (None, 0))[0]
-        if home is not None and owner is not None and owner != home:
+        machine_shard = self.store.data.get(MACHINES + worker.name, (None, 0))[0]
+        if home_shard is not None and machine_shard is not None and machine_shard != home_shard:
             self.failure = InvariantViolationError(
-                f"two owners: {worker.name} of share {owner} runs {task.job.id} of {home}"
+                f"two owners: {worker.name} of shard {machine_shard} runs {task.job.id} of shard {home_shard}"
             )
             raise self.failure
 
@@ -167,6 +167,6 @@
         self.check_shard_invariants()
 
 
-def leader_key(share: int) -> str:
-    """Return where a share's leader key lies."""
-    return LEADER_KEY if share == 0 else share_root(share) + LEADER_KEY[len(ROOT_PREFIX) :]
+def leader_key(shard: int) -> str:
+    """Return the store key of a shard's leader."""
+    return LEADER_KEY if shard == 0 else share_root(shard) + LEADER_KEY[len(ROOT_PREFIX) :]
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,8 +1,8 @@
-"""A whole site on a clock of its own: real controllers, election and all, over messages that never leave the process.
+"""Deterministic simulation of a site: real controllers with leader election, connected by in-process messages.
 
-Everything between controllers, store, cloud, workers and users passes through `Simulation`, which can lose, hold up,
-repeat and refuse it. Time is virtual: a run repeats exactly for a seed, whatever the machine. The plain model of the
-rules is that of `reference_model.ReferenceModel`.
+All messages among controllers, store, cloud, workers and users pass through `Simulation`, which can lose, delay,
+duplicate and reject them. Time is virtual, and a run repeats exactly for a seed on any machine. The invariants are
+those of `reference_model.ReferenceModel`.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 
 class _VirtualTimeSelector(selectors.BaseSelector):
-    """A selector that lets virtual time pass instead of waiting."""
+    """A selector that advances virtual time instead of waiting."""
 
     def __init__(self) -> None:
         self.inner = selectors.DefaultSelector()
@@ -54,8 +54,8 @@
 
     def select(self, timeout: float | None = None) -> Any:
         if timeout is None:
-            raise RuntimeError("nothing will ever happen")
-        # Each turn takes a moment: what waits for the smallest fraction of a second would else wait for ever.
+            raise RuntimeError("deadlock: no timer is set and no I/O is pending")
+        # Advance by at least 1 us per iteration: a timer closer than the clock's resolution would never become due.
         self.now += max(timeout, 1e-6)
         return self.inner.select(0)
 
@@ -67,7 +67,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock goes only when nothing is left to do."""
+    """An event loop whose clock advances to the next timer when no callback is ready."""
 
     def __init__(self) -> None:
         self.instant = _VirtualTimeSelector()
@@ -78,7 +78,7 @@
 
 
 class SimulatedStoreClient(StoreClient):
-    """The store's client, its messages handed to the simulation."""
+    """A store client that passes its requests to the simulation."""
 
     simulation: "Simulation"
     label: str
@@ -92,10 +92,10 @@
         timeout_s: float,
         urgent: bool,
     ) -> HttpAnswer:
-        answer = await asyncio.wait_for(
+        response = await asyncio.wait_for(
             self.simulation.to_store(self.label, method, path, params or {}, body or b""), timeout_s
         )
-        return HttpAnswer(*answer)
+        return HttpAnswer(*response)
 
 
 class SimulatedCloudClient(CloudClient):
@@ -126,7 +126,7 @@
 
 
 def simulated_clients(simulation: "Simulation", platform: Platform, clock: Callable[[], float]) -> ControllerClients:
-    """Return clients whose messages are handed to the simulation."""
+    """Return a controller's clients, which pass their requests to the simulation."""
     none: Any = SimpleNamespace()
     clients = ControllerClients(
         store=SimulatedStoreClient(none, none, "", store_limits(platform), clock),
@@ -140,18 +140,18 @@
 
 
 def attach_to_simulation(client: Any, simulation: "Simulation", platform: Platform) -> None:
-    """Have a client hand its messages to the simulation, as those of this controller."""
+    """Make a client pass its requests to the simulation, with this controller as the sender."""
     client.simulation = simulation
     client.label = platform.label
 
 
 def simulated_listener() -> Any:
-    """Return what a controller needs to see of a listener."""
+    """Return a listener without sockets, with the connection limiter that a controller reads."""
     return SimpleNamespace(limiter=ConnectionLimiter(1000, lambda guest: None))
 
 
 class SimulatedController(Controller):
-    """The real controller without sockets."""
+    """A real controller whose clients and listeners use no sockets."""
 
     def __init__(self, simulation: "Simulation", platform: Platform, rng: random.Random) -> None:
         loop = asyncio.get_running_loop()
@@ -160,26 +160,26 @@
 
 
 def downgrade_peer_message(body: bytes) -> bytes:
-    """Return a question of a controller without the data version behind its other elements."""
+    """Return a peer message as the previous version sends it: `ask` and `ping` without the data version."""
     message = json.loads(body)
     return json.dumps(message[:2] if message[0] in ("ask", "ping") else message).encode()
 
 
 class SimulatedWorker(ReferenceWorker):
-    """A worker; `mute`: it reaches no controller, direct commands reach it."""
+    """A worker of the simulation; if `outbound_cut`, it reaches no controller, while direct commands reach it."""
 
     outbound_cut = False
-    # The only controller within reach, if its zone is cut off.
+    # The only controller that the worker can reach, if its zone is partitioned from the others.
     only_controller: str | None = None
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        # Commands that arrived while it hung, and are carried out when it goes on.
+        # Commands that arrived while the machine hung; executed when it resumes.
         self.queued_commands: list[tuple[int, int, list[Command]]] = []
 
 
 class Simulation(ReferenceModel):
-    """Three controllers, workers, cloud, store and users, with every trouble that can meet another."""
+    """Three controllers, workers, cloud, store and users, with faults that can be combined."""
 
     STEP_S = 0.1
 
@@ -207,31 +207,31 @@
         self.controllers: dict[str, SimulatedController] = {}
         self.processes: dict[str, asyncio.Task[None]] = {}
         self.tasks: set[asyncio.Task[Any]] = set()
-        # Links that are cut: pairs of controllers, and controllers from store, workers or users.
+        # Partitions: pairs of controllers, and by service (store, workers, users) the controllers cut off from it.
         self.partitioned_links: set[frozenset[str]] = set()
         self.partitioned_from: dict[str, set[str]] = {"store": set(), "workers": set(), "users": set()}
-        # Shares of transactions that get no answer and are carried out late, of commands held up, of report copies.
+        # Fractions of transactions that get no response and are applied late, and of commands that are delayed.
         self.late_write_rate = self.delayed_command_rate = 0.0
-        # Controllers whose transactions are carried out at once while the answers are lost.
+        # Controllers whose transactions are applied at once while the responses are lost.
         self.lost_responses: set[str] = set()
         self.store_delay_s = 0.0
         self.worker_controllers: dict[str, str] = {}
         self.submitted_ids: set[str] = set()
         self.max_machines = 14
-        # The first rule that broke, or anything else that failed beside the story.
+        # The last invariant violation or other exception raised outside of the scenario; raised again by `advance`.
         self.failure: BaseException | None = None
-        # Controllers that do not say that they can write more than the first data version.
+        # Controllers that do not announce support for data version 2, as the previous version.
         self.old_version_controllers: set[str] = set()
         self.starts_after_cancel: list[str] = []
         self.cancelled: set[str] = set()
         self.started_jobs: set[str] = set()
 
-    # -- running ------------------------------------------------------------------------------------------
+    # Running
 
     def run_scenario(self, scenario: Callable[["Simulation"], Awaitable[None]]) -> None:
-        """Play a story from the first leader on; what breaks a rule ends it."""
+        """Start the controllers, wait for a leader and run a scenario; an invariant violation ends it."""
 
-        async def inside() -> None:
+        async def run() -> None:
             for label in LABELS:
                 self.start(label)
             ticking = asyncio.ensure_future(self._tick())
@@ -248,21 +248,21 @@
 
         loop = VirtualTimeLoop()
         try:
-            loop.run_until_complete(inside())
+            loop.run_until_complete(run())
         finally:
             loop.close()
 
     async def advance(self, seconds: float) -> None:
-        """Let time pass; a rule that broke meanwhile is raised here."""
+        """Let `seconds` of virtual time pass; raise the invariant violation or error that occurred meanwhile."""
         await asyncio.sleep(seconds)
         if self.failure is not None:
             raise self.failure
 
     async def run_until(self, condition: Callable[[], Any], timeout_s: float = 120.0) -> Any:
-        """Let time pass until a condition holds."""
+        """Let virtual time pass until a condition is true; return its value, fail after `timeout_s` seconds."""
         end = self.time() + timeout_s
         while not (value := condition()):
-            assert self.time() < end, f"never {getattr(condition, '__name__', condition)}"
+            assert self.time() < end, f"timed out waiting for {getattr(condition, '__name__', condition)}"
             await self.advance(0.05)
         return value
 
@@ -272,8 +272,8 @@
                 self.now = self.time()
                 for worker in list(self.workers.values()):
                     if not worker.hung and worker.queued_commands:  # type: ignore[attr-defined]
-                        for order in worker.queued_commands:  # type: ignore[attr-defined]
-                            worker.receive_commands(*order)
+                        for command in worker.queued_commands:  # type: ignore[attr-defined]
+                            worker.receive_commands(*command)
                         worker.queued_commands = []  # type: ignore[attr-defined]
                     worker.step()
                 for _, task in self.tasks_on_machines():
@@ -284,11 +284,11 @@
             raise
 
     def time(self) -> float:
-        """Return the virtual time."""
+        """Return the virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
-        """Run something beside the story."""
+        """Run an awaitable concurrently with the scenario; `advance` raises its exception."""
 
         async def watched() -> None:
             try:
@@ -301,16 +301,16 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    # -- controllers --------------------------------------------------------------------------------------
+    # Controllers
 
     def start(self, label: str) -> None:
-        """Start a controller's process."""
+        """Start a new process of a controller."""
         controller = SimulatedController(self, self.platforms[label], random.Random(self.rng.random()))
         self.controllers[label] = controller
         self.processes[label] = asyncio.ensure_future(controller.run())
 
     def crash(self, *labels: str) -> None:
-        """End processes without a word."""
+        """Crash the processes of controllers: cancel them and their background tasks."""
         for label in labels:
             process = self.processes.pop(label, None)
             if process is not None:
@@ -321,32 +321,32 @@
                     task.cancel()
 
     def leader_label(self) -> str | None:
-        """Return who leads for certain."""
+        """Return the label of the controller that may decide as the leader, or None."""
         return next(
             (label for label in sorted(self.processes) if self.controllers[label].may_decide),
             None,
         )
 
     def is_up(self, label: str) -> bool:
-        """Whether a controller's process runs and is set up."""
+        """Return whether a controller's process runs and serves requests."""
         return label in self.processes and self.controllers[label].is_serving
 
     def role(self, label: str) -> Role:
-        """Return a controller's role."""
+        """Return the role of a controller in the election."""
         return self.controllers[label].election.role
 
     def partition(self, *labels: str) -> None:
-        """Cut controllers from the other controllers."""
+        """Partition these controllers from the other controllers, not from one another."""
         for label in labels:
             self.partitioned_links.update(frozenset((label, other)) for other in LABELS if other not in labels)
 
     def isolate(self, label: str) -> None:
-        """A controller loses the state service and the other controllers, not its workers or users."""
+        """Partition a controller from the state service and the other controllers, not from its workers or users."""
         self.partition(label)
         self.partitioned_from["store"].add(label)
 
     def heal(self) -> None:
-        """All troubles end."""
+        """End all faults: heal partitions and outages, resume machines, restart controllers that are down."""
         self.partitioned_links.clear()
         for labels in self.partitioned_from.values():
             labels.clear()
@@ -361,7 +361,7 @@
                 self.start(label)
 
     def lower_limits(self) -> None:
-        """The state service takes less from now on."""
+        """Apply the lower size limits and write rate that the settings announce for the state service."""
         self.store.lower_limits()
         self.store_double.write_rps, self.store_double.write_tokens, self.store_double.tokens_refilled_at = (
             self.platform.write_rps,
@@ -369,16 +369,16 @@
             self.time(),
         )
 
-    # -- messages -----------------------------------------------------------------------------------------
+    # Messages
 
     async def wait_forever(self) -> Any:
-        """No answer ever comes."""
+        """Wait longer than any timeout, in place of a response that never arrives."""
         await asyncio.sleep(1e6)
 
     async def to_store(
         self, label: str, method: str, path: str, query: dict[str, str], body: bytes
     ) -> tuple[int, bytes]:
-        """Carry a request to the state service."""
+        """Deliver a request to the state service and return its response."""
         await asyncio.sleep(0.004 + self.store_delay_s * self.rng.uniform(0.5, 1.5))
         if label in self.partitioned_from["store"]:
             await self.wait_forever()
@@ -404,7 +404,7 @@
         self.store_double.txn(body)
 
     async def to_peer(self, sender: str, address: str, body: bytes, path: str = "/peer") -> tuple[int, bytes]:
-        """Carry a message to another controller."""
+        """Deliver a message to another controller and return its response."""
         label = address.partition(":")[0]
         await asyncio.sleep(0.002)
         if frozenset((sender, label)) in self.partitioned_links:
@@ -413,15 +413,15 @@
             raise HttpError("refused")
         if sender in self.old_version_controllers:
             body = downgrade_peer_message(body)
-        answer = await self.controllers[label].handle_back("POST", path, body)
+        response = await self.controllers[label].handle_back("POST", path, body)
         if frozenset((sender, label)) in self.partitioned_links:
             await self.wait_forever()
         if not self.is_up(label):
             raise HttpError("reset")
-        return answer.status, answer.body
+        return response.status, response.body
 
     async def to_worker(self, sender: str, addr: str, body: bytes) -> tuple[int, bytes]:
-        """Carry a direct command."""
+        """Deliver commands directly to a worker and return its response, a heartbeat."""
         await asyncio.sleep(0.002)
         worker = self.workers.get(addr.partition(":")[0])
         if (
@@ -446,7 +446,7 @@
         return (409 if refused else 200), wire.encode(worker.next_heartbeat())
 
     def send_heartbeat(self, worker: ReferenceWorker, heartbeat: Heartbeat, sent_at: float) -> None:
-        """A worker reports to the controller it knows, and finds another if that one does not take it."""
+        """Send a heartbeat to the worker's current controller; without a usable response it changes to another."""
         self.spawn(self._send_heartbeat(worker, heartbeat, sent_at))
 
     async def _send_heartbeat(self, worker: Any, heartbeat: Heartbeat, sent_at: float) -> None:
@@ -454,7 +454,7 @@
         body = wire.encode(heartbeat)
         if self.rng.random() < self.duplicate_rate:
             self.spawn(self._send_duplicate(body))
-        answer: Any = None
+        response: Any = None
         await asyncio.sleep(0.002)
         if (
             not worker.partitioned
@@ -463,40 +463,44 @@
             and self.is_up(label)
         ):
             try:
-                answer = await asyncio.wait_for(self.controllers[label].handle_front("POST", "/agent/beat", body), 4)
+                response = await asyncio.wait_for(
+                    self.controllers[label].handle_front("POST", "/agent/beat", body), 4
+                )
             except TimeoutError:
-                answer = None
+                response = None
             if worker.partitioned or worker.inbound_cut or not self.is_up(label):
-                answer = None
+                response = None
         elif self.is_up(label):
-            # Nothing comes back: it gives up after its time.
+            # No response arrives: the worker times out after 4 s.
             await asyncio.sleep(4)
         if self.rng.random() < self.delayed_command_rate:
             await asyncio.sleep(self.rng.choice([1.0, 2.0, 5.0]))
         while worker.hung:
             await asyncio.sleep(0.2)
-        if answer is not None and answer.status == 200:
-            response = wire.decode(answer.body, HeartbeatResponse)
+        if response is not None and response.status == 200:
+            reply = wire.decode(response.body, HeartbeatResponse)
             worker.receive_response(
-                heartbeat.worker_epoch, heartbeat.sequence, response.fencing_token, response.commands, sent_at
+                heartbeat.worker_epoch, heartbeat.sequence, reply.fencing_token, reply.commands, sent_at
             )
-            if response.fencing_token >= worker.fencing_token:
+            if reply.fencing_token >= worker.fencing_token:
                 return
-        leader = json.loads(answer.body).get("harbormaster") if answer is not None and answer.status == 421 else None
+        leader = (
+            json.loads(response.body).get("harbormaster") if response is not None and response.status == 421 else None
+        )
         others = [other for other in LABELS if other != label]
         self.worker_controllers[worker.name] = leader if leader in LABELS else self.rng.choice(others)
         if worker.awaiting_response_since == sent_at:
             worker.awaiting_response_since, worker.next_heartbeat_at = None, self.time() + 0.5
 
     async def _send_duplicate(self, body: bytes) -> None:
-        """A copy of a report arrives late, at whoever leads by then; nobody waits for its answer."""
+        """Deliver a duplicate of a heartbeat 2 to 60 s late to all controllers that are up; drop the responses."""
         await asyncio.sleep(self.rng.choice([2.0, 6.0, 20.0, 60.0]))
         for label in LABELS:
             if self.is_up(label):
                 await self.controllers[label].handle_front("POST", "/agent/beat", body)
 
     async def to_cloud(self, method: str, path: str, body: bytes) -> tuple[int, bytes]:
-        """Carry a request to the cloud."""
+        """Deliver a request to the cloud and return its response."""
         await asyncio.sleep(0.02)
         if not self.cloud_up:
             return 503, b'{"error":"trouble"}'
@@ -522,16 +526,16 @@
         return 200, wire.encode({"bollards": rows, "truncated": False})
 
     def boot(self, record: ScaleOutRecord) -> str:
-        """A machine comes up."""
+        """Add a running machine and return its name."""
         self.machines_created += 1
         name = f"vm-{self.machines_created:06d}"
         self.workers[name] = SimulatedWorker(self, name, self.types[record.machine_type], record.zone, record.spot)
         return name
 
-    # -- users --------------------------------------------------------------------------------------------
+    # Users
 
     async def request(self, method: str, path: str, body: Any = None, label: str | None = None) -> tuple[int, Any]:
-        """Send one user's request; 0 if no answer came."""
+        """Send a user's request to a controller; return status and body, or status 0 without a response."""
         open_to_users = [
             other for other in LABELS if self.is_up(other) and other not in self.partitioned_from["users"]
         ]
@@ -541,44 +545,46 @@
             return 0, None
         data = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         try:
-            answer = await asyncio.wait_for(
+            response = await asyncio.wait_for(
                 self.controllers[label].handle_front(method, path, data), 2.0 if method == "GET" else 5.0
             )
         except TimeoutError:
             return 0, None
         if not self.is_up(label):
             return 0, None
-        return answer.status, json.loads(answer.body) if answer.body else None
+        return response.status, json.loads(response.body) if response.body else None
 
     def submit_until_accepted(self, raw: dict[str, Any], label: str | None = None) -> asyncio.Task[Any]:
-        """A user submits a job, and again until it is answered for good."""
+        """Submit a job as a user does, with up to 60 attempts until it is accepted; return the task that does so."""
         spec: JobSpec = parse_submission(raw)
         self.specs[spec.id] = spec
         self.submitted_ids.add(spec.id)
 
         async def submitting() -> None:
             for _ in range(60):
-                status, answer = await self.request("POST", "/v1/jobs", raw, label)
+                status, response = await self.request("POST", "/v1/jobs", raw, label)
                 if status in (200, 201):
                     if spec.id not in self.statuses:
                         self.statuses[spec.id] = "pending"
-                    if answer["bearing"] in ("done", "cancelled"):
-                        self.record_status(spec.id, answer["bearing"])
+                    if response["bearing"] in ("done", "cancelled"):
+                        self.record_status(spec.id, response["bearing"])
                     return
                 if status in (400, 422) and spec.id in self.statuses:
-                    raise InvariantViolationError(f"forgotten: {spec.id} got {status}")
+                    raise InvariantViolationError(
+                        f"forgotten: {spec.id} was accepted and is now rejected with {status}"
+                    )
                 await asyncio.sleep(1.0)
 
         return self.spawn(submitting())
 
     def cancel_until_confirmed(self, job_id: str, label: str | None = None) -> asyncio.Task[Any]:
-        """A user cancels a job, and again until it is confirmed."""
+        """Cancel a job as a user does, with retries until it is confirmed; return the task that does so."""
 
         async def cancelling() -> None:
             while True:
-                status, answer = await self.request("POST", f"/v1/jobs/{job_id}/cancel", label=label)
+                status, response = await self.request("POST", f"/v1/jobs/{job_id}/cancel", label=label)
                 if status == 200:
-                    self.record_status(job_id, answer["bearing"])
+                    self.record_status(job_id, response["bearing"])
                     return
                 if status == 404 and job_id in self.statuses:
                     raise InvariantViolationError(f"forgotten: {job_id}")
@@ -587,52 +593,56 @@
         self.cancelled.add(job_id)
         return self.spawn(cancelling())
 
-    def record_status(self, job_id: str, bearing: str) -> None:
-        """A user is told a job's state."""
+    def record_status(self, job_id: str, state: str) -> None:
+        """Record a status sent to a user and check that it agrees with what tasks did and users received before."""
         before = self.statuses.get(job_id)
-        if before in ("done", "cancelled") and bearing != before:
-            raise InvariantViolationError(f"went_back: {job_id} {before} -> {bearing}")
-        above = self.first_cancelled_at(job_id)
-        if bearing == "cancelled":
-            if above is None and self.cancelled.isdisjoint(self.with_dependencies(job_id)):
-                raise InvariantViolationError(f"went_back: {job_id} cancelled by nobody")
+        if before in ("done", "cancelled") and state != before:
+            raise InvariantViolationError(f"went_back: {job_id} changed from {before} to {state}")
+        cancelled_at = self.first_cancelled_at(job_id)
+        if state == "cancelled":
+            if cancelled_at is None and self.cancelled.isdisjoint(self.with_dependencies(job_id)):
+                raise InvariantViolationError(
+                    f"went_back: {job_id} is reported as cancelled, but no user cancelled it"
+                )
             self.cancelled_at.setdefault(job_id, self.time())
-        elif bearing != "done" and above is not None and self.time() > above + self.platform.cancel_s:
-            raise InvariantViolationError(f"orphaned: {job_id} is called {bearing}")
-        if bearing == "done":
+        elif state != "done" and cancelled_at is not None and self.time() > cancelled_at + self.platform.cancel_s:
+            raise InvariantViolationError(
+                f"orphaned: {job_id} is reported as {state} although a dependency is cancelled"
+            )
+        if state == "done":
             missing = [index for index in range(self.specs[job_id].tasks) if (job_id, index) not in self.finished]
             if missing:
-                raise InvariantViolationError(f"not_done: {job_id} lacks {missing}")
-        self.statuses[job_id] = bearing
+                raise InvariantViolationError(f"not_done: {job_id} is reported as done, but tasks {missing} are not")
+        self.statuses[job_id] = state
 
     cancelled: set[str]
 
     async def poll(self, job_id: str, label: str | None = None) -> int:
-        """A user asks for a job once; return the status."""
-        status, answer = await self.request("GET", f"/v1/jobs/{job_id}", label=label)
+        """Request a job's status once; return the HTTP status, or 0 if no response arrived."""
+        status, response = await self.request("GET", f"/v1/jobs/{job_id}", label=label)
         if status == 200:
             if job_id not in self.submitted_ids:
-                raise InvariantViolationError(f"invented: {job_id}")
+                raise InvariantViolationError(f"invented: {job_id} was never submitted")
             if job_id in self.statuses:
-                self.record_status(job_id, answer["bearing"])
+                self.record_status(job_id, response["bearing"])
         elif status == 404 and job_id in self.statuses:
             raise InvariantViolationError(f"forgotten: {job_id}")
         return status
 
     def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
-        """As in the plain world; a start after a confirmed cancellation is noted too."""
+        """Check a starting task as the reference model does, and record starts after a confirmed cancellation."""
         self.started_jobs.add(task.job.id)
         if task.job.id in self.cancelled_at:
             self.starts_after_cancel.append(f"{task.job.id}/{task.index} on {worker.name}")
         try:
             super().check_start(worker, task)
         except InvariantViolationError as error:
-            # Whoever carried the command must not be the one to swallow this.
+            # Also raised by `advance`: the code that delivered the command may catch the exception.
             self.failure = error
             raise
 
-    def _check_starvation(self, passed_over: dict[str, float]) -> None:
-        """No job waits for 90 s while a machine that fits has room and its team is under its limit."""
+    def _check_starvation(self, waiting_since: dict[str, float]) -> None:
+        """Raise if a job waits for more than 90 s while a machine has room for a task and its team has quota left."""
         live = self.tasks_on_machines()
         for job_id, state in self.statuses.items():
             spec = self.specs[job_id]
@@ -641,18 +651,18 @@
             if (
                 state in ("done", "cancelled")
                 or job_id in self.cancelled
-                or any(self.statuses.get(need) != "done" for need in spec.dependencies or ())
+                or any(self.statuses.get(dependency) != "done" for dependency in spec.dependencies or ())
                 or any(task.job.id == job_id for _, task in live)
                 or (spec.kind is JobKind.GANG and spec.tasks > 1)
                 or used + spec.gpus > team.gpus_max + 1e-6
                 or not any(self._has_room(worker, spec) for worker in self.alive())
             ):
-                passed_over.pop(job_id, None)
-            elif self.time() - passed_over.setdefault(job_id, self.time()) > 90.0:
-                raise InvariantViolationError(f"left waiting: {job_id} although there is room")
+                waiting_since.pop(job_id, None)
+            elif self.time() - waiting_since.setdefault(job_id, self.time()) > 90.0:
+                raise InvariantViolationError(f"left waiting: {job_id} although a machine has room for it")
 
     def _has_room(self, worker: ReferenceWorker, spec: JobSpec) -> bool:
-        """Whether a machine fits a task and has room for it."""
+        """Return whether a machine meets a job's constraints and has room for one of its tasks."""
         tasks = [task.job for task in worker.tasks.values() if task.state != "exited"]
         return allowed(spec, worker.machine_type.name, worker.zone, worker.spot) and fits(
             spec,
@@ -662,26 +672,26 @@
         )
 
     async def verify_recovery(self) -> None:
-        """All troubles end: every question is answered within 75 s, and work that has room begins within 90 s."""
+        """End all faults; check that statuses are served within 75 s, no job starves for 90 s and all jobs end."""
         self.heal()
-        calm_at = self.time()
+        healed_at = self.time()
         open_jobs = set(self.statuses)
         while open_jobs:
-            if self.time() > calm_at + 75.0:
-                raise InvariantViolationError(f"forgotten: no answer about {sorted(open_jobs)}")
+            if self.time() > healed_at + 75.0:
+                raise InvariantViolationError(f"forgotten: no status of {sorted(open_jobs)}")
             open_jobs -= {job_id for job_id in sorted(open_jobs) if await self.poll(job_id) == 200}
             await self.advance(1.0)
-        end = calm_at + 600.0
-        passed_over: dict[str, float] = {}
+        end = healed_at + 600.0
+        waiting_since: dict[str, float] = {}
         spec_of = self.specs
         while self.time() < end:
             await self.advance(5.0)
-            self._check_starvation(passed_over)
+            self._check_starvation(waiting_since)
             for job_id, state in sorted(self.statuses.items()):
                 if state not in ("done", "cancelled"):
                     await self.poll(job_id)
                     if spec_of[job_id].kind is JobKind.SERVICE and job_id not in self.cancelled:
-                        # Services run, and hold their team's quota, until somebody calls them off.
+                        # Services run, and use their team's quota, until they are cancelled.
                         self.cancel_until_confirmed(job_id)
             if set(self.statuses.values()) <= {"done", "cancelled"} and not self.tasks_on_machines():
                 return
--- a/tools/walk.py
+++ b/tools/walk.py
@@ -1,8 +1,8 @@
-"""Plays the random walk of `tests/test_controller_fault_walk.py`: `python -m tools.walk FIRST LAST [--digest]`.
+"""Runs the random fault walk of `tests/test_controller_fault_walk.py`: `python -m tools.walk FIRST LAST [--digest]`.
 
-With `--sharing` it plays the walk of `tests/test_sharing_walk.py`, where shares move. With `--digest` each walk ends
-with the number of the store's changes and a digest of all records: two versions of the sources that decide alike
-print the same (set PYTHONHASHSEED, so that sets keep their order). For changes that must not change behaviour.
+With `--sharing` it runs the walk of `tests/test_sharing_walk.py`, in which shards move. With `--digest` it prints
+after each walk the number of changes of the store and a digest of all records: two versions of the sources that make
+the same decisions print the same. Set PYTHONHASHSEED, so that sets keep their order.
 """
 
 import hashlib
@@ -19,10 +19,10 @@
 
 
 class DigestedSimulation(Simulation):
-    """A simulation that says what its store holds in the end."""
+    """A simulation that prints a digest of its store's records at the end."""
 
     def run_scenario(self, scenario: Callable[[Simulation], Awaitable[None]]) -> None:
-        """Play a story and print the digest, whatever came of it."""
+        """Run a scenario and print the digest, also if it fails."""
         try:
             super().run_scenario(scenario)
         finally:
@@ -31,17 +31,17 @@
 
 
 class DigestedShardedSimulation(DigestedSimulation, ShardedSimulation):
-    """The same where the controllers share the machines."""
+    """A sharded simulation that prints a digest of its store's records at the end."""
 
 
 @click.command()
 @click.argument("first", type=int)
 @click.argument("last", type=int)
 @click.option("--digest", is_flag=True, help="Print a digest of the records that each walk leaves.")
-@click.option("--sharing", is_flag=True, help="Play the walk in which shares move.")
+@click.option("--sharing", is_flag=True, help="Run the walk in which shards move.")
 def main(first: int, last: int, digest: bool, sharing: bool) -> None:
-    """Play the seeds FIRST to LAST; exit with 1 if a rule broke."""
-    broken = 0
+    """Run the seeds FIRST to LAST; exit with 1 if an invariant was violated."""
+    failed = 0
     for seed in range(first, last + 1):
         try:
             if sharing:
@@ -49,10 +49,10 @@
             else:
                 run_fault_walk(seed, DigestedSimulation if digest else Simulation)
         except AssertionError as error:
-            broken += 1
+            failed += 1
             click.echo(f"seed {seed}: {error}")
-    click.echo(f"{last - first + 1} walks, {broken} with a rule broken")
-    sys.exit(1 if broken else 0)
+    click.echo(f"{last - first + 1} walks, {failed} with an invariant violation")
+    sys.exit(1 if failed else 0)
 
 
 if __name__ == "__main__":
