--- a/tests/terms.py
+++ b/tests/scheduler_fixtures.py
@@ -1,4 +1,4 @@
-"""Terms that tests build by hand, without a world around them."""
+"""Schedulers built directly from a cluster state, without the reference model."""
 
 import random
 from collections.abc import Callable
@@ -11,16 +11,16 @@
 from driftcleat.wire.users import JobSpec
 from driftcleat.wire.workers import Heartbeat
 
-from .samples import TYPES, platform
+from .samples import MACHINE_TYPES, platform
 
-# The leader of every term that `fleet` makes.
-TOKEN = 5
+# Fencing token of the leader in `scheduler_with_machines`.
+FENCING_TOKEN = 5
 
 
-def new_term(
+def new_scheduler(
     site: Platform, cluster: ClusterState, now: list[float], clock: Callable[[], float] | None = None
 ) -> Scheduler:
-    """Return a term on a store that is brand new; `clock` stands for the time in `now`."""
+    """Return a scheduler on an empty store; without `clock` it reads the time from `now[0]`."""
     return Scheduler(
         site,
         Tuning(),
@@ -33,36 +33,38 @@
     )
 
 
-def fleet(machines: int) -> tuple[Scheduler, list[float]]:
-    """Return a term with that many empty machines, and its clock."""
+def scheduler_with_machines(machines: int) -> tuple[Scheduler, list[float]]:
+    """Return a scheduler with `machines` idle machines, and the list whose only item is its current time."""
     now = [0.0]
     site = platform()
-    cluster = ClusterState(TOKEN, {}, dict(TYPES), 0.0, site.lease_s)
-    scheduler = new_term(site, cluster, now)
+    cluster = ClusterState(FENCING_TOKEN, {}, dict(MACHINE_TYPES), 0.0, site.lease_s)
+    scheduler = new_scheduler(site, cluster, now)
     for number in range(machines):
         zone = ("north", "south")[number % 2]
-        apply_heartbeat(cluster, Heartbeat(f"vm-{number}", "h", "big", zone, False, 1, 1, TOKEN, ()), 0.0)
+        apply_heartbeat(cluster, Heartbeat(f"vm-{number}", "h", "big", zone, False, 1, 1, FENCING_TOKEN, ()), 0.0)
     return scheduler, now
 
 
 def commit_next(scheduler: Scheduler) -> bool:
-    """Commit the next batch; False if there is nothing to commit."""
+    """Build and commit the next batch; return False if it is empty."""
     batch = scheduler.build_batch()
     if batch.is_empty:
         return False
     number = scheduler.counters.batches + 1
-    scheduler.apply_commit(batch, number, encode_batch(batch, scheduler.layout, TOKEN, number, 0).obsolete_keys)
+    scheduler.apply_commit(
+        batch, number, encode_batch(batch, scheduler.layout, FENCING_TOKEN, number, 0).obsolete_keys
+    )
     return True
 
 
 def commit_all(scheduler: Scheduler) -> None:
-    """Commit until nothing is left to do."""
+    """Commit batches until one is empty."""
     while commit_next(scheduler):
         pass
 
 
-def accept(scheduler: Scheduler, *specs: JobSpec) -> None:
-    """Commit submissions; what they ask for may be placed from now on, and is not yet."""
+def commit_submissions(scheduler: Scheduler, *specs: JobSpec) -> None:
+    """Submit jobs and commit them without placing a task; placement is enabled when this returns."""
     scheduler.pacing.placement_starts_at = float("inf")
     for spec in specs:
         scheduler.admission.submit(PendingRequest(lambda status: None, spec))
--- a/tests/sharing_simulation.py
+++ b/tests/sharing_simulation.py
@@ -1,4 +1,4 @@
-"""The simulated site with sharing switched on: three hosts, and the invariants of sharing checked as time goes."""
+"""Simulation of a site whose controllers divide the machines into shards, with the invariants of sharding checked."""
 
 import asyncio
 import json
@@ -15,17 +15,24 @@
 from driftcleat.sharing.settings import SharingSettings
 from driftcleat.store.keys import LEADER_KEY, ROOT_PREFIX
 
-from .simulation import LABELS, Simulation, _Peers, belong_to, simulated_clients, simulated_front
-from .standins import WatchingStore
-from .world import PlainWorker, RuleBrokenError, Running
+from .protocol_doubles import ChangeLogStoreDouble
+from .reference_model import InvariantViolationError, ReferenceWorker, WorkerTask
+from .simulation import (
+    LABELS,
+    SimulatedPeerClient,
+    Simulation,
+    attach_to_simulation,
+    simulated_clients,
+    simulated_listener,
+)
 
-SHARES = 3
+SHARD_COUNT = 3
 
 
-class SimulatedHost(SharingHost):
-    """The real host without sockets."""
+class SimulatedShardHost(SharingHost):
+    """A real shard host whose clients and listeners use no sockets."""
 
-    def __init__(self, simulation: "SharedSimulation", platform: Platform, rng: random.Random) -> None:
+    def __init__(self, simulation: "ShardedSimulation", platform: Platform, rng: random.Random) -> None:
         loop = asyncio.get_running_loop()
         super().__init__(platform, Tuning(), simulation.sharing, rng, loop.time, loop.time)
         self.simulation = simulation
@@ -35,127 +42,131 @@
         self.store, self.cloud, self.workers = clients.store, clients.cloud, clients.workers
         return []
 
-    def make_peers(self, share: int) -> Any:
-        return self.make_sharing_client("/peer" if share == 0 else f"/peer/{share}")
+    def make_peers(self, shard: int) -> Any:
+        return self.make_sharing_client("/peer" if shard == 0 else f"/peer/{shard}")
 
     def make_sharing_client(self, path: str) -> Any:
         none: Any = SimpleNamespace()
-        client = _Peers(none, self.platform, path)
-        belong_to(client, self.simulation, self.platform)
+        client = SimulatedPeerClient(none, self.platform, path)
+        attach_to_simulation(client, self.simulation, self.platform)
         return client
 
     async def listen(self, sockets: SocketBudget) -> list[Any]:
-        self.front = simulated_front()
+        self.front = simulated_listener()
         return []
 
 
-class SharedSimulation(Simulation):
-    """The simulated site, its controllers sharing the machines."""
+class ShardedSimulation(Simulation):
+    """A simulation whose three controllers each run some of the shards."""
 
-    controllers: dict[str, SimulatedHost]  # type: ignore[assignment]
+    controllers: dict[str, SimulatedShardHost]  # type: ignore[assignment]
 
-    def __init__(self, seed: int, shares: int = SHARES, balance: float = 0.0, **limits: Any) -> None:
+    def __init__(self, seed: int, shard_count: int = SHARD_COUNT, balance: float = 0.0, **limits: Any) -> None:
         super().__init__(seed, **limits)
-        self.sharing = SharingSettings(shares=shares, balance=balance)
-        self.state = WatchingStore(self.store)
-        # Who started a task on a machine under which token: one share's leaders only.
-        self.machine_shares: dict[str, int] = {}
+        self.sharing = SharingSettings(shares=shard_count, balance=balance)
+        self.store_double = ChangeLogStoreDouble(self.store)
+        # The shard of each machine as first seen in the store; it must not change.
+        self.machine_shards: dict[str, int] = {}
         self.moves = 0
 
     def start(self, label: str) -> None:
-        host = SimulatedHost(self, self.platforms[label], random.Random(self.rng.random()))
+        host = SimulatedShardHost(self, self.platforms[label], random.Random(self.rng.random()))
         self.controllers[label] = host
         self.processes[label] = asyncio.ensure_future(host.run())
 
-    def end(self, *labels: str) -> None:
+    def crash(self, *labels: str) -> None:
         for label in labels:
             if label in self.processes:
                 for engine in self.controllers[label].engines.values():
                     for task in engine.background.tasks:
                         task.cancel()
-        super().end(*labels)
+        super().crash(*labels)
 
-    def up(self, label: str) -> bool:
+    def is_up(self, label: str) -> bool:
         return label in self.processes and self.controllers[label].is_set_up(0)
 
-    def lead(self) -> str | None:
+    def leader_label(self) -> str | None:
         return next((label for label in sorted(self.processes) if self.controllers[label].may_decide), None)
 
-    def owner(self, share: int) -> str | None:
-        """Return who leads a share for certain."""
-        owners = [label for label in sorted(self.processes) if self.controllers[label].leads(share)]
-        assert len(owners) <= 1, f"share {share} is led by {owners}"
-        return owners[0] if owners else None
+    def shard_leader(self, shard: int) -> str | None:
+        """Return the controller that leads a shard, or None; fail if there are two."""
+        leaders = [label for label in sorted(self.processes) if self.controllers[label].leads(shard)]
+        assert len(leaders) <= 1, f"shard {shard} is led by {leaders}"
+        return leaders[0] if leaders else None
 
-    def all_led(self) -> bool:
-        """Whether every share is led."""
-        return ASSIGNMENT in self.store.data and all(self.owner(share) for share in range(self.sharing.shares))
+    def all_shards_led(self) -> bool:
+        """Return whether shards are assigned and each has a leader."""
+        return ASSIGNMENT in self.store.data and all(self.shard_leader(shard) for shard in range(self.sharing.shares))
 
-    async def ready(self) -> None:
-        """Wait until sharing has begun and every share is led."""
-        await self.until(self.all_led)
+    async def wait_until_ready(self) -> None:
+        """Wait until shards are assigned and each has a leader."""
+        await self.run_until(self.all_shards_led)
 
-    async def order_move(self, share: int, receiver: str) -> tuple[int, Any]:
-        """An operator asks for a move, at any controller."""
-        up = [other for other in LABELS if self.up(other)]
+    async def request_move(self, shard: int, target: str) -> tuple[int, Any]:
+        """Request a shard move as an operator does, at a random controller; return status and decoded body."""
+        up = [other for other in LABELS if self.is_up(other)]
         if not up:
             return 0, None
         label = self.rng.choice(up)
-        body = wire.encode({"share": share, "receiver": receiver})
-        answer = await self.controllers[label].handle_back("POST", "/shares/move", body)
-        return answer.status, json.loads(answer.body) if answer.body else None
+        body = wire.encode({"share": shard, "receiver": target})
+        response = await self.controllers[label].handle_back("POST", "/shares/move", body)
+        return response.status, json.loads(response.body) if response.body else None
 
-    def tamper(self, key: str, value: Any) -> None:
-        """Somebody writes a key that is not theirs."""
+    def overwrite_key(self, key: str, value: Any) -> None:
+        """Overwrite a key in the store, as a writer outside of the protocol would."""
         self.store.revision += 1
         self.store.data[key] = (value, self.store.revision)
-        assert isinstance(self.state, WatchingStore)
-        self.state.note({"put": key, "v": value}, self.store.revision)
+        assert isinstance(self.store_double, ChangeLogStoreDouble)
+        self.store_double.record_change({"put": key, "v": value}, self.store.revision)
 
     def assignment(self) -> Any:
-        """Return the stored assignment as plain data."""
+        """Return the shard assignment in the store as decoded JSON."""
         return self.store.data[ASSIGNMENT][0]
 
-    # -- invariants ---------------------------------------------------------------------------------------
+    # Invariants
 
-    def check_sharing(self) -> None:
-        """Raise `RuleBrokenError` unless the invariants of `docs/sharing.md` hold just now."""
-        for share in range(self.sharing.shares):
-            self.owner(share)
+    def check_shard_invariants(self) -> None:
+        """Raise `InvariantViolationError` unless the invariants of `docs/sharing.md` hold now."""
+        for shard in range(self.sharing.shares):
+            self.shard_leader(shard)
         for key, (value, _) in self.store.data.items():
             if key.startswith(MACHINES):
                 name = key[len(MACHINES) :]
-                if self.machine_shares.setdefault(name, value) != value:
-                    raise RuleBrokenError(f"two owners: {name} was of share {self.machine_shares[name]}, now {value}")
+                if self.machine_shards.setdefault(name, value) != value:
+                    raise InvariantViolationError(
+                        f"two owners: {name} moved from shard {self.machine_shards[name]} to {value}"
+                    )
             elif key.startswith(ALLOTMENTS):
-                self._check_allotment(key[len(ALLOTMENTS) :], value)
+                self._check_quota_allocation(key[len(ALLOTMENTS) :], value)
 
-    def _check_allotment(self, team: str, value: Any) -> None:
+    def _check_quota_allocation(self, team: str, value: Any) -> None:
         total = wire.convert(value, Allotment).total()
         if not limit_of(self.platform.teams[team]).covers(total):
-            raise RuleBrokenError(f"quota: {team}'s parts add up to {total}")
+            raise InvariantViolationError(f"quota: allocations of {team} add up to {total}")
 
-    def check_start(self, worker: PlainWorker, task: Running) -> None:
-        """As everywhere; and a task of a job starts only on a machine of the job's own share."""
+    def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
+        """Check a starting task as the base class does, and that its machine belongs to the job's home shard."""
         super().check_start(worker, task)
-        home = next(
+        home_shard = next(
             (
-                share
-                for share in range(self.sharing.shares)
-                if f"{share_root(share)}jobs/{task.job.id}" in self.store.data
+                shard
+                for shard in range(self.sharing.shares)
+                if f"{share_root(shard)}jobs/{task.job.id}" in self.store.data
             ),
             None,
         )
-        owner = self.store.data.get(MACHINES + worker.name, (None, 0))[0]
-        if home is not None and owner is not None and owner != home:
-            self.broken = RuleBrokenError(f"two owners: {worker.name} of share {owner} runs {task.job.id} of {home}")
-            raise self.broken
+        machine_shard = self.store.data.get(MACHINES + worker.name, (None, 0))[0]
+        if home_shard is not None and machine_shard is not None and machine_shard != home_shard:
+            self.failure = InvariantViolationError(
+                f"two owners: {worker.name} of shard {machine_shard} runs {task.job.id} of shard {home_shard}"
+            )
+            raise self.failure
 
-    async def rest(self, seconds: float) -> None:
-        await super().rest(seconds)
-        self.check_sharing()
+    async def advance(self, seconds: float) -> None:
+        await super().advance(seconds)
+        self.check_shard_invariants()
 
 
-def leader_key(share: int) -> str:
-    """Return where a share's leader key lies."""
-    return LEADER_KEY if share == 0 else share_root(share) + LEADER_KEY[len(ROOT_PREFIX) :]
+def leader_key(shard: int) -> str:
+    """Return the store key of a shard's leader."""
+    return LEADER_KEY if shard == 0 else share_root(shard) + LEADER_KEY[len(ROOT_PREFIX) :]
--- /dev/null
+++ b/tests/test_controller_fault_walk.py
@@ -0,0 +1,225 @@
+"""A random walk over pairs of troubles: real controllers, election and all, against the plain model of the rules."""
+
+import random
+from collections.abc import Callable
+
+import pytest
+
+from driftcleat.wire.users import JobKind
+
+from .samples import raw_job
+from .simulation import LABELS, Simulation
+
+
+def refuse_one(simulation: Simulation, rng: random.Random) -> None:
+    simulation.store_double.down_for.add(simulation.leader_label() or rng.choice(LABELS))
+
+
+def outage(simulation: Simulation, rng: random.Random) -> None:
+    simulation.store_double.down_for.add("all")
+
+
+def outage_ends(simulation: Simulation, rng: random.Random) -> None:
+    simulation.store_double.heal()
+
+
+def lose_all_but_workers(simulation: Simulation, rng: random.Random) -> None:
+    simulation.isolate(simulation.leader_label() or rng.choice(LABELS))
+
+
+def part(simulation: Simulation, rng: random.Random) -> None:
+    simulation.partition(rng.choice(LABELS))
+
+
+def zone_cut(simulation: Simulation, rng: random.Random) -> None:
+    """Controller c and the workers of its zone are alone together."""
+    simulation.isolate("c")
+    simulation.partitioned_from["users"].add("c")
+    for worker in simulation.alive():
+        if worker.zone == "south":
+            simulation.worker_controllers[worker.name] = "c"
+            worker.only_controller = "c"  # type: ignore[attr-defined]
+
+
+def leader_ends(simulation: Simulation, rng: random.Random) -> None:
+    simulation.crash(simulation.leader_label() or rng.choice(LABELS))
+
+
+def all_end(simulation: Simulation, rng: random.Random) -> None:
+    simulation.crash(*LABELS)
+    unhang(simulation)
+
+
+def unhang(simulation: Simulation) -> None:
+    """Machines go on.
+
+    Only the cloud can end a task on a machine that hangs for longer than a cancellation has: with no controller
+    to ask it, or no cloud, no service could keep the rule.
+    """
+    for worker in simulation.alive():
+        worker.hung = False
+
+
+def back_at_once(simulation: Simulation, rng: random.Random) -> None:
+    for label in [simulation.leader_label() or "a", rng.choice(LABELS)]:
+        simulation.crash(label)
+        simulation.start(label)
+
+
+def one_returns(simulation: Simulation, rng: random.Random) -> None:
+    missing = [label for label in LABELS if label not in simulation.processes]
+    if missing:
+        simulation.start(rng.choice(missing))
+
+
+def on_some(name: str) -> "Fault":
+    """Some machines fall into a state, or leave it."""
+
+    def happen(simulation: Simulation, rng: random.Random) -> None:
+        if name == "hung" and not (simulation.cloud_up and simulation.processes):
+            return
+        for worker in rng.sample(simulation.alive(), min(len(simulation.alive()), rng.choice([1, 1, 3]))):
+            setattr(worker, name, not getattr(worker, name))
+
+    happen.__name__ = name
+    return happen
+
+
+def die(simulation: Simulation, rng: random.Random) -> None:
+    if simulation.alive():
+        worker = rng.choice(simulation.alive())
+        worker.terminated = True
+        worker.tasks.clear()
+
+
+def machine_back_at_once(simulation: Simulation, rng: random.Random) -> None:
+    if simulation.alive():
+        rng.choice(simulation.alive()).restart()
+
+
+def late_writes(simulation: Simulation, rng: random.Random) -> None:
+    simulation.late_write_rate = rng.choice([0.0, 0.3, 0.6])
+
+
+def late_reports(simulation: Simulation, rng: random.Random) -> None:
+    simulation.duplicate_rate = rng.choice([0.0, 0.5])
+
+
+def held_commands(simulation: Simulation, rng: random.Random) -> None:
+    simulation.delayed_command_rate = rng.choice([0.0, 0.3])
+
+
+def slow_store(simulation: Simulation, rng: random.Random) -> None:
+    simulation.store_delay_s = rng.choice([0.0, 0.1, 0.6])
+
+
+def cloud_down(simulation: Simulation, rng: random.Random) -> None:
+    simulation.cloud_up = not simulation.cloud_up
+    unhang(simulation)
+
+
+def links_heal(simulation: Simulation, rng: random.Random) -> None:
+    simulation.partitioned_links.clear()
+    for labels in simulation.partitioned_from.values():
+        labels.clear()
+    for worker in simulation.alive():
+        worker.only_controller = None  # type: ignore[attr-defined]
+
+
+Fault = Callable[[Simulation, random.Random], None]
+
+FAULTS: list[Fault] = [
+    refuse_one,
+    outage,
+    outage_ends,
+    outage_ends,
+    lose_all_but_workers,
+    part,
+    zone_cut,
+    leader_ends,
+    all_end,
+    back_at_once,
+    one_returns,
+    one_returns,
+    on_some("hung"),
+    on_some("partitioned"),
+    on_some("inbound_cut"),
+    on_some("outbound_cut"),
+    on_some("fails_tasks"),
+    die,
+    machine_back_at_once,
+    late_writes,
+    late_reports,
+    held_commands,
+    slow_store,
+    cloud_down,
+    links_heal,
+    links_heal,
+]
+
+
+def some_job(rng: random.Random, number: int, known: list[str]) -> dict[str, object]:
+    """Return a submission; services are those with no estimate. Some need jobs that were accepted."""
+    rig = rng.choice(["array", "array", "group", "daemon"])
+    spread = rng.random() < 0.15
+    return raw_job(
+        number,
+        rig=rig,
+        crew=rng.choice(["red", "blue"]),
+        rank=rng.choice(["critical", "high", "standard", "best_effort"]),
+        hands=rng.choice([1, 2, 2, 3]),
+        cores=rng.choice([1.0, 4.0]),
+        harbor=None if spread else rng.choice([None, None, "north"]),
+        together=not spread and rng.random() < 0.3,
+        spread=spread,
+        driftwood=rng.random() < 0.3,
+        voyageS=0.0 if rig == "daemon" else rng.choice([5.0, 20.0, 60.0]),
+        mooringS=rng.choice([0.0, 10.0]),
+        tows=rng.sample(known, min(len(known), rng.choice([0, 1, 2]))),
+    )
+
+
+def accepted(simulation: Simulation) -> list[str]:
+    """Return the accepted jobs that others may need."""
+    return sorted(job_id for job_id in simulation.statuses if simulation.specs[job_id].kind is not JobKind.SERVICE)
+
+
+def run_fault_walk(seed: int, kind: type[Simulation] = Simulation) -> Simulation:
+    rng = random.Random(seed)
+    simulation = kind(seed, next={"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0})
+
+    async def scenario(simulation: Simulation) -> None:
+        number = 0
+        for _ in range(6):
+            number += 1
+            simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
+            await simulation.advance(0.5)
+        await simulation.advance(9.0)
+        for _ in range(rng.randrange(4, 12)):
+            for fault in rng.sample(FAULTS, 2):
+                fault(simulation, rng)
+                await simulation.advance(rng.choice([0.0, 0.1, 0.5, 2.0, 5.0]))
+                if rng.random() < 0.4:
+                    simulation.cancel_until_confirmed(f"req-{rng.randrange(1, number + 1):06d}")
+            if rng.random() < 0.5:
+                number += 1
+                simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
+            if rng.random() < 0.1:
+                simulation.lower_limits()
+            for _ in range(3):
+                await simulation.poll(f"req-{rng.randrange(1, number + 1):06d}")
+            await simulation.advance(rng.choice([0.5, 3.0, 15.0, 40.0]))
+            if not simulation.cloud_up or not simulation.processes:
+                unhang(simulation)
+            if rng.random() < 0.5:
+                simulation.cloud_up = True
+        await simulation.verify_recovery()
+
+    simulation.run_scenario(scenario)
+    return simulation
+
+
+@pytest.mark.parametrize("seed", range(30))
+def test_no_pair_of_troubles_breaks_a_rule(seed: int) -> None:
+    simulation = run_fault_walk(seed)
+    assert simulation.task_starts > 3
