--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -22,7 +22,7 @@
 # The least memory that a process needs (measured), in MB.
 MIN_MEMORY_MB = 64
 # The pause before a loop that failed runs again, as a fraction of the heartbeat interval.
-LOOP_RESTART_PAUSE = 1 / 10
+LOOP_RESTART_PAUSE_INTERVALS = 1 / 10
 
 
 class Controller:
@@ -34,13 +34,13 @@
         tuning: Tuning,
         rng: random.Random | None = None,
         clock: Callable[[], float] = time.monotonic,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         factories: Factories | None = None,
     ) -> None:
         self.platform = platform
         self.tuning = tuning
         self.clock = clock
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.rng = rng if rng is not None else random.Random()
         factories = factories if factories is not None else Factories()
         network = factories.network(platform, clock, self.reply_front, self.handle_back)
@@ -79,7 +79,7 @@
                     "deployment.resources.memory_mb is %g: at least %d are needed", platform.memory_mb, MIN_MEMORY_MB
                 )
             log.info("controller %s: listening on %s and %s", platform.label, platform.bind, platform.back)
-            pause_s = platform.report_s * LOOP_RESTART_PAUSE
+            pause_s = platform.report_s * LOOP_RESTART_PAUSE_INTERVALS
             # Not a TaskGroup: a loop that is cancelled ends the process here, a group would go on without it.
             await asyncio.gather(*(run_for_ever(loop, pause_s) for loop in self._loops()))
 
@@ -124,7 +124,7 @@
             self.tuning,
             self.rng,
             self.clock,
-            self.wall,
+            self.wall_clock,
             overload_pause_s=lambda: self.overload.pause_s,
         )
         self.commit_pipeline.start_term(found.marker_mod_revision)
--- a/driftcleat/controller/network.py
+++ b/driftcleat/controller/network.py
@@ -14,7 +14,7 @@
 # Where workers send their heartbeats.
 HEARTBEAT_PATH = "/agent/beat"
 # The largest message between controllers, in bytes.
-MAX_PEER_BODY = 256 * 1024
+MAX_PEER_BODY_BYTES = 256 * 1024
 
 
 class Network(Protocol):
@@ -47,7 +47,7 @@
         process_clients = make_clients(platform, sockets, clock)
         self.clients = process_clients.for_controller(platform)
         self.front = Listener(front, sockets.front, MAX_BODY, HEARTBEAT_PATH)
-        self._back = Listener(back, sockets.back, MAX_PEER_BODY, None)
+        self._back = Listener(back, sockets.back, MAX_PEER_BODY_BYTES, None)
         self._platform = platform
         self._connections = process_clients.connections
 
--- a/driftcleat/controller/recovery.py
+++ b/driftcleat/controller/recovery.py
@@ -67,7 +67,7 @@
     tuning: Tuning,
     rng: random.Random,
     clock: Callable[[], float],
-    wall: Callable[[], float],
+    wall_clock: Callable[[], float],
     overload_pause_s: Callable[[], float],
 ) -> RecoveredTerm:
     """Read all records and build the scheduler of the term with this fencing token from them.
@@ -87,7 +87,7 @@
         layout,
         rng,
         clock,
-        wall,
+        wall_clock,
         brand_new=records.batch_marker is None,
         overload_pause_s=overload_pause_s,
     )
--- a/driftcleat/leadership/leader_loop.py
+++ b/driftcleat/leadership/leader_loop.py
@@ -117,7 +117,7 @@
             raise LeaseNotFoundError(f"controller {self._state.label} holds no lease")
         sent_at = self._state.clock()
         await self._store.keep_lease_alive(lease, self._state.ttl_s * KEEP_ALIVE_TIMEOUT)
-        self._state.lease.record_renewal(sent_at)
+        self._state.lease.record_keep_alive(sent_at)
 
     @contextmanager
     def keeping_alive(self) -> Iterator[None]:
--- a/driftcleat/leadership/lease.py
+++ b/driftcleat/leadership/lease.py
@@ -19,11 +19,11 @@
         self.lease_id = lease
         self._valid_until = sent_at + self.ttl_s * (1 - self.drift)
 
-    def record_renewal(self, sent_at: float) -> None:
+    def record_keep_alive(self, sent_at: float) -> None:
         """The lease was kept alive by a request sent at that moment."""
         self._valid_until = max(self._valid_until, sent_at + self.ttl_s * (1 - self.drift))
 
-    def surrender(self, now: float) -> None:
+    def invalidate(self, now: float) -> None:
         """From now on another controller may hold the leader key, although the lease goes on."""
         self._valid_until = min(self._valid_until, now)
 
--- a/driftcleat/sharing/election.py
+++ b/driftcleat/sharing/election.py
@@ -142,7 +142,7 @@
             return None
         now = state.clock()
         self._handing_over_until = now + state.ttl_s * HANDOVER_TIMEOUT
-        state.lease.surrender(now)
+        state.lease.invalidate(now)
         state.peers_confirmed_at = float("-inf")
         state.transition(Role.UNCONFIRMED_LEADER)
         self._wake.set()
@@ -180,7 +180,7 @@
         lease = self._state.lease.lease_id
         sent_at = await self._process_lease.renew(lease if lease is not None else -1)
         if not self.handing_over:
-            self._state.lease.record_renewal(sent_at)
+            self._state.lease.record_keep_alive(sent_at)
 
 
 class ShareElection(Election):
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -161,7 +161,7 @@
         scheduler = self.active_term.deciding_scheduler
         if scheduler is None:
             return None
-        demands = demands_of(scheduler, self._full_teams, self.wall())
+        demands = demands_of(scheduler, self._full_teams, self.wall_clock())
         queued = sum(job.tasks_queued for job in scheduler.queue.queued().jobs)
         return ShareStatus(
             self.share, scheduler.cluster.fencing_token, len(scheduler.cluster.machines), queued, demands
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -15,8 +15,8 @@
 from driftcleat.api import Answer, Listener, serve
 from driftcleat.api.server import Reply
 from driftcleat.controller.clients import make_clients
-from driftcleat.controller.controller import LOOP_RESTART_PAUSE
-from driftcleat.controller.network import HEARTBEAT_PATH, MAX_PEER_BODY
+from driftcleat.controller.controller import LOOP_RESTART_PAUSE_INTERVALS
+from driftcleat.controller.network import HEARTBEAT_PATH, MAX_PEER_BODY_BYTES
 from driftcleat.leadership import Election
 from driftcleat.net import HttpClient, SocketBudget
 from driftcleat.peers import PeerClient
@@ -81,7 +81,7 @@
         self._assemble()
         servers = await self.listen(sockets)
         log.info("controller %s shares machines, up to %d shares", self.platform.label, self.settings.shares)
-        pause_s = self.platform.report_s * LOOP_RESTART_PAUSE
+        pause_s = self.platform.report_s * LOOP_RESTART_PAUSE_INTERVALS
         loops: Sequence[Callable[[], Awaitable[None]]] = [
             self.view.run,
             self.transfers.run,
@@ -232,7 +232,7 @@
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
         """Open the addresses that are served."""
         self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=HEARTBEAT_PATH)
-        back = await serve(self.platform.back, self.handle_back, sockets.back, MAX_PEER_BODY)
+        back = await serve(self.platform.back, self.handle_back, sockets.back, MAX_PEER_BODY_BYTES)
         return [back, self.front]
 
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
--- a/driftcleat/store/decoding.py
+++ b/driftcleat/store/decoding.py
@@ -14,7 +14,7 @@
 from driftcleat.wire.job_ids import decode_job_ids
 
 # Records that a full read decodes before it yields to other coroutines.
-RECORDS_AT_ONCE = 20
+RECORDS_PER_SLICE = 20
 
 
 class DecodedJobs(NamedTuple):
@@ -49,11 +49,11 @@
     thousands of machines' tasks.
     """
     jobs: dict[str, Job] = {}
-    async for key_value in in_slices(heads, RECORDS_AT_ONCE):
+    async for key_value in in_slices(heads, RECORDS_PER_SLICE):
         job = decode_head(key_value)
         jobs[job.id] = job
     orphans = [
-        key_value.key async for key_value in in_slices(chunks, RECORDS_AT_ONCE) if not _load_chunk(jobs, key_value)
+        key_value.key async for key_value in in_slices(chunks, RECORDS_PER_SLICE) if not _load_chunk(jobs, key_value)
     ]
     return DecodedJobs(jobs, orphans)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,7 +13,7 @@
 from driftcleat.capacity.sizing import CapacityPlan, MachineOffer
 from driftcleat.cloud.client import MAX_MACHINES_PER_DELETE
 from driftcleat.cloud.manager import FleetManager
-from driftcleat.controller.network import MAX_PEER_BODY
+from driftcleat.controller.network import MAX_PEER_BODY_BYTES
 from driftcleat.controller.overload import OverloadDetector
 from driftcleat.net import SocketBudget
 from driftcleat.peers.server import MAX_CANCELLED_JOBS
@@ -147,7 +147,7 @@
             await asyncio.sleep(0)
         jobs, orphans = loading.result()
         assert len(jobs) == 1000 and len(orphans) == 500
-        assert turns >= 1500 // decoding.RECORDS_AT_ONCE
+        assert turns >= 1500 // decoding.RECORDS_PER_SLICE
 
     asyncio.run(run())
 
@@ -174,7 +174,7 @@
     if message == "view":
         sent = messages.ViewResponse("a", "leading", "a", 7, 0.1, 0.1, True, status, 2)
     body = wire.encode(sent)
-    assert len(body) < MAX_PEER_BODY
+    assert len(body) < MAX_PEER_BODY_BYTES
     assert wire.decode(body, messages.PeerMessage) == sent  # type: ignore[arg-type]
     # A version before reads the same array, and knows no bound of names.
     assert json.loads(body)[0] == message
@@ -183,7 +183,7 @@
 def test_a_passed_on_request_at_its_largest_is_taken() -> None:
     """Every byte of a body may take two once it stands in a message's string."""
     body = ("{" + "\t" * 65_000 + "}").encode()
-    assert len(wire.encode(messages.ForwardRequest("POST", "/v1/jobs", body.decode()))) < MAX_PEER_BODY
+    assert len(wire.encode(messages.ForwardRequest("POST", "/v1/jobs", body.decode()))) < MAX_PEER_BODY_BYTES
 
 
 def test_the_work_of_a_take_over_grows_with_the_machines_and_not_faster() -> None:
