--- a/driftcleat/leadership/__init__.py
+++ b/driftcleat/leadership/__init__.py
@@ -1,4 +1,8 @@
-"""Leadership: one leader by a key attached to a lease; the mod revision of the winning put is the fencing token."""
+"""Leader election on the state service.
+
+The leader key is attached to a lease, so at most one controller leads. The mod revision of the put that created the
+key is the fencing token of the term.
+"""
 
 from driftcleat.leadership.active_term import ActiveTerm
 from driftcleat.leadership.campaign import Campaign
--- a/driftcleat/leadership/active_term.py
+++ b/driftcleat/leadership/active_term.py
@@ -1,7 +1,6 @@
-"""The term in force in this process, and the events that wake whoever waits for it.
+"""The current leader term of this process, and the events that report new work and commits.
 
-This package knows nothing of what a leader decides: the scheduler of a term is a type parameter here, so that the
-scheduler and all that uses both may import this package, and not the other way round.
+The scheduler is a type parameter, so this package does not import the scheduler package.
 """
 
 import asyncio
@@ -14,62 +13,66 @@
 
 
 class ActiveTerm(Generic[SchedulerT]):
-    """The one place that keeps the term in force: its scheduler, None while this controller does not lead."""
+    """Holds the scheduler of the current leader term; None while this controller does not lead."""
 
-    # Set once by `attach`. Reading it earlier is an AttributeError; not a property, since every heartbeat reads it.
+    # Set once by `attach`; reading it earlier raises AttributeError. A plain attribute, since each heartbeat reads it
+    # and a property would cost a call.
     election: Election
 
     def __init__(self) -> None:
         self.scheduler: SchedulerT | None = None
-        # Set when there may be something to decide.
+        # Set when a batch may have to be built.
         self.work_available = asyncio.Event()
-        # Set with each commit, for whoever sizes the fleet.
+        # Set after each commit; wakes the autoscaler and the provisioner.
         self.state_changed = asyncio.Event()
         self._committed = asyncio.Event()
 
     def attach(self, election: Election) -> None:
-        """Give the election, once, before any loop or server starts.
+        """Set the election. To be called once, before any loop or server starts.
 
-        Not given to the constructor, since what the election calls is itself made with the active term.
+        The election cannot be a constructor argument, since its callbacks are built with the active term.
         """
         self.election = election
 
     @property
     def may_decide(self) -> bool:
-        """Whether this controller leads for certain."""
+        """Whether this controller leads with a valid lease, and has recovered the cluster state."""
         return self.scheduler is not None and self.election.may_decide
 
     @property
     def deciding_scheduler(self) -> SchedulerT | None:
-        """The scheduler of the term if decisions may be made in it."""
+        """The scheduler if this controller may make and commit decisions, else None."""
         return self.scheduler if self.may_decide else None
 
     @property
     def enforcing_scheduler(self) -> SchedulerT | None:
-        """The scheduler of the term if its committed stops are to be carried out: also while it is unconfirmed."""
+        """The scheduler if its committed stops are to be carried out, else None.
+
+        An unconfirmed leader carries them out too, for as long as it may answer heartbeats.
+        """
         unconfirmed = self.election.role is Role.UNCONFIRMED_LEADER and self.election.may_answer_heartbeats
         return self.scheduler if unconfirmed or self.may_decide else None
 
     @property
     def leader(self) -> str | None:
-        """The leader's label as far as known."""
+        """The label of the last known leader; None if no leader is known."""
         return self.election.leader
 
     def wake_committer(self) -> None:
-        """There may be something to decide."""
+        """Wake the commit pipeline, since a batch may have to be built."""
         self.work_available.set()
 
     def announce_commit(self) -> None:
-        """A batch was committed or given up: wake whoever waits for that to look at the state again."""
+        """Wake all callers of `wait_for_commit`, after a batch was committed or discarded, or the term has ended."""
         self._committed.set()
         self._committed = asyncio.Event()
         self.state_changed.set()
 
     async def wait_for_commit(self) -> None:
-        """Wait for the next announcement."""
+        """Wait for the next `announce_commit`. The caller must check the state again afterwards."""
         await self._committed.wait()
 
-    def step_down(self, scheduler: SchedulerT, why: str) -> None:
-        """Step down from a term, if it is still the one in force."""
+    def step_down(self, scheduler: SchedulerT, reason: str) -> None:
+        """Request to step down from the term of `scheduler`; no effect if that term has already ended."""
         if self.scheduler is scheduler:
-            self.election.request_step_down(why)
+            self.election.request_step_down(reason)
--- a/driftcleat/leadership/callbacks.py
+++ b/driftcleat/leadership/callbacks.py
@@ -1,4 +1,4 @@
-"""What the election calls in the rest of the controller."""
+"""Callbacks from the election into the rest of the controller."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -10,10 +10,11 @@
 class ElectionCallbacks:
     """Functions of the controller that the election calls."""
 
-    # Read the records and begin the term with this fencing token.
+    # Reads all records and begins the term with this fencing token.
     recover: Callable[[int], Awaitable[None]]
-    # The term is over.
+    # Called after the term has ended.
     on_step_down: Callable[[], None]
-    # Ask every other controller, or the known leader alone.
+    # Queries every other controller.
     ask_peers: Callable[[], Awaitable[PeerSurvey]]
+    # Queries only the known leader.
     ask_leader: Callable[[], Awaitable[PeerSurvey]]
--- a/driftcleat/leadership/campaign.py
+++ b/driftcleat/leadership/campaign.py
@@ -1,4 +1,4 @@
-"""A campaign: one try to become the leader, from the grant of a lease to the end of recovery."""
+"""A campaign: one attempt to become the leader, from the grant of a lease to the end of recovery."""
 
 from driftcleat.leadership.callbacks import ElectionCallbacks
 from driftcleat.leadership.leader_key import LeaderRecord
@@ -12,7 +12,7 @@
 
 
 class Campaign:
-    """Puts the leader key, attached to a lease of ours, if nobody else holds it."""
+    """Creates the leader key, attached to a lease of this controller, unless another controller holds the key."""
 
     def __init__(
         self,
@@ -29,10 +29,10 @@
         self._incarnation = incarnation
 
     async def run(self) -> None:
-        """Campaign once: afterwards this controller is the leader, or a follower again.
+        """Campaign once; afterwards this controller is either the leader or a follower again.
 
-        Raises `StoreError` in the role campaigning or recovering if the store fails in between: the caller has to
-        step down and revoke the lease.
+        Raises `StoreError` if a request to the store fails. The role is then still campaigning or recovering, and the
+        caller must step down and revoke the lease.
         """
         state = self._state
         state.transition(Role.CAMPAIGNING)
@@ -51,27 +51,27 @@
         state.transition(Role.LEADER)
 
     def transaction(self, lease: int) -> messages.Transaction:
-        """Return the transaction that makes this controller the leader, if nobody is."""
+        """Return the transaction that creates the leader key; its compare fails if the key exists."""
         value = LeaderRecord(self._state.label, self._incarnation)
         return messages.Transaction([messages.Compare(LEADER_KEY, 0)], [messages.Put(LEADER_KEY, value, lease)])
 
     async def _put_leader_key(self, lease: int) -> int | None:
-        """Return the revision of our put, which is the fencing token; None if the campaign is lost."""
+        """Return the mod revision of the new leader key, which is the fencing token; None if the campaign is lost."""
         try:
             return await self._store.commit(self.transaction(lease))
         except CompareFailedError:
-            await self._lose(lease, "another controller holds the leader key")
+            await self._abandon(lease, "another controller holds the leader key")
             return None
         except StoreError:
-            # The outcome is unknown: the leader key tells.
+            # The put may have been carried out: read the key, and check whether it is attached to our lease.
             key_value = await self._store.get(LEADER_KEY)
             if key_value is None or key_value.lease_id != lease:
-                await self._lose(lease, "the leader key was not put")
+                await self._abandon(lease, "the leader key was not created")
                 return None
             return key_value.mod_revision
 
-    async def _lose(self, lease: int, why: str) -> None:
-        self._leader_loop.step_down(why)
+    async def _abandon(self, lease: int, reason: str) -> None:
+        self._leader_loop.step_down(reason)
         await self._leader_loop.revoke_lease(lease)
 
     def _begin_term(self, token: int) -> None:
--- a/driftcleat/leadership/election.py
+++ b/driftcleat/leadership/election.py
@@ -1,4 +1,4 @@
-"""The election: the facade of this package, and the loop that runs what belongs to the current role."""
+"""The election: the entry point of this package, with the loop that performs the current role."""
 
 import asyncio
 import logging
@@ -19,18 +19,18 @@
 
 log = logging.getLogger(__name__)
 
-# Pauses as parts of the leader lease: the bounds of the random pause after the store has failed, and the pause after
+# In TTLs of the leader lease: the bounds of the random pause after a failed request to the store, and the pause after
 # an unexpected error.
-STORE_ERROR_PAUSE_MIN = 0.05
-STORE_ERROR_PAUSE_MAX = 0.12
-UNEXPECTED_ERROR_PAUSE = 0.2
+MIN_STORE_ERROR_PAUSE_TTLS = 0.05
+MAX_STORE_ERROR_PAUSE_TTLS = 0.12
+UNEXPECTED_ERROR_PAUSE_TTLS = 0.2
 
 
 class Election(LeadershipState):
-    """Takes part in the election, and holds leadership once it is won.
+    """Campaigns for leadership, holds it once it is won, and follows the leader otherwise.
 
-    It is the leadership state itself, so that the permissions that every heartbeat asks for cost one call. The parts
-    that change the state are made by the `make_...` methods, which a kind of election with other rules overrides.
+    A subclass of the leadership state, so that the permission checks of each heartbeat cost a single call. The parts
+    that change the state are created by the `make_...` methods, which a subclass with other rules may override.
     """
 
     def __init__(
@@ -54,23 +54,23 @@
         self._rng = rng
 
     def make_leader_loop(self, store: StoreClient, platform: Platform, tuning: Tuning) -> LeaderLoop:
-        """Return what holds leadership."""
+        """Return the loop that holds leadership."""
         return LeaderLoop(self, store, self.callbacks, platform, tuning)
 
     def make_campaign(self, store: StoreClient, incarnation: str) -> Campaign:
-        """Return what campaigns for the leader key."""
+        """Return the campaign for the leader key."""
         return Campaign(self, store, self.leader_loop, self.callbacks, incarnation)
 
     def make_follower_loop(self, rng: random.Random) -> FollowerLoop:
-        """Return what follows the leader."""
+        """Return the loop that follows the leader."""
         return FollowerLoop(self, self.leader_key, self.campaign, self.callbacks, rng)
 
-    def request_step_down(self, why: str) -> None:
+    def request_step_down(self, reason: str) -> None:
         """Step down as soon as possible, if this controller leads."""
-        self.leader_loop.request_step_down(why)
+        self.leader_loop.request_step_down(reason)
 
     async def run(self) -> None:
-        """Take part for ever."""
+        """Run the election forever; after an error of the store or an unexpected one, log it, pause and go on."""
         await self.leader_key.revoke_previous_incarnation()
         while True:
             try:
@@ -78,11 +78,13 @@
             except StoreError as error:
                 log.debug("term %d: election: store request failed: %s", self.leader_fencing_token, error)
                 await self._handle_store_error(error)
-                await asyncio.sleep(self.ttl_s * self._rng.uniform(STORE_ERROR_PAUSE_MIN, STORE_ERROR_PAUSE_MAX))
+                await asyncio.sleep(
+                    self.ttl_s * self._rng.uniform(MIN_STORE_ERROR_PAUSE_TTLS, MAX_STORE_ERROR_PAUSE_TTLS)
+                )
             except Exception:
                 log.exception("term %d: election: unexpected error", self.leader_fencing_token)
                 self.leader_loop.step_down("unexpected error")
-                await asyncio.sleep(self.ttl_s * UNEXPECTED_ERROR_PAUSE)
+                await asyncio.sleep(self.ttl_s * UNEXPECTED_ERROR_PAUSE_TTLS)
 
     async def _step(self) -> None:
         if self.role in (Role.FOLLOWER, Role.PARTITIONED):
@@ -90,11 +92,11 @@
         elif self.role in (Role.LEADER, Role.UNCONFIRMED_LEADER):
             await self.leader_loop.step()
         else:
-            # An earlier run of this loop ended within a campaign.
+            # An earlier run of this loop was interrupted within a campaign.
             self.leader_loop.step_down(f"{self.role.log_name} was interrupted")
 
     async def _handle_store_error(self, error: StoreError) -> None:
-        """A campaign ends with the first request that fails; a follower finds out whether it is partitioned."""
+        """Abandon a campaign whose request failed; as a follower, check whether this controller is partitioned."""
         if self.role in (Role.CAMPAIGNING, Role.RECOVERING):
             lease = self.lease.lease_id
             self.leader_loop.step_down(str(error))
--- a/driftcleat/leadership/follower_loop.py
+++ b/driftcleat/leadership/follower_loop.py
@@ -1,4 +1,4 @@
-"""What a follower does: watches the leader key, campaigns when nobody leads, keeps leases in a partition."""
+"""The follower's loop: watches the leader key, campaigns if there is no leader, detects a partition."""
 
 import asyncio
 import random
@@ -9,14 +9,14 @@
 from driftcleat.leadership.permissions import LeadershipState
 from driftcleat.leadership.role import Role
 
-# Times as parts of the leader lease: the longest sleep while this controller backs off from campaigning, and the
-# longest random delay before a campaign, which keeps followers from campaigning all at once.
-BACK_OFF_PAUSE = 0.25
-CAMPAIGN_JITTER = 0.02
+# In TTLs of the leader lease: the longest sleep while this controller backs off from campaigning, and the longest
+# random delay before a campaign, which keeps followers from campaigning at the same moment.
+MAX_BACK_OFF_PAUSE_TTLS = 0.25
+MAX_CAMPAIGN_JITTER_TTLS = 0.02
 
 
 class FollowerLoop:
-    """Follows the leader, in the roles follower and partitioned."""
+    """Follows the leader in the roles follower and partitioned, and campaigns if there is no leader."""
 
     def __init__(
         self,
@@ -33,9 +33,9 @@
         self._rng = rng
 
     async def step(self) -> None:
-        """Read the leader key; then wait for it to change if somebody leads, else campaign.
+        """Read the leader key; if there is a leader, wait for the key to change, else campaign.
 
-        Raises `StoreError` if the store does not answer: see `check_partition`.
+        Raises `StoreError` if a request to the store fails; the caller should then call `check_partition`.
         """
         key_value = await self._leader_key.read()
         if self._state.role is Role.PARTITIONED:
@@ -45,27 +45,32 @@
             await self._campaign_unless_backing_off()
             return
         self._leader_key.record(key_value)
-        # Guards against waiting for a previous incarnation: its put was carried out after we had looked at the start.
+        # A put by the previous incarnation of this controller may be carried out after the check at startup. Without
+        # this second check, this controller would follow itself until the lease expires.
         if await self._leader_key.revoke_if_ours(key_value):
             return
         self._state.record_leader_contact(await self._callbacks.ask_leader())
         await self.wait_for_change()
 
     async def wait_for_change(self) -> None:
-        """Wait until the leader key changes, or long enough to read it again."""
+        """Wait until the leader key changes, for at most one TTL of the leader lease."""
         await self._leader_key.wait_for_change()
 
     async def _campaign_unless_backing_off(self) -> None:
         state = self._state
         now = state.clock()
         if now < state.back_off_until:
-            await asyncio.sleep(min(state.ttl_s * BACK_OFF_PAUSE, state.back_off_until - now))
+            await asyncio.sleep(min(state.ttl_s * MAX_BACK_OFF_PAUSE_TTLS, state.back_off_until - now))
             return
-        await asyncio.sleep(self._rng.uniform(0.0, CAMPAIGN_JITTER) * state.ttl_s)
+        await asyncio.sleep(self._rng.uniform(0.0, MAX_CAMPAIGN_JITTER_TTLS) * state.ttl_s)
         await self._campaign.run()
 
     async def check_partition(self) -> None:
-        """The store does not serve us: if no controller reaches it either, keep the leases of workers that report."""
+        """Query the other controllers after a request to the store has failed, and adapt the role.
+
+        If no other controller reaches the store either, become partitioned: keep the leases of the workers that send
+        heartbeats here.
+        """
         state = self._state
         survey = await self._callbacks.ask_peers()
         state.observe_leader(survey.leader, survey.highest_fencing_token)
--- a/driftcleat/leadership/leader_key.py
+++ b/driftcleat/leadership/leader_key.py
@@ -1,4 +1,4 @@
-"""Reading and watching the leader key, which says who leads."""
+"""Reads and watches the leader key, which names the current leader."""
 
 import asyncio
 import logging
@@ -14,10 +14,10 @@
 
 log = logging.getLogger(__name__)
 
-# Attempts to revoke the lease of a previous incarnation at the start, and the pause between two of them as a part of
+# At startup: attempts to revoke the lease of the previous incarnation, and the pause between two of them, in TTLs of
 # the leader lease.
-REVOKE_ATTEMPTS = 3
-REVOKE_RETRY_PAUSE = 0.1
+MAX_REVOKE_ATTEMPTS = 3
+REVOKE_RETRY_PAUSE_TTLS = 0.1
 
 
 class LeaderRecord(msgspec.Struct, array_like=True):
@@ -28,29 +28,29 @@
 
 
 class LeaderKey:
-    """The leader key as the store shows it; what is read goes into the leadership state."""
+    """Reads the leader key from the store, and records the leader in the leadership state."""
 
     def __init__(self, state: LeadershipState, store: StoreClient) -> None:
         self._state = state
         self._store = store
-        # The store's revision as of the last read, from which the watch starts.
+        # The store's revision at the last read; the watch starts from it.
         self._revision = 0
 
     async def read(self) -> messages.KeyValue | None:
-        """Return the leader key; None if nobody leads."""
-        # A read that hangs must not outlast the workers' leases.
+        """Return the leader key; None if there is no leader."""
+        # The timeout is one TTL, so that a read that hangs ends before the workers' leases expire.
         page = await self._store.list_page(LEADER_KEY, None, 1, self._state.ttl_s)
         self._revision = page.revision
         return page.key_values[0] if page.key_values else None
 
     async def wait_for_change(self) -> None:
-        """Wait until the leader key changes after the last read, for the time of a leader lease at most."""
-        answer = await self._store.watch(LEADER_KEY, self._revision, self._state.ttl_s)
-        if answer is not None and answer.events:
+        """Wait until the leader key changes after the last read, for at most one TTL of the leader lease."""
+        response = await self._store.watch(LEADER_KEY, self._revision, self._state.ttl_s)
+        if response is not None and response.events:
             log.debug("term %d: leader key changed", self._state.leader_fencing_token)
 
     def record(self, key_value: messages.KeyValue) -> None:
-        """Note who leads by a leader key that was read."""
+        """Record the leader and the fencing token from a leader key that was read."""
         state = self._state
         label = _decode(key_value).controller_id
         if label != state.leader:
@@ -60,9 +60,9 @@
         state.has_read_leader_key = True
 
     async def revoke_if_ours(self, key_value: messages.KeyValue) -> bool:
-        """Revoke the lease of a leader key that a previous incarnation of this controller has put.
+        """Revoke the lease of a leader key that a previous incarnation of this controller created.
 
-        To be called while this incarnation does not lead. Return whether the key was such a one.
+        To be called only while this incarnation does not lead. Return whether the key belonged to this controller.
         """
         if key_value.lease_id is None or _decode(key_value).controller_id != self._state.label:
             return False
@@ -71,15 +71,15 @@
         return True
 
     async def revoke_previous_incarnation(self) -> None:
-        """Revoke the lease of a leader that was restarted, so that nobody waits for it to expire."""
-        for _ in range(REVOKE_ATTEMPTS):
+        """Revoke a leader lease held before a restart, so that the next leader need not wait for its expiry."""
+        for _ in range(MAX_REVOKE_ATTEMPTS):
             try:
                 key_value = await self._store.get(LEADER_KEY)
                 if key_value is not None:
                     await self.revoke_if_ours(key_value)
             except (StoreError, wire.WireError) as error:
-                log.debug("controller %s: lease of a previous incarnation: %s", self._state.label, error)
-                await asyncio.sleep(self._state.ttl_s * REVOKE_RETRY_PAUSE)
+                log.debug("controller %s: lease of a previous incarnation not revoked: %s", self._state.label, error)
+                await asyncio.sleep(self._state.ttl_s * REVOKE_RETRY_PAUSE_TTLS)
             else:
                 return
 
--- a/driftcleat/leadership/lease.py
+++ b/driftcleat/leadership/lease.py
@@ -1,45 +1,46 @@
-"""How long the leader lease is certainly valid, by the steady clock of this process."""
+"""Tracks how long the leader lease is certainly valid, by the monotonic clock of this process."""
 
 
 class LeaseClock:
-    """Validity of one lease: counted from before a keep-alive was sent, less the greatest drift between clocks.
+    """A lower bound on the validity of one lease.
 
-    Moments are seconds of the caller's clock; minus infinity means never valid.
+    Validity counts from the moment before a grant or keep-alive request was sent, and is shortened by the greatest
+    assumed clock drift. All times are seconds of the caller's clock; minus infinity means never valid.
     """
 
     def __init__(self, ttl_s: float, drift: float) -> None:
         self.ttl_s = ttl_s
-        # The part of the time to live that is given up for clocks that drift apart.
+        # The fraction of the TTL that is subtracted for clock drift between this process and the store.
         self.drift = drift
         self.lease_id: int | None = None
         self._valid_until = float("-inf")
 
     def record_grant(self, lease: int, sent_at: float) -> None:
-        """A lease was granted by a request sent at that moment."""
+        """Start to track a lease that was granted by a request sent at `sent_at`."""
         self.lease_id = lease
         self._valid_until = sent_at + self.ttl_s * (1 - self.drift)
 
     def record_keep_alive(self, sent_at: float) -> None:
-        """The lease was kept alive by a request sent at that moment."""
+        """Extend the validity after a successful keep-alive request that was sent at `sent_at`."""
         self._valid_until = max(self._valid_until, sent_at + self.ttl_s * (1 - self.drift))
 
     def invalidate(self, now: float) -> None:
-        """From now on another controller may hold the leader key, although the lease goes on."""
+        """End the validity at `now`, since another controller may take the leader key although the lease goes on."""
         self._valid_until = min(self._valid_until, now)
 
     def clear(self) -> None:
-        """The lease is no longer ours, or has expired."""
+        """Forget the lease, after it was revoked or has expired."""
         self.lease_id = None
         self._valid_until = float("-inf")
 
     def is_valid(self, now: float) -> bool:
-        """Whether no other controller can hold the leader key."""
+        """Whether the lease is certainly valid, so that no other controller can hold the leader key."""
         return self.lease_id is not None and now < self._valid_until
 
     def held_until(self, now: float) -> float:
-        """Return the last moment, now at the latest, up to which no other controller can have held the key."""
+        """Return the latest time, at most `now`, until which no other controller can have held the leader key."""
         return min(now, self._valid_until)
 
     def remaining_s(self, now: float) -> float:
-        """Return the seconds for which the lease is certainly valid."""
+        """Return the seconds for which the lease is still certainly valid; 0.0 without a lease."""
         return max(0.0, self._valid_until - now) if self.lease_id is not None else 0.0
--- a/driftcleat/leadership/permissions.py
+++ b/driftcleat/leadership/permissions.py
@@ -1,4 +1,4 @@
-"""What a controller knows about the leadership, and what it may do by that in each role.
+"""The leadership state of a controller, and what it may do in each role.
 
 | role               | decide, commit       | answer heartbeats | send starts          | keep worker leases only   |
 | ------------------ | -------------------- | ----------------- | -------------------- | ------------------------- |
@@ -9,10 +9,10 @@
 | leader             | while lease is valid | yes, bounded      | while certain        | -                         |
 | unconfirmed leader | no                   | yes, bounded      | while certain        | -                         |
 
-- bounded: until `max_unconfirmed_s` after `last_confirmed_at`; keeping worker leases has the same bound, counted from
+- bounded: until `max_unconfirmed_s` after `last_confirmed_at`. Keeping worker leases has the same bound, counted from
   the last contact with a leader.
-- while certain: while the lease is valid, or every other controller has confirmed a moment ago that nobody leads
-  after us.
+- while certain: while the lease is valid, or if every other controller has confirmed within the last
+  `PEER_CONFIRMATION_VALIDITY_TTLS` that there is no later leader.
 """
 
 import logging
@@ -25,45 +25,46 @@
 
 log = logging.getLogger(__name__)
 
-# How long a confirmation by all other controllers permits to send starts, as a part of the leader lease.
-PEER_CONFIRMATION_VALIDITY = 0.4
+# How long a confirmation by all other controllers permits this one to send starts, in TTLs of the leader lease.
+PEER_CONFIRMATION_VALIDITY_TTLS = 0.4
 
 _NEVER = float("-inf")
 
 
 class LeadershipState(RoleStateMachine):
-    """The role, the known leader and the moments from which every permission is derived.
+    """The role, the known leader and the timestamps from which all permissions are derived.
 
-    Moments are seconds of `clock`, a steady clock of this process; minus infinity means never.
+    Timestamps are seconds of `clock`, a monotonic clock of this process; minus infinity means never.
     """
 
     def __init__(self, platform: Platform, tuning: Tuning, clock: Callable[[], float]) -> None:
         super().__init__()
         self.label = platform.label
         self.clock = clock
-        # The leader lease: its full time to live, and what is left of ours.
+        # The TTL of a leader lease, and the validity of this controller's own lease.
         self.ttl_s = platform.lease_s * tuning.leader_ttl_leases
         self.lease = LeaseClock(self.ttl_s, tuning.clock_drift_share)
-        # Our own latest term; 0 before the first.
+        # The fencing token of this controller's latest own term; 0 before the first.
         self.fencing_token = 0
-        # The controller that leads as far as known.
+        # The label of the last known leader.
         self.leader: str | None = None
-        # Whether a leader key was read in this incarnation: before, an earlier incarnation of ours may have led
-        # without our knowledge.
+        # Whether a leader key was read in this incarnation. Until then, a previous incarnation of this controller may
+        # have led in a term that this one does not know.
         self.has_read_leader_key = False
-        # No campaign before this moment.
+        # No campaign starts before this time.
         self.back_off_until = _NEVER
-        # While unconfirmed: when every other controller last confirmed that nobody leads after us.
+        # For an unconfirmed leader: when every other controller last confirmed that there is no later leader.
         self.peers_confirmed_at = _NEVER
-        # As of when a leader that we have heard from was confirmed, and the cancelled jobs whose tasks it had yet to
-        # see terminated. Before the first contact no lease is kept: a leader may have confirmed cancellations that we
-        # never heard of.
+        # When the leader that last responded was itself confirmed, and the cancelled jobs whose tasks it had not yet
+        # seen terminated. No worker lease is kept before the first contact, since a leader may have confirmed
+        # cancellations that this controller does not know.
         self.leader_contact_at = _NEVER
         self.cancelled_jobs: frozenset[str] = frozenset()
-        # Whether somebody else leads in a term that we do not know, or may do so: no lease is ours to keep.
+        # Whether another controller leads, or may lead, in a term that is not known here. If so, this controller must
+        # not keep worker leases as a partitioned follower.
         self.superseded = False
-        # Worker leases kept by a controller that cannot hear of cancellations must end within the time that a
-        # cancellation has.
+        # A controller that cannot learn of cancellations must let worker leases expire within the deadline for
+        # cancelling a job: `cancel_s`.
         self.max_unconfirmed_s = max(
             0.0,
             min(
@@ -72,42 +73,39 @@
             ),
         )
 
-    # -- permissions --------------------------------------------------------------------------------------
-
     @property
     def may_decide(self) -> bool:
-        """Whether decisions may be made and committed, and current answers given to users."""
+        """Whether this controller may make and commit decisions, and give current responses to users."""
         return self.role is Role.LEADER and self.lease.is_valid(self.clock())
 
     @property
     def may_answer_heartbeats(self) -> bool:
-        """Whether heartbeats are answered with our own fencing token.
+        """Whether heartbeats are answered with this controller's own fencing token.
 
-        Guards against a process that was suspended, or a recovery that hangs: whatever the loops do, no worker lease
-        is kept for longer than a cancellation confirmed by a leader after us allows.
+        Checked against the clock at each heartbeat, so that the bound holds even if the process was suspended or a
+        recovery hangs: a later leader that confirms a cancellation relies on these worker leases to expire in time.
         """
         return self.is_leader and self.clock() - self.last_confirmed_at <= self.max_unconfirmed_s
 
     @property
     def may_send_starts(self) -> bool:
-        """Whether committed starts may be sent: it is certain that nobody led after us up to a moment ago.
+        """Whether committed starts may be sent: it is certain that there was no later leader until a moment ago.
 
-        Guards against a task that a leader without the store starts after the next leader has confirmed its
-        cancellation.
+        Otherwise a leader without the store could start a task whose cancellation the next leader has confirmed.
         """
         now = self.clock()
         return self.is_leader and (
-            self.lease.is_valid(now) or now - self.peers_confirmed_at <= self.ttl_s * PEER_CONFIRMATION_VALIDITY
+            self.lease.is_valid(now) or now - self.peers_confirmed_at <= self.ttl_s * PEER_CONFIRMATION_VALIDITY_TTLS
         )
 
     @property
     def last_confirmed_at(self) -> float:
-        """The last moment at which it was certain that no controller had confirmed what we cannot know.
+        """The last time at which no other controller can have confirmed a cancellation that is not known here.
 
-        Of a leader: that nobody led after it. Of any other controller: that the leader which it last heard from was
-        itself confirmed. Worker leases kept beyond this moment are bounded by `max_unconfirmed_s`, and the next
-        controller to keep them counts from the same moment, so that the bounds of two controllers in turn do not add
-        up.
+        For a leader, the last time at which there was certainly no later leader. For any other controller, the time
+        at which the leader that last responded to it was itself confirmed. Worker leases are kept for at most
+        `max_unconfirmed_s` beyond this time. The next controller that keeps them counts from the same time, so the
+        bounds of two controllers in turn do not add up.
         """
         if self.is_leader:
             return max(self.lease.held_until(self.clock()), self.peers_confirmed_at)
@@ -115,10 +113,10 @@
 
     @property
     def lease_keeping_token(self) -> int | None:
-        """The token with which a partitioned follower keeps workers' leases; None if it must not.
+        """The fencing token with which a partitioned follower keeps workers' leases; None if it must not keep them.
 
-        Guards against all work of a zone ending with its leases although a controller in it could be asked, seen on
-        the bench: half of a service's replicas came back a minute after the partition had ended.
+        Without this, the leases of all workers in a partitioned zone would expire although a controller in the zone
+        can answer them: half of a service's replicas came back only a minute after the partition had ended.
         """
         if self.role is not Role.PARTITIONED or self.clock() - self.leader_contact_at > self.max_unconfirmed_s:
             return None
@@ -126,7 +124,7 @@
 
     @property
     def may_become_partitioned(self) -> bool:
-        """Whether this follower may keep workers' leases once neither the store nor a controller answers."""
+        """Whether this follower may keep workers' leases if it reaches neither the store nor a leader."""
         return (
             self.role is Role.FOLLOWER
             and self.leader_fencing_token > 0
@@ -137,19 +135,17 @@
     def may_extend_worker_lease(self, jobs: set[str]) -> bool:
         """Whether a partitioned follower may keep the lease of a worker with tasks of these jobs.
 
-        Guards against a machine that did not receive the stop of a cancelled task in time, and whose lease would be
-        extended once more: the bound counts from our last contact, the cancellation may be older.
+        A worker may have missed the stop command of a cancelled task. Its lease must not be extended, since the bound
+        counts from the last contact with the leader and the cancellation may be older.
         """
         return jobs.isdisjoint(self.cancelled_jobs)
 
-    # -- what is learnt -----------------------------------------------------------------------------------
-
     def record_leader_contact(self, survey: PeerSurvey) -> None:
-        """Note what a leader said of itself, unless a later contact is known.
+        """Record the leader's response in a survey, unless a later confirmation is known already.
 
-        The contact with a leader that is itself unconfirmed counts from when it was last confirmed. Guards against
-        two bounds that add up: a leader partitioned together with us keeps the leases to its end, and we once more
-        after it.
+        The contact counts from when that leader was last confirmed, so that two bounds do not add up: otherwise an
+        unconfirmed leader in the same partition would keep the leases up to its bound, and this controller would keep
+        them for another bound after it.
         """
         if survey.leader_confirmed_at > self.leader_contact_at:
             self.leader_contact_at = survey.leader_confirmed_at
@@ -157,18 +153,18 @@
             self.superseded = False
 
     def observe_leader(self, label: str | None, token: int) -> None:
-        """A peer says who leads; what the store says, and a higher token, have precedence."""
+        """Record the leader that a peer reports, if a follower knows no term with this token or a higher one."""
         if (
             self.role in (Role.FOLLOWER, Role.PARTITIONED)
             and label not in (None, self.label)
             and token > self.leader_fencing_token
         ):
-            log.info("term %d: leader is controller %s, as a peer reports", token, label)
+            log.info("term %d: leader is controller %s, reported by a peer", token, label)
             self.leader = label
             self.leader_fencing_token = token
 
     def observe_higher_token(self, token: int) -> None:
-        """A worker has seen this token: if it is above the known one, another controller leads."""
+        """Record a token that a worker has seen; if it is above the known one, another controller leads."""
         if token > self.leader_fencing_token:
             self.superseded = True
             if self.role is Role.PARTITIONED:
--- a/driftcleat/leadership/role.py
+++ b/driftcleat/leadership/role.py
@@ -1,4 +1,4 @@
-"""The role of a controller in the election: a state machine with one method that changes the role."""
+"""The role of a controller in the election, as a state machine with a single method that changes it."""
 
 import logging
 from enum import StrEnum
@@ -9,31 +9,31 @@
 
 
 class IllegalRoleTransitionError(DriftcleatError):
-    """A role change that the state machine does not have."""
+    """A role change that the state machine does not allow."""
 
 
 class Role(StrEnum):
-    """The role of a controller; the values are those of `/status` and of messages between controllers."""
+    """The role of a controller; the values appear in `/status` and in messages between controllers."""
 
     FOLLOWER = "follower"
-    # A follower cut off from the store and from every other controller: it keeps workers' leases with the last
-    # leader's fencing token and sends no commands.
+    # A follower that reaches neither the store, nor a controller that reaches the store or leads. It keeps workers'
+    # leases alive with the last leader's fencing token, and sends no commands.
     PARTITIONED = "tending"
     CAMPAIGNING = "campaigning"
-    # The leader key is won, the records are being read.
+    # This controller has created the leader key, and reads the records.
     RECOVERING = "rebuilding"
     LEADER = "leading"
-    # A leader whose lease the store no longer confirms.
+    # A leader whose lease is not confirmed by the store any more.
     UNCONFIRMED_LEADER = "unsure"
 
     @property
     def log_name(self) -> str:
-        """The role's name in log lines and errors."""
+        """The role's name in log lines and error messages."""
         return self.name.lower().replace("_", " ")
 
 
-# Roles of a controller that holds, or held until a moment ago, the leader key. A tuple, since it is searched for each
-# heartbeat: comparing identities is cheaper than hashing an enum.
+# Roles of a controller that holds the leader key, or held it until its lease was no longer confirmed. A tuple, since
+# it is searched for each heartbeat: comparing identities is cheaper than hashing an enum.
 LEADING_ROLES = (Role.RECOVERING, Role.LEADER, Role.UNCONFIRMED_LEADER)
 
 _TRANSITIONS = {
@@ -45,31 +45,31 @@
     Role.UNCONFIRMED_LEADER: (Role.LEADER, Role.FOLLOWER),
 }
 
-# What an on-call engineer has to know of a role that is entered in a disturbance.
+# Added to the log line of a transition to a degraded role: what the controller still does.
 _LOG_NOTES = {
     Role.PARTITIONED: ": keeping worker leases, sending no commands",
-    Role.UNCONFIRMED_LEADER: ": answering heartbeats, deciding nothing",
+    Role.UNCONFIRMED_LEADER: ": answering heartbeats, making no decisions",
 }
 
 
 class RoleStateMachine:
-    """The role of one controller, and the latest term that it knows of."""
+    """Holds the role of one controller, and the latest term that it knows of."""
 
     def __init__(self) -> None:
         # Changed by `transition` only.
         self.role = Role.FOLLOWER
-        # The fencing token of the latest known term, whoever leads in it; our own while we lead.
+        # The fencing token of the latest known term of any controller; the own one while this controller leads.
         self.leader_fencing_token = 0
 
     @property
     def is_leader(self) -> bool:
-        """Whether this controller leads, its lease confirmed or not."""
+        """Whether this controller is in a leading role, even if its lease is unconfirmed."""
         return self.role in LEADING_ROLES
 
     def transition(self, to: Role) -> None:
-        """Change the role, the only method that does; no effect if the role is that already.
+        """Change the role and log the change; no effect if it is the role already.
 
-        Raises `IllegalRoleTransitionError` for a change that the state machine does not have.
+        Raises `IllegalRoleTransitionError` if the state machine does not allow the change.
         """
         if to is self.role:
             return
