--- a/driftcleat/controller/__init__.py
+++ b/driftcleat/controller/__init__.py
@@ -1,4 +1,4 @@
-"""One controller: assembly of its parts, their loops, routes, commits, recovery after a failover, and its status."""
+"""One controller: the assembly of its parts, their loops, HTTP routes, the commit pipeline, recovery and status."""
 
 from .controller import Controller
 
--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -1,6 +1,6 @@
-"""Builds the parts of a controller: every part gets what it needs in its constructor, and is there afterwards.
+"""Builds the parts of a controller, each with its dependencies as constructor arguments.
 
-Records of parts are named tuples: to define a dataclass takes several times as long, and a start pays for each.
+The records here are named tuples, since defining a dataclass takes several times as long at the start of a process.
 """
 
 import random
@@ -25,13 +25,14 @@
 from driftcleat.store.client import StoreClient
 from driftcleat.workers.dispatch import StopDispatcher
 
-# Requests that a follower forwards to the leader at once, for each connection to it.
-FORWARDED_PER_CONNECTION = 4
+# The largest number of requests that a follower forwards to the leader concurrently, per connection to it.
+MAX_FORWARDED_PER_CONNECTION = 4
 
 # Returns seconds.
 Clock = Callable[[], float]
 AskPeers = Callable[[], Awaitable[PeerSurvey]]
-# Arguments as of `Election`: platform, tuning, store, rng, clock, recover, on step-down, ask all peers, ask leader.
+# Takes the arguments of `Election`: platform, tuning, store, rng, clock, recover, on_step_down, ask_peers and
+# ask_leader.
 ElectionFactory = Callable[
     [
         Platform,
@@ -46,14 +47,15 @@
     ],
     Election,
 ]
-# Arguments as of `UserApi`: platform, tuning, store, peers, active term, clock, and the two limits on requests.
+# Takes the arguments of `UserApi`: platform, tuning, store, peers, active term, clock, max_in_progress and
+# max_forwarded.
 UserApiFactory = Callable[
     [Platform, Tuning, StoreClient, PeerClient, ActiveTerm[Scheduler], Clock, int, int], UserApi
 ]
 
 
 class Factories(NamedTuple):
-    """The parts in which a process with one controller, the engine of a share and a simulated controller differ."""
+    """Factories of the parts that differ between a plain controller, the engine of a shard and a simulation."""
 
     network: NetworkFactory = ProcessNetwork
     election: ElectionFactory = Election
@@ -61,28 +63,29 @@
 
 
 class BuildContext(NamedTuple):
-    """What parts are built from."""
+    """What the parts of a controller are built from."""
 
     platform: Platform
     tuning: Tuning
     rng: random.Random
-    # A steady clock, in seconds.
+    # A monotonic clock.
     clock: Clock
     network: Network
 
 
 class TermCallbacks(NamedTuple):
-    """What the election has its controller do."""
+    """Methods of the controller that its election calls."""
 
-    # Begins the term with this fencing token.
+    # Recovers the cluster state and begins the term with this fencing token.
     recover: Callable[[int], Awaitable[None]]
-    # Ends it.
+    # Ends the current term.
     end_term: Callable[[], None]
+    # Queries every other controller.
     ask_peers: AskPeers
 
 
 class ControllerParts(NamedTuple):
-    """The parts of one controller."""
+    """The parts of one controller, as `build_parts` returns them."""
 
     network: Network
     active_term: ActiveTerm[Scheduler]
@@ -101,7 +104,7 @@
 
 
 def build_parts(context: BuildContext, callbacks: TermCallbacks, factories: Factories) -> ControllerParts:
-    """Build the parts of a controller on its network."""
+    """Build the parts of a controller; no loop runs and no listener is open yet."""
     platform = context.platform
     tuning = context.tuning
     clock = context.clock
@@ -111,7 +114,8 @@
     overload = OverloadDetector(platform.report_s)
     active_term: ActiveTerm[Scheduler] = ActiveTerm()
     surveyor = PeerSurveyor(platform, clients.peers, active_term, clock)
-    # Each needs the other: the election asks the leader that the active term names, which it knows from the election.
+    # A cycle: the election queries the leader through the surveyor, which reads the leader's label from the active
+    # term, which reads it from the election. So the election is attached afterwards.
     election = _build_election(context, callbacks, surveyor, factories.election)
     active_term.attach(election)
     users = _build_users(context, active_term, factories.users)
@@ -154,12 +158,12 @@
 
 
 def _build_users(context: BuildContext, active_term: ActiveTerm[Scheduler], make_users: UserApiFactory) -> UserApi:
-    """Build the users' interface; its limits follow from the sockets that users and other controllers may have."""
+    """Build the user API; its limits on requests are derived from the sockets for users and for other controllers."""
     platform = context.platform
     clients = context.network.clients
     sockets = SocketBudget(platform.fd_limit, len(platform.peers))
     max_in_progress = sockets.users
-    max_forwarded = sockets.peers.each * FORWARDED_PER_CONNECTION
+    max_forwarded = sockets.peers.each * MAX_FORWARDED_PER_CONNECTION
     return make_users(
         platform,
         context.tuning,
--- a/driftcleat/controller/clients.py
+++ b/driftcleat/controller/clients.py
@@ -1,4 +1,4 @@
-"""The clients of one process. Each use has connections of its own, so a request that hangs blocks no other use."""
+"""The clients of one process. Each purpose has its own connections, so a hanging request blocks no other purpose."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -10,12 +10,12 @@
 from driftcleat.store.client import StoreClient, StoreLimits
 from driftcleat.workers import WorkerClient
 
-# The timeout of a request to the state service, as a fraction of the heartbeat interval.
-STORE_TIMEOUT = 0.5
+# The timeout of a request to the state service, in heartbeat intervals.
+STORE_TIMEOUT_INTERVALS = 0.5
 
 
 class ControllerClients(NamedTuple):
-    """What one controller, or the engine of one share, sends its requests with."""
+    """The clients that one controller, or the engine of one shard, sends its requests with."""
 
     store: StoreClient
     cloud: CloudClient
@@ -24,7 +24,7 @@
 
 
 class ProcessClients(NamedTuple):
-    """The clients of a process: `peers` is the HTTP client under every `PeerClient`."""
+    """The clients of a process; `peers` is the HTTP client that every `PeerClient` of the process uses."""
 
     store: StoreClient
     cloud: CloudClient
@@ -40,11 +40,11 @@
 
 def store_limits(platform: Platform) -> StoreLimits:
     """Return the limits on requests to the state service: rates per second, and the timeout in seconds."""
-    return StoreLimits(platform.state_rps, platform.write_rps, platform.report_s * STORE_TIMEOUT)
+    return StoreLimits(platform.state_rps, platform.write_rps, platform.report_s * STORE_TIMEOUT_INTERVALS)
 
 
 def make_clients(platform: Platform, sockets: SocketBudget, clock: Callable[[], float]) -> ProcessClients:
-    """Make the clients of a process; nothing is connected before the first request."""
+    """Return the clients of a process; they connect at their first request."""
     store, lease, cloud, peers, workers = connections = [
         allowance.client(platform.lease_s)
         for allowance in (sockets.store, sockets.lease, sockets.cloud, sockets.peers, sockets.workers)
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -19,14 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-# The least memory that a process needs (measured), in MB.
+# The least memory that a process needs, in MB.
 MIN_MEMORY_MB = 64
-# The pause before a loop that failed runs again, as a fraction of the heartbeat interval.
+# The pause before a failed loop is restarted, in heartbeat intervals.
 LOOP_RESTART_PAUSE_INTERVALS = 1 / 10
 
 
 class Controller:
-    """One controller process, or the engine of one share in a process with several."""
+    """The only controller of a process, or the engine of one shard in a process that runs several."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         self._is_serving = False
 
     async def run(self) -> None:
-        """Serve for ever."""
+        """Open the listeners and run all loops forever."""
         platform = self.platform
         async with self._network.serve():
             self._is_serving = True
@@ -80,12 +80,12 @@
                 )
             log.info("controller %s: listening on %s and %s", platform.label, platform.bind, platform.back)
             pause_s = platform.report_s * LOOP_RESTART_PAUSE_INTERVALS
-            # Not a TaskGroup: a loop that is cancelled ends the process here, a group would go on without it.
+            # Not a TaskGroup, which would go on without a cancelled loop; here a cancelled loop ends the process.
             await asyncio.gather(*(run_for_ever(loop, pause_s) for loop in self._loops()))
 
     @property
     def is_serving(self) -> bool:
-        """Whether this controller was started: its listeners are open, its loops run."""
+        """Whether this controller was started: its listeners are open and its loops run."""
         return self._is_serving
 
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
@@ -98,26 +98,24 @@
             self._loop_delay.run,
         ]
 
-    # -- terms --------------------------------------------------------------------------------------------
-
     @property
     def scheduler(self) -> Scheduler | None:
-        """The scheduler of this controller's term; None if it does not lead."""
+        """The scheduler of the current term; None if this controller does not lead."""
         return self.active_term.scheduler
 
     @property
     def may_decide(self) -> bool:
-        """Whether this controller leads for certain."""
+        """Whether this controller leads with a valid lease, and has recovered the cluster state."""
         return self.active_term.may_decide
 
     @property
     def leader(self) -> str | None:
-        """The leader's label; None if it is not known."""
+        """The label of the last known leader; None if no leader is known."""
         return self.active_term.leader
 
     async def _recover(self, token: int) -> None:
-        """Begin a term with this fencing token: recover the cluster state from the records."""
-        found = await recover(
+        """Recover the cluster state from the records, and begin the term with this fencing token."""
+        recovered = await recover(
             token,
             self.store,
             self.platform,
@@ -127,12 +125,12 @@
             self.wall_clock,
             overload_pause_s=lambda: self.overload.pause_s,
         )
-        self.commit_pipeline.start_term(found.marker_mod_revision)
-        self.active_term.scheduler = scheduler = found.scheduler
+        self.commit_pipeline.start_term(recovered.marker_mod_revision)
+        self.active_term.scheduler = scheduler = recovered.scheduler
         self.peer_api.record_data_version(self.platform.label, DATA_VERSION)
-        self.fleet_manager.start_term(found.machine_types_stored)
+        self.fleet_manager.start_term(recovered.machine_types_stored)
         log.info(
-            "term %d: recovered: %d jobs, %d open scale-outs",
+            "term %d: recovered %d jobs and %d open scale-out requests",
             token,
             len(scheduler.cluster.jobs),
             len(scheduler.scale_out.open),
@@ -140,24 +138,23 @@
         self.active_term.wake_committer()
 
     def _end_term(self) -> None:
-        """The term is over: requests that wait for a commit are answered without one."""
+        """End the term: complete the requests that wait for a commit, without its outcome."""
         self.active_term.scheduler = None
         self.users.drop_outstanding()
         self.active_term.announce_commit()
 
     async def _ask_peers(self) -> PeerSurvey:
-        """Ask the other controllers how they see the store and who leads.
+        """Query the other controllers about the store and the leader.
 
-        A leader asks once its leadership is unconfirmed: users' requests that wait for a commit are given up.
+        A leader does so only while its leadership is unconfirmed, so users' requests that wait for a commit are
+        completed without its outcome.
         """
         if self.election.is_leader:
             self.users.drop_outstanding()
         return await self.surveyor.ask_all()
 
-    # -- requests -----------------------------------------------------------------------------------------
-
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
-        """Answer a request at `bind`, at once if possible."""
+        """Answer a request at `bind`; heartbeats are answered without a task if possible."""
         return self._routes.reply_front(method, path, body)
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
--- a/driftcleat/controller/loop_delay.py
+++ b/driftcleat/controller/loop_delay.py
@@ -1,4 +1,4 @@
-"""Measures how late the event loop runs what is due, and whether the leader gets fewer heartbeats for it."""
+"""Measures the delay of the event loop, and the heartbeats that the leader receives meanwhile."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,12 +10,12 @@
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform
 
-# The pause between two measurements, as a fraction of the heartbeat interval.
-MEASUREMENT_PAUSE = 1 / 10
+# The pause between two measurements, in heartbeat intervals.
+MEASUREMENT_PAUSE_INTERVALS = 1 / 10
 
 
 class LoopDelayMonitor:
-    """Records the event loop's delay, and tells the overload detector once in each heartbeat interval."""
+    """Records the delay of the event loop, and updates the overload detector once per heartbeat interval."""
 
     def __init__(
         self,
@@ -35,21 +35,21 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Measure for ever."""
+        """Measure forever."""
         interval_s = self._heartbeat_interval_s
         while True:
-            began_at = self._clock()
+            started_at = self._clock()
             received_before = self._heartbeats.heartbeats_received
             max_delay_s = 0.0
-            while self._clock() - began_at < interval_s:
+            while self._clock() - started_at < interval_s:
                 max_delay_s = max(max_delay_s, await self._measure())
-            intervals = (self._clock() - began_at) / interval_s
+            intervals = (self._clock() - started_at) / interval_s
             received = round((self._heartbeats.heartbeats_received - received_before) / intervals)
             self._overload.record_interval(received, self._machines_alive(), max_delay_s)
 
     async def _measure(self) -> float:
-        """Pause once; return by how many seconds the pause was too long."""
-        pause_s = self._heartbeat_interval_s * MEASUREMENT_PAUSE
+        """Sleep for one pause; return by how many seconds the event loop resumed too late."""
+        pause_s = self._heartbeat_interval_s * MEASUREMENT_PAUSE_INTERVALS
         due_at = self._clock() + pause_s
         await asyncio.sleep(pause_s)
         delay_s = max(0.0, self._clock() - due_at)
@@ -57,7 +57,7 @@
         return delay_s
 
     def _machines_alive(self) -> int:
-        """Return how many machines have sent a heartbeat to this leader within their lease."""
+        """Return the number of machines whose last heartbeat to this leader is younger than a worker lease."""
         scheduler = self._active_term.scheduler
         if scheduler is None:
             return 0
--- a/driftcleat/controller/network.py
+++ b/driftcleat/controller/network.py
@@ -11,14 +11,14 @@
 from driftcleat.settings import Platform
 from driftcleat.wire.users import MAX_BODY
 
-# Where workers send their heartbeats.
+# The path to which workers send their heartbeats.
 HEARTBEAT_PATH = "/agent/beat"
 # The largest message between controllers, in bytes.
 MAX_PEER_BODY_BYTES = 256 * 1024
 
 
 class Network(Protocol):
-    """What a controller needs of the network."""
+    """The network as a controller uses it: its clients, and the listener for users and workers."""
 
     @property
     def clients(self) -> ControllerClients:
@@ -27,20 +27,20 @@
 
     @property
     def front(self) -> Listener:
-        """Return the listener for users and workers; its limiter tells whether there are too many connections."""
+        """Return the listener for users and workers; its limiter bounds the number of open connections."""
         ...
 
     def serve(self) -> AbstractAsyncContextManager[None]:
-        """Listen for as long as the context lasts; at its end listeners and clients are closed."""
+        """Listen while the context lasts; listeners and clients are closed at its end."""
         ...
 
 
-# Makes the network from platform, clock, and the handlers of requests at `bind` and at `back`.
+# Takes the platform, the clock, and the handlers of requests at `bind` and at `back`.
 NetworkFactory = Callable[[Platform, Callable[[], float], Handler, Handler], Network]
 
 
 class ProcessNetwork:
-    """The sockets of a process with one controller."""
+    """The network of a process with one controller, which owns its clients and listeners."""
 
     def __init__(self, platform: Platform, clock: Callable[[], float], front: Handler, back: Handler) -> None:
         sockets = SocketBudget(platform.fd_limit, len(platform.peers))
@@ -53,7 +53,7 @@
 
     @asynccontextmanager
     async def serve(self) -> AsyncIterator[None]:
-        """Listen on `bind` and `back`; `OSError` if an address cannot be bound."""
+        """Listen on `bind` and `back` while the context lasts; `OSError` if an address cannot be bound."""
         async with AsyncExitStack() as stack:
             for client in reversed(self._connections):
                 stack.push_async_callback(client.close)
@@ -64,12 +64,12 @@
 
 
 class SharedNetwork:
-    """Clients and a listener that belong to somebody else, who opens and closes them."""
+    """Clients and a listener that several controllers of a process share; their owner opens and closes them."""
 
     def __init__(self, clients: ControllerClients, front: Listener) -> None:
         self.clients = clients
         self.front = front
 
     def serve(self) -> AbstractAsyncContextManager[None]:
-        """Serve through the owner's listener."""
+        """Return a context that does nothing, since the owner opens and closes the listener."""
         return nullcontext()
--- a/driftcleat/controller/overload.py
+++ b/driftcleat/controller/overload.py
@@ -1,33 +1,34 @@
-"""How long placement and sizing are put off so that workers' heartbeats are answered in time."""
+"""Delays placement and sizing while the leader is overloaded, so that heartbeats are answered in time."""
 
-# The event loop is late if it was held up for this fraction of a heartbeat interval.
-LATE = 0.02
-# The fraction of the heartbeats due that may be missing; work is put off by so many heartbeat intervals times the
-# fraction that is missing beyond it.
-TOLERANCE = 0.03
-GAIN = 5.0
+# The delay of the event loop, in heartbeat intervals, below which the leader is not overloaded.
+MIN_OVERLOAD_DELAY_INTERVALS = 0.02
+# The fraction of the expected heartbeats that may be missing without overload.
+TOLERATED_MISSING_FRACTION = 0.03
+# The delay of placement and sizing, in heartbeat intervals, is this times the fraction of heartbeats that is missing
+# beyond the tolerated one, but one interval at most.
+PAUSE_INTERVALS_PER_MISSING_FRACTION = 5.0
 
 
 class OverloadDetector:
-    """Compares the heartbeats of each interval with the machines that are alive.
+    """Detects overload by comparing the heartbeats received in an interval with the machines that are alive.
 
-    Guards against a leader whose placement rounds and sizing take the processor's time from heartbeats, seen at 4,000
-    machines on a quarter of a core: 2,003 workers' leases expired while their tasks were being placed. Heartbeats
-    wait in the kernel's queue then, where their delay cannot be measured; but fewer of them come in than are due.
+    Placement rounds and sizing can use up the CPU time that heartbeats need: with 4,000 machines on a quarter of a
+    core, 2,003 workers' leases expired while tasks were being placed. Delayed heartbeats wait in the kernel's socket
+    queue, where their delay cannot be measured, but fewer of them are received than expected.
     """
 
     def __init__(self, heartbeat_interval_s: float) -> None:
         self._heartbeat_interval_s = heartbeat_interval_s
-        # By how many seconds the next placement round, or round of sizing, is to be put off.
+        # The delay of the next placement or sizing round, in seconds; 0.0 without overload.
         self.pause_s = 0.0
 
     def record_interval(self, heartbeats: int, machines: int, max_delay_s: float) -> None:
-        """Take in one heartbeat interval: heartbeats received, machines alive, the event loop's longest delay.
+        """Update `pause_s` from one interval: heartbeats received, machines alive, longest delay of the event loop.
 
-        Machines behind a partition are missing as well, but they leave the event loop idle.
+        The delay tells overload from a partition, in which heartbeats are missing while the event loop is idle.
         """
-        if not machines or max_delay_s < self._heartbeat_interval_s * LATE:
+        if not machines or max_delay_s < self._heartbeat_interval_s * MIN_OVERLOAD_DELAY_INTERVALS:
             self.pause_s = 0.0
             return
-        missing = max(0.0, 1.0 - heartbeats / machines - TOLERANCE)
-        self.pause_s = self._heartbeat_interval_s * min(1.0, missing * GAIN)
+        missing = max(0.0, 1.0 - heartbeats / machines - TOLERATED_MISSING_FRACTION)
+        self.pause_s = self._heartbeat_interval_s * min(1.0, missing * PAUSE_INTERVALS_PER_MISSING_FRACTION)
--- a/driftcleat/controller/recovery.py
+++ b/driftcleat/controller/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery after a failover: a new leader reads all records and builds the cluster state from them."""
+"""Recovery after a failover: a new leader reads all records and rebuilds the cluster state from them."""
 
 import asyncio
 import random
@@ -29,16 +29,17 @@
 
 
 class RecoveredTerm(NamedTuple):
-    """A leader term as it begins."""
+    """The state with which a leader term begins."""
 
     scheduler: Scheduler
-    # The mod revision of the batch marker; 0: no batch was ever committed.
+    # The mod revision of the batch marker; 0 if no batch was ever committed.
     marker_mod_revision: int
+    # Whether the machine types are stored already.
     machine_types_stored: bool
 
 
 class _Records(NamedTuple):
-    """All that is stored, as read."""
+    """All stored records, still encoded except for the data version."""
 
     data_version: int
     job_heads: list[KeyValue]
@@ -50,7 +51,7 @@
 
 
 def new_layout(platform: Platform) -> RecordLayout:
-    """Return the layout of records that the platform's settings ask for."""
+    """Return the record layout for the platform's limits, with data version 1 active."""
     return RecordLayout(
         platform.value_bytes,
         platform.txn_ops,
@@ -70,16 +71,17 @@
     wall_clock: Callable[[], float],
     overload_pause_s: Callable[[], float],
 ) -> RecoveredTerm:
-    """Read all records and build the scheduler of the term with this fencing token from them.
+    """Read all records, and build the scheduler of the term with this fencing token from them.
 
-    Raises `StoreError` if they cannot be read, `MalformedResponseError` if a later version has written them.
+    `clock` is monotonic, `wall_clock` returns the time of day; both in seconds. Raises `StoreError` if the records
+    cannot be read, `MalformedResponseError` if their data version is newer than this program.
     """
     records = await _read_records(store)
     jobs, orphans = await decode_jobs(records.job_heads, records.job_chunks)
-    ended = await _ended_dependencies(store, jobs)
+    ended = await _read_ended_dependencies(store, jobs)
     layout = new_layout(platform)
     layout.version_2_active = records.data_version == DATA_VERSION
-    cluster = ClusterState(token, jobs, _machine_types(records), clock(), platform.lease_s, ended)
+    cluster = ClusterState(token, jobs, _decode_machine_types(records), clock(), platform.lease_s, ended)
     scheduler = Scheduler(
         platform,
         tuning,
@@ -111,23 +113,25 @@
     data_version = wire.decode(bytes(version.value), int) if version is not None else 1
     if data_version > DATA_VERSION:
         raise MalformedResponseError(
-            f"the records are of data version {data_version}, this program knows {DATA_VERSION}"
+            f"the records have data version {data_version}; this program supports up to {DATA_VERSION}"
         )
     return _Records(data_version, job_heads, job_chunks, scale_outs, machine_images, machine_types, batch_marker)
 
 
-async def _ended_dependencies(store: StoreClient, jobs: dict[str, Job]) -> dict[str, str]:
-    """Return the final states of the ended jobs on which others depend."""
-    ended = sorted({needed for job in jobs.values() for needed in job.spec.dependencies or () if needed not in jobs})
-    key_values = await asyncio.gather(*(store.get(ENDED_JOBS_PREFIX + needed) for needed in ended))
+async def _read_ended_dependencies(store: StoreClient, jobs: dict[str, Job]) -> dict[str, str]:
+    """Return the final states, by job id, of the ended jobs on which other jobs depend."""
+    ended = sorted(
+        {dependency for job in jobs.values() for dependency in job.spec.dependencies or () if dependency not in jobs}
+    )
+    key_values = await asyncio.gather(*(store.get(ENDED_JOBS_PREFIX + dependency) for dependency in ended))
     return {
-        needed: wire.decode(bytes(key_value.value), EndedJobRecord).state
-        for needed, key_value in zip(ended, key_values, strict=True)
+        dependency: wire.decode(bytes(key_value.value), EndedJobRecord).state
+        for dependency, key_value in zip(ended, key_values, strict=True)
         if key_value is not None
     }
 
 
-def _machine_types(records: _Records) -> dict[str, MachineType]:
+def _decode_machine_types(records: _Records) -> dict[str, MachineType]:
     if records.machine_types is None:
         return {}
     known = wire.decode(bytes(records.machine_types.value), tuple[MachineType, ...])
--- a/driftcleat/controller/routes.py
+++ b/driftcleat/controller/routes.py
@@ -16,7 +16,7 @@
 
 
 class Routes:
-    """Hands each request to the part of the controller that answers it."""
+    """Dispatches each HTTP request to the part of the controller that answers it."""
 
     def __init__(
         self, platform: Platform, tuning: Tuning, clock: Callable[[], float], parts: ControllerParts
@@ -29,12 +29,12 @@
         self._peer_api = parts.peer_api
         self._metrics = parts.metrics
         self._status = StatusReport(platform.label, clock, parts)
-        # For how long a controller stays ready without having reached a leader.
-        self._ready_s = platform.lease_s * tuning.readiness_grace_leases
+        # How long a controller stays ready, in seconds, after it last led or reached the leader.
+        self._readiness_grace_s = platform.lease_s * tuning.readiness_grace_leases
         self._leader_reached_at = float("-inf")
 
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
-        """Answer a request at `bind`: heartbeats, which are most of them, without a task if possible."""
+        """Answer a request at `bind`; heartbeats, the most frequent ones, are answered without a task if possible."""
         if path == HEARTBEAT_PATH and method == "POST":
             return self._heartbeats.handle(body)
         return self.handle_front(method, path, body)
@@ -51,19 +51,19 @@
                 return _method_not_allowed("GET")
             return Answer(200, b'{"ready":true}') if await self._is_ready() else self._users.unavailable("not ready")
         started_at = self._clock()
-        answer = await self._users.handle(method, path, body)
+        response = await self._users.handle(method, path, body)
         self._metrics.user_request_latency.record(self._clock() - started_at)
-        return answer if answer is not None else _not_found()
+        return response if response is not None else _not_found()
 
     async def _is_ready(self) -> bool:
-        """Whether this controller leads, or has reached the leader lately; a short failover does not change it.
+        """Whether this controller leads or has reached the leader recently, so that a short failover does not matter.
 
-        Guards against a follower that the leader refuses, or that takes a dead controller for the leader: it would
-        draw its share of the users and could do nothing for them.
+        A follower that is rejected by the leader, or that takes a dead controller for the leader, is not ready: it
+        would receive a part of the users' requests and could serve none of them.
         """
         if self._election.may_answer_heartbeats or await self._surveyor.reaches_leader():
             self._leader_reached_at = self._clock()
-        return self._clock() - self._leader_reached_at < self._ready_s
+        return self._clock() - self._leader_reached_at < self._readiness_grace_s
 
     async def handle_back(self, method: str, path: str, body: bytes) -> Answer:
         """Answer a request at `back`."""
--- a/driftcleat/controller/status.py
+++ b/driftcleat/controller/status.py
@@ -11,7 +11,7 @@
 
 
 class StatusReport:
-    """Gathers the status of one controller from the owners of its figures."""
+    """Collects the status of one controller from its parts."""
 
     def __init__(self, label: str, clock: Callable[[], float], parts: ControllerParts) -> None:
         self._label = label
@@ -19,7 +19,7 @@
         self._parts = parts
 
     def read(self) -> dict[str, Any]:
-        """Return the status as it is now; a follower's lacks the figures of a leader term."""
+        """Return the current status; a controller without a leader term omits the scheduler's figures."""
         parts = self._parts
         clients = parts.network.clients
         status = {
@@ -33,7 +33,7 @@
         }
         scheduler = parts.active_term.scheduler
         if scheduler is not None:
-            status |= _work(scheduler) | _counters(scheduler)
+            status |= _workload(scheduler) | _counters(scheduler)
         return status
 
     def _leadership(self, election: Election) -> dict[str, Any]:
@@ -56,8 +56,8 @@
     }
 
 
-def _work(scheduler: Scheduler) -> dict[str, Any]:
-    """Return what the leader has to do, and on which machines."""
+def _workload(scheduler: Scheduler) -> dict[str, Any]:
+    """Return the leader's outstanding work, and its machines and jobs."""
     return {
         "data_version": 2 if scheduler.layout.version_2_active else 1,
         "records_to_move": len(scheduler.migration.jobs_to_migrate),
@@ -71,7 +71,7 @@
 
 
 def _counters(scheduler: Scheduler) -> dict[str, Any]:
-    """Return what the scheduler has counted in this term."""
+    """Return the scheduler's counters of this term."""
     counters = scheduler.counters
     return {
         "batches": counters.batches,
@@ -95,8 +95,8 @@
 def _jobs_by_class(cluster: ClusterState) -> dict[str, dict[str, int]]:
     classes: dict[str, dict[str, int]] = {}
     for job in cluster.jobs.values():
-        row = classes.setdefault(job.spec.job_class, {"jobs": 0, "queued": 0, "placed": 0})
-        row["jobs"] += 1
-        row["queued"] += job.tasks_queued
-        row["placed"] += len(job.placements)
+        counts = classes.setdefault(job.spec.job_class, {"jobs": 0, "queued": 0, "placed": 0})
+        counts["jobs"] += 1
+        counts["queued"] += job.tasks_queued
+        counts["placed"] += len(job.placements)
     return classes
