--- a/driftcleat/controller/commit_pipeline.py
+++ b/driftcleat/controller/commit_pipeline.py
@@ -149,7 +149,7 @@
         return encoded
 
     def _apply(self, scheduler: Scheduler, batch: Batch, revision: int, encoded: EncodedBatch) -> None:
-        """Apply a committed batch to the cluster state, and wake whoever waits for a commit."""
+        """Apply a committed batch to the cluster state, and wake all callers that wait for a commit."""
         self._marker_mod_revision = revision
         started_at = self._clock()
         scheduler.apply_commit(batch, revision, encoded.obsolete_keys)
--- a/driftcleat/controller/overload.py
+++ b/driftcleat/controller/overload.py
@@ -25,7 +25,7 @@
     def record_interval(self, heartbeats: int, machines: int, max_delay_s: float) -> None:
         """Update `pause_s` from one interval: heartbeats received, machines alive, longest delay of the event loop.
 
-        The delay tells overload from a partition, in which heartbeats are missing while the event loop is idle.
+        The delay distinguishes overload from a partition, where heartbeats are missing but the event loop is idle.
         """
         if not machines or max_delay_s < self._heartbeat_interval_s * MIN_OVERLOAD_DELAY_INTERVALS:
             self.pause_s = 0.0
--- a/driftcleat/leadership/campaign.py
+++ b/driftcleat/leadership/campaign.py
@@ -63,7 +63,7 @@
             await self._abandon(lease, "another controller holds the leader key")
             return None
         except StoreError:
-            # The put may have been carried out: read the key, and check whether it is attached to our lease.
+            # The put may have been carried out: read the key, and check whether it is attached to this lease.
             key_value = await self._store.get(LEADER_KEY)
             if key_value is None or key_value.lease_id != lease:
                 await self._abandon(lease, "the leader key was not created")
--- a/driftcleat/leadership/lease.py
+++ b/driftcleat/leadership/lease.py
@@ -25,7 +25,7 @@
         self._valid_until = max(self._valid_until, sent_at + self.ttl_s * (1 - self.drift))
 
     def invalidate(self, now: float) -> None:
-        """End the validity at `now`, since another controller may take the leader key although the lease goes on."""
+        """End the validity at `now`: another controller may take the leader key while the lease is still alive."""
         self._valid_until = min(self._valid_until, now)
 
     def clear(self) -> None:
--- a/driftcleat/leadership/peer_survey.py
+++ b/driftcleat/leadership/peer_survey.py
@@ -9,7 +9,8 @@
 
     # Whether at least one of them reaches the store, or leads.
     peer_reaches_store: bool = False
-    # When the leader among them was last confirmed, in seconds of our clock; minus infinity if no leader responded.
+    # When the leader among them was last confirmed, in seconds of this process's clock; minus infinity if no leader
+    # responded.
     leader_confirmed_at: float = float("-inf")
     # Cancelled jobs whose tasks that leader had not yet seen terminated.
     cancelled_jobs: frozenset[str] = frozenset()
--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -1,4 +1,4 @@
-"""The state service's client: pooled connections, a timeout for every request, rate limits kept on our side."""
+"""The client of the state service: pooled connections, a timeout for each request, client-side rate limits."""
 
 import asyncio
 import logging
@@ -26,22 +26,22 @@
 
 T = TypeVar("T")
 
-# The part of the service's rate limits that we use: the service counts on its side of the network, so a little is
-# kept back.
+# The fraction of the service's rate limits that this client uses. The rest is a margin for network delays, since the
+# service counts requests when they arrive.
 USABLE_LIMIT_FRACTION = 0.9
-# A page of keys takes longer than other requests: its timeout, in timeouts of those.
+# The timeout of a request for a page of keys, as a multiple of the usual timeout.
 LIST_TIMEOUT_FACTOR = 3
-# Keys in a page when all keys under a prefix are read.
+# The page size when all keys under a prefix are read.
 LIST_PAGE_KEYS = 500
-# What the 400 for a lease that does not exist contains; every other 400 rejects the request itself.
+# Contained in a response with status 400 if the lease does not exist; every other 400 rejects the request itself.
 LEASE_NOT_FOUND_TEXT = b"no such lease"
-# The most bytes of an answer that are quoted in a log line.
-QUOTED_BYTES = 200
+# The largest part of a response that is quoted in a log line.
+MAX_QUOTED_BYTES = 200
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """The state service's limits: requests and changes (puts and deletes) a second; the timeout of a request."""
+    """The state service's limits in requests and changes (puts and deletes) per second, and the request timeout."""
 
     rps: float
     write_rps: float
@@ -52,10 +52,10 @@
     """Sends requests to the state service.
 
     Every method raises `StoreError`: `StoreUnavailableError` if the request was certainly not carried out,
-    `OutcomeUnknownError` if nobody can tell, `MalformedResponseError` for an answer that is not understood.
+    `OutcomeUnknownError` if it may have been, `MalformedResponseError` for a response that cannot be understood.
 
-    What concerns the lease is urgent: it goes over connections of its own and does not wait for the rate limit.
-    Guards against a keep-alive that waits for a free connection behind reads and open watches.
+    Lease requests are urgent: they use connections of their own and do not wait for the rate limit. Otherwise a
+    keep-alive could wait for a free connection behind reads and open watches.
     """
 
     def __init__(
@@ -73,13 +73,11 @@
         self.clock = clock
         self.request_bucket = TokenBucket(limits.rps * USABLE_LIMIT_FRACTION, clock)
         self.write_bucket = TokenBucket(limits.write_rps * USABLE_LIMIT_FRACTION, clock)
-        # When the service last served us, and last failed to; None: it never did. By `clock`.
+        # When the service last served a request, and when it last failed to, by `clock`; None if never.
         self.last_success_at: float | None = None
         self.last_failure_at: float | None = None
         self.malformed_responses = 0
 
-    # -- requests -----------------------------------------------------------------------------------------
-
     async def _call(
         self,
         method: str,
@@ -89,38 +87,39 @@
         params: dict[str, str] | None = None,
         timeout_s: float | None = None,
         urgent: bool = False,
-        most_wait_s: float | None = None,
-        watching: bool = False,
+        max_wait_s: float | None = None,
+        is_watch: bool = False,
     ) -> HttpAnswer:
-        """Send one request and return its answer; `StoreError` for 400, 429 and 5xx."""
+        """Send one request and return its response; `StoreError` without one, or for status 400, 429 and 5xx."""
         if urgent:
             self.request_bucket.consume(1)
         else:
-            await self._acquire_request(most_wait_s)
+            await self._wait_for_request_budget(max_wait_s)
         try:
-            answer = await self.exchange(method, path, body, params, timeout_s or self.limits.timeout_s, urgent)
+            response = await self.exchange(method, path, body, params, timeout_s or self.limits.timeout_s, urgent)
         except ConnectError as error:
             self.last_failure_at = self.clock()
             raise StoreUnavailableError(f"no connection: {error}") from None
         except (HttpError, TimeoutError) as error:
             self.last_failure_at = self.clock()
-            raise OutcomeUnknownError(f"no answer: {error!r}") from None
-        self._require_served(answer)
-        if not watching:
-            # A watch that was open before an outage may end within it, so its answer does not prove service.
+            raise OutcomeUnknownError(f"no response: {error!r}") from None
+        self._require_served(response)
+        if not is_watch:
+            # A watch that was opened before an outage may end during it, so its response does not prove that the
+            # service is available.
             self.last_success_at = self.clock()
-        if answer.status == HTTPStatus.BAD_REQUEST:
-            raise self._rejection(f"{method} {path}", answer)
-        return answer
+        if response.status == HTTPStatus.BAD_REQUEST:
+            raise self._rejection_error(f"{method} {path}", response)
+        return response
 
-    async def _acquire_request(self, most_wait_s: float | None) -> None:
-        """Wait until the rate limit permits a request; `StoreUnavailableError` if that takes above `most_wait_s`."""
+    async def _wait_for_request_budget(self, max_wait_s: float | None) -> None:
+        """Wait for the request rate limit; `StoreUnavailableError` if that would take longer than `max_wait_s`."""
         while True:
             delay = self.request_bucket.delay_s(1)
             if delay <= 0:
                 break
-            if most_wait_s is not None and delay > most_wait_s:
-                raise StoreUnavailableError("too many requests wait for the store")
+            if max_wait_s is not None and delay > max_wait_s:
+                raise StoreUnavailableError("client rate limit: the request would wait too long")
             await asyncio.sleep(delay)
         self.request_bucket.consume(1)
 
@@ -133,71 +132,67 @@
         timeout_s: float,
         urgent: bool,
     ) -> HttpAnswer:
-        """Send one request over the connections that it belongs to, and return the answer whatever its status."""
+        """Send one request over the lease connections if urgent, else over the others; return any response."""
         client = self.lease_client if urgent else self.client
         target = quote(path) + (f"?{urlencode(params)}" if params else "")
         return await client.request(method, self.address, target, body, timeout_s)
 
-    # -- answers ------------------------------------------------------------------------------------------
-
-    def _require_served(self, answer: HttpAnswer) -> None:
-        """Raise `StoreUnavailableError` for a status which says that the request was not carried out."""
-        if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
+    def _require_served(self, response: HttpAnswer) -> None:
+        """Raise `StoreUnavailableError` if the status (429 or 5xx) says that the request was not carried out."""
+        if response.status == HTTPStatus.TOO_MANY_REQUESTS:
             raise StoreUnavailableError("too many requests")
-        if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+        if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             self.last_failure_at = self.clock()
-            raise StoreUnavailableError(f"status {answer.status}")
+            raise StoreUnavailableError(f"status {response.status}")
 
-    def _rejection(self, request: str, answer: HttpAnswer) -> StoreError:
-        """Return the error of a 400."""
-        if LEASE_NOT_FOUND_TEXT in answer.body:
+    def _rejection_error(self, request: str, response: HttpAnswer) -> StoreError:
+        """Return the error for a response with status 400."""
+        if LEASE_NOT_FOUND_TEXT in response.body:
             return LeaseNotFoundError("no such lease")
-        return RequestRejectedError(str(self._malformed(f"{request}: {answer.body[:QUOTED_BYTES]!r}")))
+        return RequestRejectedError(str(self._malformed_error(f"{request}: {response.body[:MAX_QUOTED_BYTES]!r}")))
 
-    def _malformed(self, reason: str) -> MalformedResponseError:
-        """Log and count an answer that is not understood, and return its error."""
+    def _malformed_error(self, reason: str) -> MalformedResponseError:
+        """Log and count a malformed response, and return the error to raise."""
         self.malformed_responses += 1
         log.warning("state service: malformed response: %s", reason)
         return MalformedResponseError(reason)
 
-    def _decode_ok(self, answer: HttpAnswer, kind: type[T]) -> T:
-        """Return the body of an answer that must have status 200."""
-        if answer.status != HTTPStatus.OK:
-            raise self._malformed(f"status {answer.status}")
-        return self._decode_body(answer, kind)
+    def _decode_ok(self, response: HttpAnswer, response_type: type[T]) -> T:
+        """Return the decoded body; `MalformedResponseError` if the status is not 200."""
+        if response.status != HTTPStatus.OK:
+            raise self._malformed_error(f"status {response.status}")
+        return self._decode_body(response, response_type)
 
-    def _decode_body(self, answer: HttpAnswer, kind: type[T]) -> T:
+    def _decode_body(self, response: HttpAnswer, response_type: type[T]) -> T:
         try:
-            return wire.decode(answer.body, kind)
+            return wire.decode(response.body, response_type)
         except wire.WireError as error:
-            raise self._malformed(str(error)) from None
-
-    # -- reads --------------------------------------------------------------------------------------------
+            raise self._malformed_error(str(error)) from None
 
-    async def get(self, key: str, most_wait_s: float | None = None) -> messages.KeyValue | None:
-        """Return a key, or None when it does not exist.
+    async def get(self, key: str, max_wait_s: float | None = None) -> messages.KeyValue | None:
+        """Return a key with its value, or None if it does not exist.
 
-        `StoreUnavailableError` if the request would wait longer than `most_wait_s` for the rate limit.
+        Raises `StoreUnavailableError` if the request would wait longer than `max_wait_s` for the rate limit.
         """
-        answer = await self._call("GET", f"/store/{key}", most_wait_s=most_wait_s)
-        if answer.status == HTTPStatus.NOT_FOUND:
+        response = await self._call("GET", f"/store/{key}", max_wait_s=max_wait_s)
+        if response.status == HTTPStatus.NOT_FOUND:
             return None
-        return self._decode_ok(answer, messages.KeyValue)
+        return self._decode_ok(response, messages.KeyValue)
 
     async def list_page(
         self, prefix: str, after: str | None, limit: int, timeout_s: float | None = None
     ) -> messages.KeyValuePage:
-        """Return up to `limit` keys under a prefix in order, from the first one behind `after` on."""
+        """Return up to `limit` keys under a prefix in lexical order, starting behind the key `after`."""
         params = {"under": prefix, "page": str(limit)}
         if after is not None:
             params["from"] = after
-        answer = await self._call(
+        response = await self._call(
             "GET", "/store", params=params, timeout_s=timeout_s or self.limits.timeout_s * LIST_TIMEOUT_FACTOR
         )
-        return self._decode_ok(answer, messages.KeyValuePage)
+        return self._decode_ok(response, messages.KeyValuePage)
 
     async def list_all(self, prefix: str, limit: int = LIST_PAGE_KEYS) -> list[messages.KeyValue]:
-        """Return all keys under a prefix, read in pages of `limit` keys. The pages are no common snapshot."""
+        """Return all keys under a prefix, read in pages of `limit` keys; the pages may be of different revisions."""
         key_values: list[messages.KeyValue] = []
         after: str | None = None
         while True:
@@ -208,45 +203,41 @@
             after = page.key_values[-1].key
 
     async def watch(self, prefix: str, revision: int, wait_s: float) -> messages.WatchResponse | None:
-        """Wait up to `wait_s` for a change under a prefix after `revision`; None when the revision is compacted."""
+        """Wait up to `wait_s` seconds for a change under a prefix after `revision`; None if that is compacted."""
         params = {"under": prefix, "from": str(revision), "waitMs": str(round(wait_s * 1000))}
-        answer = await self._call(
-            "GET", "/watch", params=params, timeout_s=wait_s + self.limits.timeout_s, watching=True
+        response = await self._call(
+            "GET", "/watch", params=params, timeout_s=wait_s + self.limits.timeout_s, is_watch=True
         )
-        if answer.status == HTTPStatus.GONE:
+        if response.status == HTTPStatus.GONE:
             return None
-        return self._decode_ok(answer, messages.WatchResponse)
-
-    # -- transactions -------------------------------------------------------------------------------------
+        return self._decode_ok(response, messages.WatchResponse)
 
     async def commit(self, transaction: messages.Transaction) -> int:
-        """Carry out a transaction and return its revision; `CompareFailedError` if a compare fails."""
+        """Commit a compare-and-swap transaction and return its revision; `CompareFailedError` if a compare fails."""
         return await self.commit_encoded(wire.encode(transaction), len(transaction.operations))
 
     async def commit_encoded(self, body: bytes, changes: int) -> int:
-        """Carry out an encoded transaction with so many puts and deletes; see `commit`."""
+        """Commit an encoded transaction with `changes` puts and deletes; see `commit`."""
         await self.write_bucket.acquire(changes)
-        answer = await self._call("POST", "/txn", body)
-        if answer.status == HTTPStatus.CONFLICT:
-            raise CompareFailedError(self._decode_body(answer, messages.CompareFailure).failed_keys)
-        return self._decode_ok(answer, messages.TransactionCommitted).revision
-
-    # -- leases -------------------------------------------------------------------------------------------
+        response = await self._call("POST", "/txn", body)
+        if response.status == HTTPStatus.CONFLICT:
+            raise CompareFailedError(self._decode_body(response, messages.CompareFailure).failed_keys)
+        return self._decode_ok(response, messages.TransactionCommitted).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Return the id of a new lease."""
+        """Create a lease with this TTL and return its id."""
         body = wire.encode(messages.LeaseGrantRequest(round(ttl_s * 1000)))
-        answer = await self._call("POST", "/leases", body, urgent=True)
-        return self._decode_ok(answer, messages.LeaseGrantResponse).lease_id
+        response = await self._call("POST", "/leases", body, urgent=True)
+        return self._decode_ok(response, messages.LeaseGrantResponse).lease_id
 
     async def keep_lease_alive(self, lease: int, timeout_s: float) -> None:
-        """Renew a lease for its full time; `LeaseNotFoundError` once it has expired."""
-        answer = await self._call("POST", f"/leases/{lease}/renew", b"{}", timeout_s=timeout_s, urgent=True)
-        if answer.status == HTTPStatus.NOT_FOUND:
+        """Renew a lease for its full TTL; `LeaseNotFoundError` if it has expired."""
+        response = await self._call("POST", f"/leases/{lease}/renew", b"{}", timeout_s=timeout_s, urgent=True)
+        if response.status == HTTPStatus.NOT_FOUND:
             raise LeaseNotFoundError(f"lease {lease} has expired")
-        if answer.status != HTTPStatus.OK:
-            raise self._malformed(f"lease {lease}: keep-alive answered with status {answer.status}")
+        if response.status != HTTPStatus.OK:
+            raise self._malformed_error(f"lease {lease}: keep-alive answered with status {response.status}")
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease at once; the service deletes the keys attached to it."""
+        """Revoke a lease; the service deletes the keys attached to it."""
         await self._call("DELETE", f"/leases/{lease}", urgent=True)
--- a/driftcleat/store/decoding.py
+++ b/driftcleat/store/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes the records of jobs."""
+"""Decodes the records of jobs into cluster state."""
 
 from typing import NamedTuple
 
@@ -13,12 +13,12 @@
 from driftcleat.wire import state as messages
 from driftcleat.wire.job_ids import decode_job_ids
 
-# Records that a full read decodes before it yields to other coroutines.
+# The number of records that `decode_jobs` decodes before it yields to other coroutines.
 RECORDS_PER_SLICE = 20
 
 
 class DecodedJobs(NamedTuple):
-    """The jobs of a full read, by id, and the keys of the chunk records that belong to none of them."""
+    """The jobs of a full read, by id, and the keys of chunk records that belong to none of these jobs."""
 
     jobs: dict[str, Job]
     orphaned_chunk_keys: list[str]
@@ -42,11 +42,11 @@
 async def decode_jobs(heads: list[messages.KeyValue], chunks: list[messages.KeyValue]) -> DecodedJobs:
     """Return the jobs of a full read.
 
-    Chunks are orphaned if their job has ended, or if the job's head names another number of tasks per record: they
-    are the remains of a migration that was interrupted, or that was completed.
+    A chunk is orphaned if its job has ended, or if the job's head names another number of tasks per record: such
+    chunks are left over from an interrupted or completed migration.
 
-    Records are decoded a few at a time. Guards against a leader that loses its lease while it decodes the records of
-    thousands of machines' tasks.
+    Records are decoded in small slices. Otherwise a leader could not keep its lease alive while it decodes the task
+    records of thousands of machines.
     """
     jobs: dict[str, Job] = {}
     async for key_value in in_slices(heads, RECORDS_PER_SLICE):
--- a/driftcleat/store/encoding.py
+++ b/driftcleat/store/encoding.py
@@ -12,23 +12,23 @@
 from driftcleat.store.records import BatchMarker, EndedJobRecord
 from driftcleat.wire import state as messages
 
-# The state service's limit for a whole transaction.
+# The state service's limit on the size of a transaction.
 MAX_TRANSACTION_BYTES = 64 * 1024
 
 
 class BatchTooLargeError(DriftcleatError):
-    """A batch that exceeds the state service's limits."""
+    """A batch exceeds the state service's limits on value size, transaction size or number of operations."""
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedBatch:
-    """A batch as one transaction, ready to be sent any number of times."""
+    """A batch as one encoded transaction, which may be sent repeatedly."""
 
     # The encoded `Transaction`, and its number of puts and deletes.
     body: bytes
     operation_count: int
     marker: BatchMarker
-    # Chunk records of jobs that end with this batch: garbage once it is committed.
+    # Keys of the chunk records of jobs that end with this batch, to be deleted after the commit.
     obsolete_keys: list[str]
 
 
@@ -37,15 +37,15 @@
 ) -> EncodedBatch:
     """Return a batch as a transaction; `BatchTooLargeError` if the state service would reject it for its size.
 
-    It compares the mod revisions of the leader key, of the batch marker and of every job record it touches, so that
-    it is committed at most once, by the leader, on the records that the batch was built on.
+    The transaction compares the mod revisions of the leader key, of the batch marker and of every job record that it
+    changes. So it is committed at most once, only by the leader, and only on the records that the batch is based on.
     """
     marker = BatchMarker(fencing_token, sequence)
     transaction = _BatchTransaction(batch, layout)
     transaction.compares.append(messages.Compare(LEADER_KEY, fencing_token))
     transaction.compares.append(messages.Compare(BATCH_MARKER_KEY, marker_mod_revision))
     transaction.operations.append(messages.Put(BATCH_MARKER_KEY, marker))
-    # Sorted: the transaction depends on the batch alone, not on the order of a set.
+    # Sorted, so that the encoding does not depend on the iteration order of a set.
     for job_id in sorted(batch.changed_jobs):
         transaction.add_job(batch.jobs[job_id])
     transaction.add_other_keys()
@@ -53,7 +53,7 @@
 
 
 class _BatchTransaction:
-    """The transaction of a batch while it is put together."""
+    """Builds the transaction of a batch."""
 
     def __init__(self, batch: Batch, layout: RecordLayout) -> None:
         self._batch = batch
@@ -63,11 +63,11 @@
         self.obsolete_keys: list[str] = []
 
     def add_job(self, job: Job) -> None:
-        """Add a changed job: its final state if it has ended, or else its changed records."""
+        """Add a changed job: its final state if it has ended, else its changed records."""
         created = job.id in self._batch.created
         self.compares.append(messages.Compare(JOBS_PREFIX + job.id, 0 if created else job.mod_revision))
         if created:
-            # Guards against a late repeat of a submission that starts a job which has ended long ago.
+            # A late retry of a submission must not start again a job that has ended.
             self.compares.append(messages.Compare(ENDED_JOBS_PREFIX + job.id, 0))
         if job.state in (JobState.DONE, JobState.TERMINATED):
             self._add_ended_job(job, created)
@@ -75,7 +75,7 @@
             self._add_changed_records(job)
 
     def _add_ended_job(self, job: Job, created: bool) -> None:
-        """Replace a job's records by its final state; chunks are left to garbage collection."""
+        """Replace the head record of an ended job by its final state; garbage collection deletes the chunks."""
         final_state = JobState.DONE if job.state is JobState.DONE else JobState.CANCELLED
         record = EndedJobRecord(final_state.value, job.tasks_done)
         self.operations.append(messages.Put(ENDED_JOBS_PREFIX + job.id, record))
@@ -92,16 +92,16 @@
             self.operations.append(messages.Put(key, self._layout.chunk_record(job, chunk)))
 
     def add_other_keys(self) -> None:
-        """Add the keys that are not records of changed jobs."""
+        """Add the puts and deletes of the batch that are not records of changed jobs."""
         self.operations.extend(messages.Put(key, value) for key, value in self._batch.puts.items())
         self.operations.extend(messages.Delete(key) for key in self._batch.deletes)
 
     def encode(self) -> bytes:
-        """Return the encoded transaction; `BatchTooLargeError` if a value or the whole exceeds a limit."""
+        """Return the encoded transaction; `BatchTooLargeError` if it or one of its values exceeds a limit."""
         max_value_bytes = self._layout.max_value_bytes
         for operation in self.operations:
             if isinstance(operation, messages.Put) and len(wire.encode(operation.value)) > max_value_bytes:
-                raise BatchTooLargeError(f"record {operation.key}: the value is above {max_value_bytes} bytes")
+                raise BatchTooLargeError(f"record {operation.key}: the value is larger than {max_value_bytes} bytes")
         body = wire.encode(messages.Transaction(self.compares, self.operations))
         if len(body) > MAX_TRANSACTION_BYTES or len(self.operations) > self._layout.max_operations:
             raise BatchTooLargeError(f"batch: {len(self.operations)} operations in {len(body)} bytes")
--- a/driftcleat/store/errors.py
+++ b/driftcleat/store/errors.py
@@ -1,22 +1,22 @@
-"""The errors of requests to the state service."""
+"""The errors that requests to the state service raise."""
 
 from driftcleat.errors import DriftcleatError
 
 
 class StoreError(DriftcleatError):
-    """A request to the state service that failed."""
+    """Base class: a request to the state service failed."""
 
 
 class StoreUnavailableError(StoreError):
-    """The request was certainly not carried out: no connection, 429, 5xx, or the client's own rate limit."""
+    """The request was certainly not carried out: no connection, status 429 or 5xx, or the client's own rate limit."""
 
 
 class OutcomeUnknownError(StoreError):
-    """The request was sent and got no answer: it may have been carried out, or may still be."""
+    """The request was sent but got no response: it may have been carried out, or may still be carried out later."""
 
 
 class MalformedResponseError(StoreError):
-    """The answer has an unexpected status or cannot be decoded."""
+    """The response has an unexpected status or cannot be decoded."""
 
 
 class RequestRejectedError(MalformedResponseError):
@@ -24,11 +24,11 @@
 
 
 class CompareFailedError(StoreError):
-    """A transaction was not carried out because a compare failed; `failed_keys` names the keys."""
+    """A transaction was not carried out because a compare failed; `failed_keys` names the keys that differed."""
 
-    def __init__(self, failed: tuple[str, ...]) -> None:
-        super().__init__(f"conditions failed: {', '.join(failed)}")
-        self.failed_keys = failed
+    def __init__(self, failed_keys: tuple[str, ...]) -> None:
+        super().__init__(f"mod revision differs: {', '.join(failed_keys)}")
+        self.failed_keys = failed_keys
 
 
 class LeaseNotFoundError(StoreError):
--- a/driftcleat/store/index_ranges.py
+++ b/driftcleat/store/index_ranges.py
@@ -1,11 +1,11 @@
 """Ranges of task indices as compact text, such as `0-3,7`."""
 
-# Two below the first index, so that no index continues a range that has not begun.
+# Two below the first index, so that index 0 does not continue a range.
 _NO_INDEX = -2
 
 
 def format_ranges(indices: list[int]) -> str:
-    """Return the text of indices that are sorted and distinct; empty for none."""
+    """Return the text of sorted, distinct indices; an empty text if there are none."""
     parts: list[str] = []
     start = last = _NO_INDEX
     for index in indices:
@@ -25,7 +25,7 @@
 
 
 def parse_ranges(text: str) -> list[int]:
-    """Return the indices of a text that `format_ranges` wrote."""
+    """Return the sorted indices in a text written by `format_ranges`."""
     indices: list[int] = []
     for part in text.split(",") if text else ():
         first, _, last = part.partition("-")
--- a/driftcleat/store/keys.py
+++ b/driftcleat/store/keys.py
@@ -1,22 +1,25 @@
-"""The keys of the records in the state service. Stored data and other versions depend on their spelling."""
+"""The keys of the records in the state service; stored data and other versions depend on their spelling."""
 
 from typing import NamedTuple
 
 ROOT_PREFIX = "driftcleat/"
-# Attached to the leader's lease; its mod revision is the fencing token.
+# Attached to the leader's lease. The mod revision of its creation is the fencing token.
 LEADER_KEY = ROOT_PREFIX + "leader"
+# The sequence number and the term of the last committed batch.
 BATCH_MARKER_KEY = ROOT_PREFIX + "batch"
+# The machine types that the cloud offers.
 MACHINE_TYPES_KEY = ROOT_PREFIX + "types"
 # Head records of the jobs that have not ended, by job id.
 JOBS_PREFIX = ROOT_PREFIX + "jobs/"
+# Chunk records of these jobs, by job id and chunk number; see `chunk_key`.
 CHUNKS_PREFIX = ROOT_PREFIX + "chunks/"
 # Final states of the jobs that have ended, by job id.
 ENDED_JOBS_PREFIX = ROOT_PREFIX + "ended/"
-# Scale-out requests that may have to be repeated, by request id.
+# Scale-out requests that may have to be retried, by request id.
 SCALE_OUTS_PREFIX = ROOT_PREFIX + "rentals/"
-# The images on each machine, by machine name.
+# The images that each machine has fetched, by machine name.
 MACHINE_IMAGES_PREFIX = ROOT_PREFIX + "machines/"
-# The data version in force; without the key it is 1.
+# The active data version; 1 if the key does not exist.
 DATA_VERSION_KEY = ROOT_PREFIX + "version"
 
 
@@ -31,7 +34,8 @@
 def chunk_key(job_id: str, number: int, tasks_per_record: int = 0) -> str:
     """Return the key of a chunk record.
 
-    From data version 2 on it holds the tasks per record, so that chunks of different layouts are never confused.
+    From data version 2 on, the key contains the number of tasks per record, so that chunks of different layouts have
+    different keys.
     """
     if tasks_per_record:
         return f"{CHUNKS_PREFIX}{job_id}/{tasks_per_record}.{number}"
--- a/driftcleat/store/rate_limit.py
+++ b/driftcleat/store/rate_limit.py
@@ -1,11 +1,11 @@
-"""A token bucket, for rate limits that are kept on the client's side."""
+"""A token bucket for client-side rate limits."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class TokenBucket:
-    """Permits `rate` units a second, with bursts of what accrues in `burst_s` seconds."""
+    """Permits `rate` units per second on average, with bursts of up to `rate * burst_s` units."""
 
     def __init__(self, rate: float, clock: Callable[[], float], burst_s: float = 1.0) -> None:
         self.rate = rate
@@ -20,17 +20,17 @@
         self.refilled_at = now
 
     def delay_s(self, units: float) -> float:
-        """Return the seconds until `units` are available; more than the capacity waits for a full bucket only."""
+        """Return the seconds until `units` are available; above the capacity, until the bucket is full."""
         self._refill()
         return max(0.0, (min(units, self.capacity) - self.tokens) / self.rate)
 
     def available(self) -> float:
-        """Return the number of units that are available; negative after an overdraft."""
+        """Return the number of available units; negative after `consume` has taken more than there were."""
         self._refill()
         return self.tokens
 
     def consume(self, units: float) -> None:
-        """Take `units` without waiting; the level may fall below zero."""
+        """Take `units` without waiting; `available` may become negative."""
         self._refill()
         self.tokens -= units
 
