--- a/driftcleat/controller/overload.py
+++ b/driftcleat/controller/overload.py
@@ -1,6 +1,6 @@
 """Delays placement and sizing while the leader is overloaded, so that heartbeats are answered in time."""
 
-# The delay of the event loop, in heartbeat intervals, below which the leader is not overloaded.
+# The delay of the event loop, in heartbeat intervals, below which the leader is not considered overloaded.
 MIN_OVERLOAD_DELAY_INTERVALS = 0.02
 # The fraction of the expected heartbeats that may be missing without overload.
 TOLERATED_MISSING_FRACTION = 0.03
--- a/driftcleat/leadership/active_term.py
+++ b/driftcleat/leadership/active_term.py
@@ -28,7 +28,7 @@
         self._committed = asyncio.Event()
 
     def attach(self, election: Election) -> None:
-        """Set the election. To be called once, before any loop or server starts.
+        """Set the election; to be called once, before any loop or server starts.
 
         The election cannot be a constructor argument, since its callbacks are built with the active term.
         """
@@ -69,10 +69,10 @@
         self.state_changed.set()
 
     async def wait_for_commit(self) -> None:
-        """Wait for the next `announce_commit`. The caller must check the state again afterwards."""
+        """Wait for the next `announce_commit`. The caller must check the state again."""
         await self._committed.wait()
 
     def step_down(self, scheduler: SchedulerT, reason: str) -> None:
-        """Request to step down from the term of `scheduler`; no effect if that term has already ended."""
+        """Have the election step down from the term of `scheduler`; no effect if that term has already ended."""
         if self.scheduler is scheduler:
             self.election.request_step_down(reason)
--- a/driftcleat/leadership/election.py
+++ b/driftcleat/leadership/election.py
@@ -1,4 +1,4 @@
-"""The election: the entry point of this package, with the loop that performs the current role."""
+"""The election: the entry point of this package, and the loop that runs the steps of the current role."""
 
 import asyncio
 import logging
--- a/driftcleat/leadership/leader_loop.py
+++ b/driftcleat/leadership/leader_loop.py
@@ -43,7 +43,7 @@
         self._wake = asyncio.Event()
 
     def begin_term(self) -> None:
-        """Reset what belongs to the previous term. To be called when this controller has created the leader key."""
+        """Reset the state of the previous term; to be called once this controller has created the leader key."""
         self._step_down_reason = None
         self._state.peers_confirmed_at = float("-inf")
 
--- a/driftcleat/leadership/permissions.py
+++ b/driftcleat/leadership/permissions.py
@@ -153,7 +153,7 @@
             self.superseded = False
 
     def observe_leader(self, label: str | None, token: int) -> None:
-        """Record the leader that a peer reports, if a follower knows no term with this token or a higher one."""
+        """Record another leader that a peer reports, if this controller follows and its known token is lower."""
         if (
             self.role in (Role.FOLLOWER, Role.PARTITIONED)
             and label not in (None, self.label)
--- a/driftcleat/leadership/role.py
+++ b/driftcleat/leadership/role.py
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         # Changed by `transition` only.
         self.role = Role.FOLLOWER
-        # The fencing token of the latest known term of any controller; the own one while this controller leads.
+        # The fencing token of the latest known term of any controller; while this controller leads, its own.
         self.leader_fencing_token = 0
 
     @property
@@ -67,7 +67,7 @@
         return self.role in LEADING_ROLES
 
     def transition(self, to: Role) -> None:
-        """Change the role and log the change; no effect if it is the role already.
+        """Change the role and log the change; no effect if the controller has that role already.
 
         Raises `IllegalRoleTransitionError` if the state machine does not allow the change.
         """
--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -182,7 +182,7 @@
     async def list_page(
         self, prefix: str, after: str | None, limit: int, timeout_s: float | None = None
     ) -> messages.KeyValuePage:
-        """Return up to `limit` keys under a prefix in lexical order, starting behind the key `after`."""
+        """Return up to `limit` keys under a prefix in key order, starting behind the key `after`."""
         params = {"under": prefix, "page": str(limit)}
         if after is not None:
             params["from"] = after
--- a/driftcleat/store/keys.py
+++ b/driftcleat/store/keys.py
@@ -7,7 +7,7 @@
 LEADER_KEY = ROOT_PREFIX + "leader"
 # The sequence number and the term of the last committed batch.
 BATCH_MARKER_KEY = ROOT_PREFIX + "batch"
-# The machine types that the cloud offers.
+# The machine types of the cloud, as they were when first stored.
 MACHINE_TYPES_KEY = ROOT_PREFIX + "types"
 # Head records of the jobs that have not ended, by job id.
 JOBS_PREFIX = ROOT_PREFIX + "jobs/"
