--- a/driftcleat/sharing/coordinator.py
+++ b/driftcleat/sharing/coordinator.py
@@ -4,17 +4,6 @@
 from dataclasses import dataclass, field
 
 from driftcleat.settings import Team
-from driftcleat.sharing.allotments import (
-    PATIENCE,
-    Allotment,
-    Amount,
-    Demand,
-    first_allotment,
-    is_divided,
-    limit_of,
-    raised,
-    targets,
-)
 from driftcleat.sharing.assignment import (
     Assignment,
     AssignmentError,
@@ -26,6 +15,17 @@
 )
 from driftcleat.sharing.messages import ShareStatus, Target
 from driftcleat.sharing.planner import ShareLoad, propose
+from driftcleat.sharing.quota import (
+    PATIENCE,
+    Allotment,
+    Amount,
+    Demand,
+    first_allotment,
+    is_divided,
+    limit_of,
+    raised,
+    targets,
+)
 from driftcleat.sharing.settings import SharingSettings
 
 
--- a/driftcleat/sharing/demand.py
+++ b/driftcleat/sharing/demand.py
@@ -5,8 +5,8 @@
 from driftcleat.cluster import Job
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Team
-from driftcleat.sharing.allotments import Amount, is_divided
 from driftcleat.sharing.messages import TeamDemand
+from driftcleat.sharing.quota import Amount, is_divided
 
 
 def demands_of(scheduler: Scheduler, teams: Mapping[str, Team], wall_s: float) -> tuple[TeamDemand, ...]:
--- a/driftcleat/sharing/needs.py
+++ b/driftcleat/sharing/dependencies.py
@@ -16,7 +16,7 @@
 from driftcleat.leadership import ActiveTerm
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.share_states import state_elsewhere
+from driftcleat.sharing.job_states import state_elsewhere
 from driftcleat.store.client import StoreClient
 from driftcleat.store.errors import StoreError, StoreUnavailableError
 from driftcleat.wire.users import JobSpec
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -18,15 +18,15 @@
 from driftcleat.controller.network import SharedNetwork
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.allotments import Amount, allotted, guarantee_share, is_divided
 from driftcleat.sharing.cloud import ShareCloud
 from driftcleat.sharing.demand import demands_of
+from driftcleat.sharing.dependencies import build_share_user_api
 from driftcleat.sharing.election import ShareElection
+from driftcleat.sharing.job_states import state_elsewhere
 from driftcleat.sharing.keys import in_share
 from driftcleat.sharing.messages import ShareStatus
-from driftcleat.sharing.needs import build_share_user_api
-from driftcleat.sharing.share_states import state_elsewhere
-from driftcleat.sharing.share_store import ShareStore
+from driftcleat.sharing.quota import Amount, allotted, guarantee_share, is_divided
+from driftcleat.sharing.shard_store import ShareStore
 from driftcleat.store.errors import StoreError
 from driftcleat.store.keys import LEADER_KEY
 
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -23,18 +23,18 @@
 from driftcleat.peers.client import PATH
 from driftcleat.runtime.background import Background, run_for_ever
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.allotments import Allotment
 from driftcleat.sharing.assignment import Assignment
-from driftcleat.sharing.claims import Claims
 from driftcleat.sharing.cloud import MachineRegistry
-from driftcleat.sharing.duties import CoordinatorDuties
+from driftcleat.sharing.coordinator_loops import CoordinatorDuties
 from driftcleat.sharing.engine import ShareEngine
+from driftcleat.sharing.handoff import Transfers
+from driftcleat.sharing.job_directory import Claims
 from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE
 from driftcleat.sharing.operators import OperatorApi
 from driftcleat.sharing.process_lease import ProcessLease
+from driftcleat.sharing.quota import Allotment
 from driftcleat.sharing.routing import UserRouter
 from driftcleat.sharing.settings import SharingSettings
-from driftcleat.sharing.transfer import Transfers
 from driftcleat.sharing.view import SharingView
 from driftcleat.store.errors import CompareFailedError, StoreError
 from driftcleat.store.keys import LEADER_KEY
--- a/driftcleat/sharing/messages.py
+++ b/driftcleat/sharing/messages.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from driftcleat.sharing.allotments import Amount
+from driftcleat.sharing.quota import Amount
 
 
 class TeamDemand(msgspec.Struct, frozen=True, array_like=True):
--- a/driftcleat/sharing/view.py
+++ b/driftcleat/sharing/view.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from driftcleat import wire
-from driftcleat.sharing.allotments import Allotment
 from driftcleat.sharing.assignment import Assignment, AssignmentError, read_assignment
 from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE, MACHINES, SHARING
+from driftcleat.sharing.quota import Allotment
 from driftcleat.store.client import StoreClient
 from driftcleat.store.errors import StoreError
 
--- a/tests/sharing_simulation.py
+++ b/tests/sharing_simulation.py
@@ -9,9 +9,9 @@
 from driftcleat import wire
 from driftcleat.net import SocketBudget
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.allotments import Allotment, limit_of
 from driftcleat.sharing.host import SharingHost
 from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, MACHINES, share_root
+from driftcleat.sharing.quota import Allotment, limit_of
 from driftcleat.sharing.settings import SharingSettings
 from driftcleat.store.keys import LEADER_KEY, ROOT_PREFIX
 
--- a/tests/test_share_checker.py
+++ b/tests/test_share_checker.py
@@ -5,7 +5,7 @@
 import pytest
 
 from driftcleat.settings import Team
-from driftcleat.sharing.allotments import Allotment, Amount
+from driftcleat.sharing.quota import Allotment, Amount
 from tools.shares.checker import Broken, Checker
 from tools.shares.history import (
     Allotted,
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -8,9 +8,9 @@
 
 from driftcleat import wire
 from driftcleat.leadership import Role
+from driftcleat.sharing.handoff import TransferState
 from driftcleat.sharing.keys import ASSIGNMENT, CLAIMS, MACHINES, in_share, share_root
 from driftcleat.sharing.messages import LetGo, LetGoAnswer
-from driftcleat.sharing.transfer import TransferState
 from driftcleat.store.errors import StoreUnavailableError
 from driftcleat.store.keys import JOBS_PREFIX, LEADER_KEY
 
--- a/tests/test_sharing_parts.py
+++ b/tests/test_sharing_parts.py
@@ -10,17 +10,6 @@
 
 from driftcleat import wire
 from driftcleat.settings import SettingsError, Team
-from driftcleat.sharing.allotments import (
-    NONE,
-    ROUNDING,
-    Allotment,
-    Amount,
-    Demand,
-    allotted,
-    first_allotment,
-    raised,
-    targets,
-)
 from driftcleat.sharing.assignment import (
     Assignment,
     AssignmentError,
@@ -36,6 +25,17 @@
 from driftcleat.sharing.keys import ASSIGNMENT, in_share, without_share
 from driftcleat.sharing.messages import ShareStatus
 from driftcleat.sharing.planner import ShareLoad, loads_by_owner, propose
+from driftcleat.sharing.quota import (
+    NONE,
+    ROUNDING,
+    Allotment,
+    Amount,
+    Demand,
+    allotted,
+    first_allotment,
+    raised,
+    targets,
+)
 from driftcleat.sharing.settings import SharingSettings, load_sharing
 from driftcleat.store.keys import CHUNKS_PREFIX, JOBS_PREFIX, LEADER_KEY
 
--- a/tools/shares/checker.py
+++ b/tools/shares/checker.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 from driftcleat.settings import Team
-from driftcleat.sharing.allotments import ROUNDING, limit_of
+from driftcleat.sharing.quota import ROUNDING, limit_of
 
 from .history import (
     Allotted,
--- a/tools/shares/history.py
+++ b/tools/shares/history.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from driftcleat.sharing.allotments import Allotment
+from driftcleat.sharing.quota import Allotment
 
 
 @dataclass(frozen=True, slots=True)
--- a/tools/shares/world.py
+++ b/tools/shares/world.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 
 from driftcleat import wire
-from driftcleat.sharing.allotments import Allotment
 from driftcleat.sharing.keys import ALLOTMENTS, MACHINES, in_share
+from driftcleat.sharing.quota import Allotment
 from driftcleat.store.keys import BATCH_MARKER_KEY, LEADER_KEY
 from driftcleat.store.records import ScaleOutRecord
 from driftcleat.wire.workers import Command
