--- a/driftcleat/cli/serve.py
+++ b/driftcleat/cli/serve.py
@@ -69,9 +69,9 @@
         if sharing is None:
             await Controller(platform, tuning).run()
             return
-        from driftcleat.sharing.host import SharingHost
+        from driftcleat.sharing.host import ShardHost
 
-        await SharingHost(platform, tuning, sharing).run()
+        await ShardHost(platform, tuning, sharing).run()
 
     try:
         uvloop.run(run())
--- a/driftcleat/sharing/assignment.py
+++ b/driftcleat/sharing/assignment.py
@@ -10,10 +10,10 @@
 
 from driftcleat import wire
 from driftcleat.errors import DriftcleatError
-from driftcleat.sharing.keys import FIRST_SHARE
+from driftcleat.sharing.keys import FIRST_SHARD
 
 # The form of the record that this program writes.
-FORMAT = 1
+FORMAT_VERSION = 1
 
 
 class AssignmentError(DriftcleatError):
@@ -23,122 +23,122 @@
 class Move(msgspec.Struct, frozen=True, array_like=True):
     """A share that is being given from its owner to another controller."""
 
-    share: int
-    receiver: str
+    shard: int
+    target: str
     # Counts the moves: a request that belongs to an earlier one is told from it.
     number: int
 
 
-class Assignment(msgspec.Struct, frozen=True, array_like=True):
+class ShardAssignment(msgspec.Struct, frozen=True, array_like=True):
     """Who owns each share. The first has no owner here: it goes with the coordinator."""
 
     format: int
     owners: tuple[str, ...]
     moves: tuple[Move, ...] = ()
-    moves_begun: int = 0
+    move_count: int = 0
     # Machines are named in the order in which they were rented: those up to this one were there before sharing began,
     # and are the first share's without a record of their own.
-    first_share_until: str = ""
+    first_shard_last_machine: str = ""
 
     @property
-    def shares(self) -> int:
+    def shard_count(self) -> int:
         """Return how many shares there are."""
         return len(self.owners)
 
-    def owner(self, share: int) -> str | None:
+    def owner(self, shard: int) -> str | None:
         """Return the controller to which a share is assigned; None for the first share and for unknown ones."""
-        return self.owners[share] if FIRST_SHARE < share < self.shares else None
+        return self.owners[shard] if FIRST_SHARD < shard < self.shard_count else None
 
-    def move_of(self, share: int) -> Move | None:
+    def move_of(self, shard: int) -> Move | None:
         """Return the move of a share that is under way."""
-        return next((move for move in self.moves if move.share == share), None)
+        return next((move for move in self.moves if move.shard == shard), None)
 
-    def owned_by(self, label: str) -> list[int]:
+    def shards_owned_by(self, label: str) -> list[int]:
         """Return the shares that are assigned to a controller."""
-        return [share for share, owner in enumerate(self.owners) if share != FIRST_SHARE and owner == label]
+        return [shard for shard, owner in enumerate(self.owners) if shard != FIRST_SHARD and owner == label]
 
 
-def initial_assignment(shares: int, labels: Collection[str], newest_machine: str) -> Assignment:
+def initial_assignment(shard_count: int, labels: Collection[str], newest_machine: str) -> ShardAssignment:
     """Return the first assignment: the shares dealt out in turn, all machines so far the first one's."""
     names = sorted(labels)
-    owners = ["", *(names[share % len(names)] for share in range(1, shares))]
-    return Assignment(FORMAT, tuple(owners), first_share_until=newest_machine)
+    owners = ["", *(names[shard % len(names)] for shard in range(1, shard_count))]
+    return ShardAssignment(FORMAT_VERSION, tuple(owners), first_shard_last_machine=newest_machine)
 
 
-def read_assignment(value: bytes, labels: Collection[str]) -> Assignment:
+def decode_assignment(value: bytes, labels: Collection[str]) -> ShardAssignment:
     """Return the assignment of a stored record; `AssignmentError` if it is not one that can be acted on."""
     try:
-        found = wire.decode(value, Assignment)
+        assignment = wire.decode(value, ShardAssignment)
     except wire.WireError as error:
         raise AssignmentError(f"the record is malformed: {error}") from None
-    check(found, labels)
-    return found
+    validate(assignment, labels)
+    return assignment
 
 
-def check(assignment: Assignment, labels: Collection[str]) -> None:
+def validate(assignment: ShardAssignment, labels: Collection[str]) -> None:
     """Raise `AssignmentError` unless an assignment names known controllers and possible moves only."""
-    if assignment.format != FORMAT:
-        raise AssignmentError(f"the record has form {assignment.format}, this program knows {FORMAT}")
-    if not assignment.owners or assignment.owners[FIRST_SHARE]:
+    if assignment.format != FORMAT_VERSION:
+        raise AssignmentError(f"the record has form {assignment.format}, this program knows {FORMAT_VERSION}")
+    if not assignment.owners or assignment.owners[FIRST_SHARD]:
         raise AssignmentError("the first share goes with the coordinator and has no owner of its own")
-    for share, owner in enumerate(assignment.owners[1:], 1):
+    for shard, owner in enumerate(assignment.owners[1:], 1):
         if owner not in labels:
-            raise AssignmentError(f"share {share}: unknown controller {owner}")
-    moving = [move.share for move in assignment.moves]
-    if len(set(moving)) != len(moving):
+            raise AssignmentError(f"share {shard}: unknown controller {owner}")
+    moving_shards = [move.shard for move in assignment.moves]
+    if len(set(moving_shards)) != len(moving_shards):
         raise AssignmentError("a share is moved twice at once")
     for move in assignment.moves:
-        _check_move(assignment, move.share, move.receiver, labels)
+        _check_move(assignment, move.shard, move.target, labels)
 
 
-def _check_move(assignment: Assignment, share: int, receiver: str, labels: Collection[str]) -> None:
-    if not 0 <= share < assignment.shares:
-        raise AssignmentError(f"there is no share {share}")
-    if share == FIRST_SHARE:
+def _check_move(assignment: ShardAssignment, shard: int, target: str, labels: Collection[str]) -> None:
+    if not 0 <= shard < assignment.shard_count:
+        raise AssignmentError(f"there is no share {shard}")
+    if shard == FIRST_SHARD:
         raise AssignmentError("the first share goes with the coordinator: it cannot be moved by itself")
-    if receiver not in labels:
-        raise AssignmentError(f"unknown controller {receiver}")
-    if assignment.owner(share) == receiver:
-        raise AssignmentError(f"{receiver} owns share {share} already")
+    if target not in labels:
+        raise AssignmentError(f"unknown controller {target}")
+    if assignment.owner(shard) == target:
+        raise AssignmentError(f"{target} owns share {shard} already")
 
 
-def begin_move(assignment: Assignment, share: int, receiver: str, labels: Collection[str]) -> Assignment:
+def begin_move(assignment: ShardAssignment, shard: int, target: str, labels: Collection[str]) -> ShardAssignment:
     """Return the assignment in which a share is being moved."""
-    _check_move(assignment, share, receiver, labels)
-    if assignment.move_of(share) is not None:
-        raise AssignmentError(f"share {share} is being moved already")
-    number = assignment.moves_begun + 1
-    moves = (*assignment.moves, Move(share, receiver, number))
-    return msgspec.structs.replace(assignment, moves=moves, moves_begun=number)
+    _check_move(assignment, shard, target, labels)
+    if assignment.move_of(shard) is not None:
+        raise AssignmentError(f"share {shard} is being moved already")
+    number = assignment.move_count + 1
+    moves = (*assignment.moves, Move(shard, target, number))
+    return msgspec.structs.replace(assignment, moves=moves, move_count=number)
 
 
-def complete_move(assignment: Assignment, share: int) -> Assignment:
+def complete_move(assignment: ShardAssignment, shard: int) -> ShardAssignment:
     """Return the assignment in which a share belongs to the receiver of its move."""
-    move = assignment.move_of(share)
+    move = assignment.move_of(shard)
     if move is None:
-        raise AssignmentError(f"share {share} is not being moved")
+        raise AssignmentError(f"share {shard} is not being moved")
     owners = list(assignment.owners)
-    owners[share] = move.receiver
-    return msgspec.structs.replace(drop_move(assignment, share), owners=tuple(owners))
+    owners[shard] = move.target
+    return msgspec.structs.replace(drop_move(assignment, shard), owners=tuple(owners))
 
 
-def drop_move(assignment: Assignment, share: int) -> Assignment:
+def drop_move(assignment: ShardAssignment, shard: int) -> ShardAssignment:
     """Return the assignment without a move that is given up."""
-    moves = tuple(move for move in assignment.moves if move.share != share)
+    moves = tuple(move for move in assignment.moves if move.shard != shard)
     return msgspec.structs.replace(assignment, moves=moves)
 
 
-def reassign(assignment: Assignment, share: int, owner: str) -> Assignment:
+def reassign(assignment: ShardAssignment, shard: int, owner: str) -> ShardAssignment:
     """Return the assignment in which a share whose owner is lost belongs to another controller."""
-    if assignment.owner(share) is None:
-        raise AssignmentError(f"share {share} cannot be reassigned")
+    if assignment.owner(shard) is None:
+        raise AssignmentError(f"share {shard} cannot be reassigned")
     owners = list(assignment.owners)
-    owners[share] = owner
-    return msgspec.structs.replace(drop_move(assignment, share), owners=tuple(owners))
+    owners[shard] = owner
+    return msgspec.structs.replace(drop_move(assignment, shard), owners=tuple(owners))
 
 
-def grow(assignment: Assignment, shares: int, labels: Collection[str]) -> Assignment:
+def add_shards(assignment: ShardAssignment, shard_count: int, labels: Collection[str]) -> ShardAssignment:
     """Return the assignment with more shares, which begin empty; there is no way to have fewer."""
     names = sorted(labels)
-    more = [names[share % len(names)] for share in range(assignment.shares, shares)]
-    return msgspec.structs.replace(assignment, owners=(*assignment.owners, *more))
+    new_owners = [names[shard % len(names)] for shard in range(assignment.shard_count, shard_count)]
+    return msgspec.structs.replace(assignment, owners=(*assignment.owners, *new_owners))
--- a/driftcleat/sharing/cloud.py
+++ b/driftcleat/sharing/cloud.py
@@ -10,7 +10,7 @@
 
 from driftcleat.cloud.client import CloudClient, CloudError
 from driftcleat.settings import Platform
-from driftcleat.sharing.keys import FIRST_SHARE, MACHINES
+from driftcleat.sharing.keys import FIRST_SHARD, MACHINE_SHARDS_PREFIX
 from driftcleat.sharing.view import SharingView
 from driftcleat.store.client import StoreClient
 from driftcleat.store.errors import CompareFailedError, StoreError
@@ -22,9 +22,9 @@
 
 # A machine that nobody has is taken by the first share once it is this old, as a multiple of the list's lag: until
 # then whoever rented it may be about to say so.
-GRACE_LAGS = 2.0
+UNOWNED_GRACE_LAGS = 2.0
 # Keys of machines that are gone for certain may be removed after this many lags without being listed.
-FORGET_LAGS = 12.0
+UNREGISTER_LAGS = 12.0
 
 
 class MachineRegistry:
@@ -32,72 +32,74 @@
 
     def __init__(self, store: StoreClient, view: SharingView, platform: Platform) -> None:
         self._store, self._view = store, view
-        self._at_once = max(1, platform.txn_ops)
+        self._max_names_per_transaction = max(1, platform.txn_ops)
 
-    async def register(self, names: Sequence[str], share: int) -> list[str]:
+    async def register(self, names: Sequence[str], shard: int) -> list[str]:
         """Make machines a share's; return those that are. `StoreError` if that cannot be said."""
-        ours: list[str] = []
-        for begin in range(0, len(names), self._at_once):
-            ours += await self._register(names[begin : begin + self._at_once], share)
-        return ours
+        owned: list[str] = []
+        for start in range(0, len(names), self._max_names_per_transaction):
+            owned += await self._register(names[start : start + self._max_names_per_transaction], shard)
+        return owned
 
-    async def _register(self, names: Sequence[str], share: int) -> list[str]:
-        unknown = [name for name in names if self._view.share_of(name) is None]
+    async def _register(self, names: Sequence[str], shard: int) -> list[str]:
+        unknown = [name for name in names if self._view.shard_of(name) is None]
         if unknown:
-            conditions = [messages.Compare(MACHINES + name, 0) for name in unknown]
-            changes: list[Any] = [messages.Put(MACHINES + name, share) for name in unknown]
+            compares = [messages.Compare(MACHINE_SHARDS_PREFIX + name, 0) for name in unknown]
+            operations: list[Any] = [messages.Put(MACHINE_SHARDS_PREFIX + name, shard) for name in unknown]
             try:
-                await self._store.commit(messages.Transaction(conditions, changes))
+                await self._store.commit(messages.Transaction(compares, operations))
             except CompareFailedError:
-                return await self._register_one_by_one(names, share)
+                return await self._register_one_by_one(names, shard)
             for name in unknown:
-                self._view.machines[name] = share
-        return [name for name in names if self._view.share_of(name) == share]
+                self._view.machines[name] = shard
+        return [name for name in names if self._view.shard_of(name) == shard]
 
-    async def _register_one_by_one(self, names: Sequence[str], share: int) -> list[str]:
+    async def _register_one_by_one(self, names: Sequence[str], shard: int) -> list[str]:
         """Some of them are registered already: by ourselves before, or to another share."""
         for name in names:
-            if self._view.share_of(name) is not None:
+            if self._view.shard_of(name) is not None:
                 continue
             try:
-                changes: list[Any] = [messages.Put(MACHINES + name, share)]
-                await self._store.commit(messages.Transaction([messages.Compare(MACHINES + name, 0)], changes))
-                self._view.machines[name] = share
+                operations: list[Any] = [messages.Put(MACHINE_SHARDS_PREFIX + name, shard)]
+                await self._store.commit(
+                    messages.Transaction([messages.Compare(MACHINE_SHARDS_PREFIX + name, 0)], operations)
+                )
+                self._view.machines[name] = shard
             except CompareFailedError:
                 await self.look_up(name)
-        return [name for name in names if self._view.share_of(name) == share]
+        return [name for name in names if self._view.shard_of(name) == shard]
 
     async def look_up(self, name: str) -> int | None:
         """Return a machine's share as the store has it just now."""
-        key_value = await self._store.get(MACHINES + name)
+        key_value = await self._store.get(MACHINE_SHARDS_PREFIX + name)
         if key_value is None:
             return None
-        share = int(bytes(key_value.value))
-        self._view.machines[name] = share
-        return share
+        shard = int(bytes(key_value.value))
+        self._view.machines[name] = shard
+        return shard
 
-    async def forget(self, names: Sequence[str]) -> None:
+    async def unregister(self, names: Sequence[str]) -> None:
         """Remove machines that are gone for good."""
         known = [name for name in names if name in self._view.machines]
-        for begin in range(0, len(known), self._at_once):
-            part = known[begin : begin + self._at_once]
-            changes: list[Any] = [messages.Delete(MACHINES + name) for name in part]
-            await self._store.commit(messages.Transaction([], changes))
+        for start in range(0, len(known), self._max_names_per_transaction):
+            batch = known[start : start + self._max_names_per_transaction]
+            operations: list[Any] = [messages.Delete(MACHINE_SHARDS_PREFIX + name) for name in batch]
+            await self._store.commit(messages.Transaction([], operations))
 
 
-class ShareCloud(CloudClient):
+class ShardCloud(CloudClient):
     """Passes calls to the process's client; sees the machines of one share only."""
 
     def __init__(
         self,
         inner: CloudClient,
-        share: int,
+        shard: int,
         view: SharingView,
         registry: MachineRegistry,
         platform: Platform,
         clock: Callable[[], float],
     ) -> None:
-        self._inner, self._share, self._view, self._registry = inner, share, view, registry
+        self._inner, self._shard, self._view, self._registry = inner, shard, view, registry
         self._lag_s = platform.list_lag_s
         self._clock = clock
         self._unlisted_since: dict[str, float] = {}
@@ -121,43 +123,43 @@
         # Tokens are unique over all shares, and so are the names that begin with them.
         names = await self._inner.create_machines(request)
         try:
-            return tuple(await self._registry.register(names, self._share))
+            return tuple(await self._registry.register(names, self._shard))
         except StoreError as error:
             raise CloudError(f"rented machines could not be registered: {error}") from None
 
     async def delete_machines(self, names: list[str]) -> None:
         """Return machines of this share; those of another are never named."""
         await self._inner.delete_machines(
-            [name for name in names if self._view.share_of(name) in (self._share, None)]
+            [name for name in names if self._view.shard_of(name) in (self._shard, None)]
         )
         try:
-            await self._registry.forget(names)
+            await self._registry.unregister(names)
         except StoreError as error:
             log.debug("machines that are gone are still registered: %s", error)
 
     async def list_machines(self) -> list[wire_cloud.ListedMachine]:
         """Return this share's machines in the list; the first share takes those that nobody has."""
         listed = await self._inner.list_machines()
-        if self._share == FIRST_SHARE:
-            await self._take_unowned(listed)
-        return [machine for machine in listed if self._view.share_of(machine.name) == self._share]
+        if self._shard == FIRST_SHARD:
+            await self._register_unowned(listed)
+        return [machine for machine in listed if self._view.shard_of(machine.name) == self._shard]
 
-    async def _take_unowned(self, listed: list[wire_cloud.ListedMachine]) -> None:
+    async def _register_unowned(self, listed: list[wire_cloud.ListedMachine]) -> None:
         unowned = [
             machine.name
             for machine in listed
-            if self._view.share_of(machine.name) is None and machine.age_s > self._lag_s * GRACE_LAGS
+            if self._view.shard_of(machine.name) is None and machine.age_s > self._lag_s * UNOWNED_GRACE_LAGS
         ]
         try:
-            await self._registry.register(unowned, FIRST_SHARE)
-            await self._forget_unlisted({machine.name for machine in listed})
+            await self._registry.register(unowned, FIRST_SHARD)
+            await self._unregister_unlisted({machine.name for machine in listed})
         except StoreError as error:
             raise CloudError(f"machines could not be registered: {error}") from None
 
-    async def _forget_unlisted(self, listed: set[str]) -> None:
+    async def _unregister_unlisted(self, listed: set[str]) -> None:
         """Remove keys of machines that nobody returned and that the list has lacked for long: taken, or failed."""
         now = self._clock()
         unlisted = [name for name in self._view.machines if name not in listed]
         self._unlisted_since = {name: self._unlisted_since.get(name, now) for name in unlisted}
-        gone = [name for name, since in self._unlisted_since.items() if now - since > self._lag_s * FORGET_LAGS]
-        await self._registry.forget(gone)
+        gone = [name for name, since in self._unlisted_since.items() if now - since > self._lag_s * UNREGISTER_LAGS]
+        await self._registry.unregister(gone)
--- a/driftcleat/sharing/demand.py
+++ b/driftcleat/sharing/demand.py
@@ -6,21 +6,21 @@
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Team
 from driftcleat.sharing.messages import TeamDemand
-from driftcleat.sharing.quota import Amount, is_divided
+from driftcleat.sharing.quota import Amount, has_limit
 
 
-def demands_of(scheduler: Scheduler, teams: Mapping[str, Team], wall_s: float) -> tuple[TeamDemand, ...]:
+def team_demands(scheduler: Scheduler, teams: Mapping[str, Team], wall_clock_s: float) -> tuple[TeamDemand, ...]:
     """Return the demand for each team with a limit that has any."""
     found = []
     for team in teams.values():
-        if is_divided(team):
-            demand = _demand_of(scheduler, team.name, wall_s)
+        if has_limit(team):
+            demand = _team_demand(scheduler, team.name, wall_clock_s)
             if demand is not None:
                 found.append(demand)
     return tuple(found)
 
 
-def _demand_of(scheduler: Scheduler, team: str, wall_s: float) -> TeamDemand | None:
+def _team_demand(scheduler: Scheduler, team: str, wall_clock_s: float) -> TeamDemand | None:
     usage = scheduler.cluster.team_usage.get(team)
     used = Amount(usage.cpus, usage.gpus) if usage is not None else Amount()
     waiting = [job for job in scheduler.queue.queued().jobs if job.spec.team == team]
@@ -34,7 +34,7 @@
         oldest = min(waiting, key=lambda job: (job.submitted_at, job.id))
         # An array or a service begins with one task; a gang with all.
         first = _amount(oldest, oldest.tasks_queued if oldest.is_gang else 1)
-        waited_s = max(0.0, wall_s - oldest.submitted_at)
+        waited_s = max(0.0, wall_clock_s - oldest.submitted_at)
     return TeamDemand(team, used, wanted, first, waited_s)
 
 
--- a/driftcleat/sharing/dependencies.py
+++ b/driftcleat/sharing/dependencies.py
@@ -16,40 +16,40 @@
 from driftcleat.leadership import ActiveTerm
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.job_states import state_elsewhere
+from driftcleat.sharing.job_states import read_job_state
 from driftcleat.store.client import StoreClient
 from driftcleat.store.errors import StoreError, StoreUnavailableError
 from driftcleat.wire.users import JobSpec
 
 if TYPE_CHECKING:
-    from driftcleat.sharing.host import SharingHost
+    from driftcleat.sharing.host import ShardHost
 
 # Arguments of `UserApi` after the platform, up to the limits on requests.
 UserApiArguments = tuple[Tuning, StoreClient, ForwardingClient, ActiveTerm[Scheduler], Callable[[], float], int, int]
 
 
-def build_share_user_api(host: "SharingHost", share: int, _: Platform, *arguments: *UserApiArguments) -> UserApi:
+def build_shard_user_api(host: "ShardHost", shard: int, _: Platform, *arguments: *UserApiArguments) -> UserApi:
     """Return the users' interface of a share; the arguments are those of `UserApi`.
 
     The host's platform replaces the share's: whether a job can ever run is judged by the teams' whole limits.
     """
-    return UserApi(host.platform, *arguments, partial(ShareDependencyLookup, host, share))
+    return UserApi(host.platform, *arguments, partial(ShardDependencyLookup, host, shard))
 
 
-class ShareDependencyLookup(DependencyLookup):
+class ShardDependencyLookup(DependencyLookup):
     """Looks up dependencies that may be homed on another share."""
 
     def __init__(
         self,
-        host: "SharingHost",
-        share: int,
+        host: "ShardHost",
+        shard: int,
         records: JobRecords,
         leader_lookup: LeaderLookup,
         responses: RetryResponses,
     ) -> None:
         super().__init__(records, leader_lookup, responses)
         self._host = host
-        self._share = share
+        self._shard = shard
 
     async def ended_dependencies(self, scheduler: Scheduler, spec: JobSpec) -> dict[str, str]:
         """Return the final states of ended dependencies; those homed on another share are read from its records."""
@@ -57,11 +57,11 @@
         own: list[str] = []
         for dependency in spec.dependencies or ():
             try:
-                home = await self._host.claims.home(dependency, self._records.max_wait_s)
-                if home is None or home == self._share:
+                home_shard = await self._host.job_directory.home_shard(dependency, self._records.max_wait_s)
+                if home_shard is None or home_shard == self._shard:
                     own.append(dependency)
                     continue
-                state = await state_elsewhere(self._host.store, home, dependency, self._records.max_wait_s)
+                state = await read_job_state(self._host.store, home_shard, dependency, self._records.max_wait_s)
             except (StoreError, wire.WireError):
                 raise RequestRefusedError(self._responses.store_unavailable()) from None
             if state is None:
@@ -78,7 +78,7 @@
         job on another share.
         """
         for dependency in spec.dependencies or ():
-            home = await self._host.claims.home(dependency, self._records.max_wait_s)
-            if home is not None and home != self._share:
+            home_shard = await self._host.job_directory.home_shard(dependency, self._records.max_wait_s)
+            if home_shard is not None and home_shard != self._shard:
                 raise StoreUnavailableError("it needs a job of another share")
         return await super().has_cancelled_dependency(spec)
--- a/driftcleat/sharing/election.py
+++ b/driftcleat/sharing/election.py
@@ -16,7 +16,7 @@
 from driftcleat.leadership import Campaign, Election, FollowerLoop, LeaderLoop, Role
 from driftcleat.settings import Platform, Tuning
 from driftcleat.sharing.assignment import complete_move
-from driftcleat.sharing.keys import ASSIGNMENT, FIRST_SHARE
+from driftcleat.sharing.keys import ASSIGNMENT_KEY, FIRST_SHARD
 from driftcleat.sharing.process_lease import ProcessLease
 from driftcleat.sharing.view import SharingView
 from driftcleat.store.client import StoreClient
@@ -25,123 +25,123 @@
 
 # Times as parts of the leader lease: how long a giver waits for its key to be replaced, how often it looks, and the
 # pause of a controller that may not campaign.
-HANDOVER_TIMEOUT = 1.0
-HANDOVER_POLL_PAUSE = 0.05
+HANDOFF_TIMEOUT = 1.0
+HANDOFF_POLL_PAUSE = 0.05
 INELIGIBLE_PAUSE = 0.1
 
 
-class ShareCandidacy:
+class ShardCandidacy:
     """Whether this controller may campaign for a share."""
 
-    def __init__(self, share: int, view: SharingView, label: str) -> None:
-        self.share = share
+    def __init__(self, shard: int, view: SharingView, label: str) -> None:
+        self.shard = shard
         self.view = view
         self._label = label
 
     @property
-    def may_lead(self) -> bool:
+    def may_campaign(self) -> bool:
         """Whether this controller may campaign: the first share is anybody's, the others are assigned."""
-        if self.share == FIRST_SHARE:
+        if self.shard == FIRST_SHARD:
             return True
         assignment = self.view.assignment
         if assignment is None:
             return False
-        move = assignment.move_of(self.share)
-        return assignment.owner(self.share) == self._label or (move is not None and move.receiver == self._label)
+        move = assignment.move_of(self.shard)
+        return assignment.owner(self.shard) == self._label or (move is not None and move.target == self._label)
 
 
-class ShareCampaign(Campaign):
+class ShardCampaign(Campaign):
     """Campaigns for a share that is assigned to this controller, or completes a move to it."""
 
-    def __init__(self, candidacy: ShareCandidacy, *parts: Any) -> None:
-        super().__init__(*parts)
+    def __init__(self, candidacy: ShardCandidacy, *arguments: Any) -> None:
+        super().__init__(*arguments)
         self._candidacy = candidacy
         # The mod revision of the giver's leader key that is to be replaced by ours.
-        self.replaces: int | None = None
+        self.replaced_mod_revision: int | None = None
 
     async def run(self) -> None:
         """As in every election, if this controller may lead the share."""
-        if not self._candidacy.may_lead:
+        if not self._candidacy.may_campaign:
             await asyncio.sleep(self._state.ttl_s * INELIGIBLE_PAUSE)
             return
         try:
             await super().run()
         finally:
-            self.replaces = None
+            self.replaced_mod_revision = None
 
     def transaction(self, lease: int) -> messages.Transaction:
         """Return the transaction that makes this controller the share's leader, and completes a move to it."""
         transaction = super().transaction(lease)
-        if self.replaces is not None:
-            transaction.compares[0] = messages.Compare(LEADER_KEY, self.replaces)
-        view, share = self._candidacy.view, self._candidacy.share
+        if self.replaced_mod_revision is not None:
+            transaction.compares[0] = messages.Compare(LEADER_KEY, self.replaced_mod_revision)
+        view, shard = self._candidacy.view, self._candidacy.shard
         assignment = view.assignment
-        move = assignment.move_of(share) if assignment is not None else None
-        if assignment is not None and move is not None and move.receiver == self._state.label:
-            transaction.compares.append(messages.Compare(ASSIGNMENT, view.assignment_version))
-            transaction.operations.append(messages.Put(ASSIGNMENT, complete_move(assignment, share)))
+        move = assignment.move_of(shard) if assignment is not None else None
+        if assignment is not None and move is not None and move.target == self._state.label:
+            transaction.compares.append(messages.Compare(ASSIGNMENT_KEY, view.assignment_mod_revision))
+            transaction.operations.append(messages.Put(ASSIGNMENT_KEY, complete_move(assignment, shard)))
         return transaction
 
 
-class ShareFollowerLoop(FollowerLoop):
+class ShardFollowerLoop(FollowerLoop):
     """Follows the share's leader; as the receiver of a move it campaigns once the giver has let go."""
 
-    def __init__(self, campaign: ShareCampaign, *parts: Any) -> None:
-        super().__init__(*parts)
-        self._share_campaign = campaign
+    def __init__(self, campaign: ShardCampaign, *arguments: Any) -> None:
+        super().__init__(*arguments)
+        self._shard_campaign = campaign
         # Set by a hand-over to end the wait for the leader key.
-        self._handed_over = asyncio.Event()
+        self._acquire_requested = asyncio.Event()
 
-    def take_over(self, held_mod_revision: int) -> None:
+    def acquire(self, released_mod_revision: int) -> None:
         """The giver has let go of its leader key, which has this mod revision: replace it."""
         if self._state.role is Role.FOLLOWER:
-            self._share_campaign.replaces = held_mod_revision
-            self._handed_over.set()
+            self._shard_campaign.replaced_mod_revision = released_mod_revision
+            self._acquire_requested.set()
 
     async def wait_for_change(self) -> None:
         """As in every election; a hand-over ends the wait and starts a campaign."""
-        self._handed_over.clear()
-        if self._share_campaign.replaces is None:
+        self._acquire_requested.clear()
+        if self._shard_campaign.replaced_mod_revision is None:
             watching = asyncio.ensure_future(super().wait_for_change())
-            handed_over = asyncio.ensure_future(self._handed_over.wait())
+            acquire_requested = asyncio.ensure_future(self._acquire_requested.wait())
             try:
-                await asyncio.wait((watching, handed_over), return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait((watching, acquire_requested), return_when=asyncio.FIRST_COMPLETED)
                 if watching.done():
                     watching.result()
             finally:
                 watching.cancel()
-                handed_over.cancel()
-        if self._share_campaign.replaces is not None:
-            await self._share_campaign.run()
+                acquire_requested.cancel()
+        if self._shard_campaign.replaced_mod_revision is not None:
+            await self._shard_campaign.run()
 
 
-class ShareLeaderLoop(LeaderLoop):
+class ShardLeaderLoop(LeaderLoop):
     """Holds leadership of a share with the lease of the process, until the share is handed over."""
 
-    def __init__(self, candidacy: ShareCandidacy, process_lease: ProcessLease, *parts: Any) -> None:
-        super().__init__(*parts)
+    def __init__(self, candidacy: ShardCandidacy, process_lease: ProcessLease, *arguments: Any) -> None:
+        super().__init__(*arguments)
         self._candidacy = candidacy
         self._process_lease = process_lease
         # While the share is handed over: until when this leader waits for its key to be replaced.
-        self._handing_over_until: float | None = None
+        self._release_deadline: float | None = None
 
     @property
-    def handing_over(self) -> bool:
+    def is_releasing(self) -> bool:
         """Whether this leader has let go of its key and waits for the receiver."""
-        return self._handing_over_until is not None
+        return self._release_deadline is not None
 
-    def let_go(self) -> int | None:
+    def release(self) -> int | None:
         """Decide nothing more under this token; return it, None if this controller does not lead for certain.
 
         Workers' leases are kept until the receiver leads, or until the bound of an unconfirmed leader.
         """
         state = self._state
-        if self.handing_over:
+        if self.is_releasing:
             return state.fencing_token
         if not state.may_decide:
             return None
         now = state.clock()
-        self._handing_over_until = now + state.ttl_s * HANDOVER_TIMEOUT
+        self._release_deadline = now + state.ttl_s * HANDOFF_TIMEOUT
         state.lease.surrender(now)
         state.peers_confirmed_at = float("-inf")
         state.transition(Role.UNCONFIRMED_LEADER)
@@ -150,75 +150,75 @@
 
     async def step(self) -> None:
         """As in every election, unless the share is handed over or no longer assigned to this controller."""
-        if self._handing_over_until is not None:
-            await self._await_receiver(self._handing_over_until)
+        if self._release_deadline is not None:
+            await self._await_target(self._release_deadline)
             return
-        if not self._candidacy.may_lead:
+        if not self._candidacy.may_campaign:
             self.request_step_down("the share is assigned to another controller")
         await super().step()
 
-    async def _await_receiver(self, until: float) -> None:
+    async def _await_target(self, deadline: float) -> None:
         """Wait until the key is replaced; give the key up if nobody takes it, and campaign for it again."""
         key_value = await self._store.get(LEADER_KEY)
         if key_value is None or key_value.mod_revision != self._state.fencing_token:
             self.step_down("the share is handed over" if key_value is not None else "lease expired")
-        elif self._state.clock() > until or not self._state.may_answer_heartbeats:
+        elif self._state.clock() > deadline or not self._state.may_answer_heartbeats:
             lease = key_value.lease_id
             self.step_down("no controller took the share over")
             if lease is not None:
                 await self.revoke_lease(lease)
         else:
-            await asyncio.sleep(self._state.ttl_s * HANDOVER_POLL_PAUSE)
+            await asyncio.sleep(self._state.ttl_s * HANDOFF_POLL_PAUSE)
 
     def step_down(self, why: str) -> None:
         """As in every election; a hand-over is over too."""
         super().step_down(why)
-        self._handing_over_until = None
+        self._release_deadline = None
 
     async def keep_alive(self) -> None:
         """Keep the lease of the process alive; what counts is when that request was sent, by whichever share."""
         lease = self._state.lease.lease_id
-        sent_at = await self._process_lease.renew(lease if lease is not None else -1)
-        if not self.handing_over:
+        sent_at = await self._process_lease.keep_alive(lease if lease is not None else -1)
+        if not self.is_releasing:
             self._state.lease.record_renewal(sent_at)
 
 
-class ShareElection(Election):
+class ShardElection(Election):
     """Takes part in the election of one share."""
 
-    leader_loop: ShareLeaderLoop
-    campaign: ShareCampaign
-    follower_loop: ShareFollowerLoop
+    leader_loop: ShardLeaderLoop
+    campaign: ShardCampaign
+    follower_loop: ShardFollowerLoop
 
     def __init__(
-        self, share: int, view: SharingView, process_lease: ProcessLease, platform: Platform, *parts: Any
+        self, shard: int, view: SharingView, process_lease: ProcessLease, platform: Platform, *arguments: Any
     ) -> None:
         # Before the common parts, which are made with these.
-        self._candidacy = ShareCandidacy(share, view, platform.label)
+        self._candidacy = ShardCandidacy(shard, view, platform.label)
         self._process_lease = process_lease
-        super().__init__(platform, *parts)
+        super().__init__(platform, *arguments)
 
-    def make_leader_loop(self, store: StoreClient, platform: Platform, tuning: Tuning) -> ShareLeaderLoop:
+    def make_leader_loop(self, store: StoreClient, platform: Platform, tuning: Tuning) -> ShardLeaderLoop:
         """Return what holds leadership of the share."""
-        return ShareLeaderLoop(self._candidacy, self._process_lease, self, store, self.callbacks, platform, tuning)
+        return ShardLeaderLoop(self._candidacy, self._process_lease, self, store, self.callbacks, platform, tuning)
 
-    def make_campaign(self, store: StoreClient, incarnation: str) -> ShareCampaign:
+    def make_campaign(self, store: StoreClient, incarnation: str) -> ShardCampaign:
         """Return what campaigns for the share."""
-        return ShareCampaign(self._candidacy, self, store, self.leader_loop, self.callbacks, incarnation)
+        return ShardCampaign(self._candidacy, self, store, self.leader_loop, self.callbacks, incarnation)
 
-    def make_follower_loop(self, rng: random.Random) -> ShareFollowerLoop:
+    def make_follower_loop(self, rng: random.Random) -> ShardFollowerLoop:
         """Return what follows the share's leader."""
-        return ShareFollowerLoop(self.campaign, self, self.leader_key, self.campaign, self.callbacks, rng)
+        return ShardFollowerLoop(self.campaign, self, self.leader_key, self.campaign, self.callbacks, rng)
 
-    def take_over(self, held_mod_revision: int) -> None:
+    def acquire(self, released_mod_revision: int) -> None:
         """The giver has let go of its leader key, which has this mod revision: replace it."""
-        self.follower_loop.take_over(held_mod_revision)
+        self.follower_loop.acquire(released_mod_revision)
 
     @property
-    def handing_over(self) -> bool:
+    def is_releasing(self) -> bool:
         """Whether this leader has let go of its key and waits for the receiver."""
-        return self.leader_loop.handing_over
+        return self.leader_loop.is_releasing
 
-    def let_go(self) -> int | None:
+    def release(self) -> int | None:
         """Decide nothing more under this token; return it, None if this controller does not lead for certain."""
-        return self.leader_loop.let_go()
+        return self.leader_loop.release()
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -18,61 +18,59 @@
 from driftcleat.controller.network import SharedNetwork
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.cloud import ShareCloud
-from driftcleat.sharing.demand import demands_of
-from driftcleat.sharing.dependencies import build_share_user_api
-from driftcleat.sharing.election import ShareElection
-from driftcleat.sharing.job_states import state_elsewhere
-from driftcleat.sharing.keys import in_share
-from driftcleat.sharing.messages import ShareStatus
-from driftcleat.sharing.quota import Amount, allotted, guarantee_share, is_divided
-from driftcleat.sharing.shard_store import ShareStore
+from driftcleat.sharing.cloud import ShardCloud
+from driftcleat.sharing.demand import team_demands
+from driftcleat.sharing.dependencies import build_shard_user_api
+from driftcleat.sharing.election import ShardElection
+from driftcleat.sharing.job_states import read_job_state
+from driftcleat.sharing.keys import shard_key
+from driftcleat.sharing.messages import ShardStatus
+from driftcleat.sharing.quota import Amount, guarantee_fraction, has_limit, team_with_quota
+from driftcleat.sharing.shard_store import ShardStore
 from driftcleat.store.errors import StoreError
 from driftcleat.store.keys import LEADER_KEY
 
 if TYPE_CHECKING:
-    from driftcleat.sharing.host import SharingHost
+    from driftcleat.sharing.host import ShardHost
 
 log = logging.getLogger(__name__)
 
 # How often jobs of other shares that ours need are looked at, of the report interval.
-NEEDS_PAUSE = 1.0
+DEPENDENCY_CHECK_INTERVAL = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pin:
+class PendingQuota:
     """A lowered part whose commit is under way, or of unknown outcome, on this version of the record."""
 
-    version: int
-    part: Amount
+    mod_revision: int
+    quota: Amount
 
 
-class ShareEngine(Controller):
+class ShardEngine(Controller):
     """A controller for one share; the process's clients and listeners are its host's."""
 
-    def __init__(
-        self, host: "SharingHost", share: int, platform: Platform, tuning: Tuning, rng: random.Random
-    ) -> None:
+    def __init__(self, host: "ShardHost", shard: int, platform: Platform, tuning: Tuning, rng: random.Random) -> None:
         # Its own table of teams: the parts of the limits change while a term lasts.
-        own = dataclasses.replace(platform, teams=dict(platform.teams))
+        shard_platform = dataclasses.replace(platform, teams=dict(platform.teams))
         factories = Factories(
-            network=partial(_share_network, host, share),
-            election=partial(ShareElection, share, host.view, host.process_lease),
-            users=partial(build_share_user_api, host, share),
+            network=partial(_shard_network, host, shard),
+            election=partial(ShardElection, shard, host.view, host.process_lease),
+            users=partial(build_shard_user_api, host, shard),
         )
-        super().__init__(own, tuning, rng, host.clock, host.wall, factories)
+        super().__init__(shard_platform, tuning, rng, host.clock, host.wall_clock, factories)
         self.host = host
-        self.share = share
+        self.shard = shard
         self._full_teams = platform.teams
-        self._pins: dict[str, Pin] = {}
+        self._pending_quotas: dict[str, PendingQuota] = {}
 
     def _loops(self) -> list[Callable[[], Awaitable[None]]]:
-        return [*super()._loops(), self._watch_needs]
+        return [*super()._loops(), self._watch_external_dependencies]
 
     @property
-    def share_election(self) -> ShareElection:
+    def shard_election(self) -> ShardElection:
         """Return the share's election."""
-        assert isinstance(self.election, ShareElection)
+        assert isinstance(self.election, ShardElection)
         return self.election
 
     # -- terms --------------------------------------------------------------------------------------------
@@ -80,138 +78,145 @@
     async def _recover(self, token: int) -> None:
         """Begin a term with the parts of the limits as they stand now that nobody else can lower them."""
         await self.host.view.refresh()
-        self._pins.clear()
-        self.take_parts()
+        self._pending_quotas.clear()
+        self.apply_quotas()
         await super()._recover(token)
         scheduler = self.active_term.scheduler
         if scheduler is not None:
             # An earlier leader may have told users of cancellations that it saw in other shares.
-            await self._note_ends_elsewhere(scheduler)
+            await self._record_external_ends(scheduler)
 
-    def take_parts(self) -> None:
+    def apply_quotas(self) -> None:
         """Go by the parts of the limits as they are known now."""
         for team in self._full_teams.values():
-            self._set_part(team.name, self.part(team.name))
+            self._apply_quota(team.name, self.quota(team.name))
 
-    def part(self, team_name: str) -> Amount:
+    def quota(self, team_name: str) -> Amount:
         """Return this share's part of a team's limit; less while it is open whether a lowered part was committed."""
         view = self.host.view
-        allotment = view.allotments.get(team_name)
-        part = allotment.part(self.share) if allotment is not None else Amount()
-        pin = self._pins.get(team_name)
-        if pin is None:
-            return part
-        if pin.version != view.allotment_versions.get(team_name, 0):
-            del self._pins[team_name]
-            return part
-        return part.at_most(pin.part)
-
-    def _set_part(self, team_name: str, part: Amount) -> None:
+        allocation = view.allocations.get(team_name)
+        quota = allocation.quota(self.shard) if allocation is not None else Amount()
+        pending = self._pending_quotas.get(team_name)
+        if pending is None:
+            return quota
+        if pending.mod_revision != view.allocation_mod_revisions.get(team_name, 0):
+            del self._pending_quotas[team_name]
+            return quota
+        return quota.at_most(pending.quota)
+
+    def _apply_quota(self, team_name: str, quota: Amount) -> None:
         """Place no more of a team's tasks than fit into a part of its limit."""
         team = self._full_teams[team_name]
         assignment = self.host.view.assignment
         if assignment is None:
             self.platform.teams[team_name] = team
             return
-        guaranteed = guarantee_share(team, part, assignment.shares) if is_divided(team) else 1.0 / assignment.shares
-        changed = allotted(team, part, guaranteed)
-        if self.platform.teams[team_name] != changed:
-            self.platform.teams[team_name] = changed
+        fraction = (
+            guarantee_fraction(team, quota, assignment.shard_count)
+            if has_limit(team)
+            else 1.0 / assignment.shard_count
+        )
+        limited_team = team_with_quota(team, quota, fraction)
+        if self.platform.teams[team_name] != limited_team:
+            self.platform.teams[team_name] = limited_team
             if self.scheduler is not None:
                 self.scheduler.queue.invalidate()
                 self.scheduler.pacing.record_change()
 
-    async def lower(self, team_name: str, target: Amount) -> None:
+    async def lower_quota(self, team_name: str, target: Amount) -> None:
         """Lower this share's part of a team's limit as far as its tasks allow.
 
         Nothing beyond the target is placed from now on; the batch under way was built before and may still place
         more, so the lowered part is only committed once its outcome is known.
         """
         view, scheduler = self.host.view, self.active_term.deciding_scheduler
-        allotment = view.allotments.get(team_name)
-        if scheduler is None or allotment is None:
+        allocation = view.allocations.get(team_name)
+        if scheduler is None or allocation is None:
             return
-        version = view.allotment_versions[team_name]
-        self._pins[team_name] = Pin(
-            version, target.at_least(self.used(team_name)).at_most(allotment.part(self.share))
+        mod_revision = view.allocation_mod_revisions[team_name]
+        self._pending_quotas[team_name] = PendingQuota(
+            mod_revision, target.at_least(self.committed_usage(team_name)).at_most(allocation.quota(self.shard))
         )
-        self._set_part(team_name, self.part(team_name))
+        self._apply_quota(team_name, self.quota(team_name))
         while self.commit_pipeline.in_flight:
             await asyncio.sleep(self.platform.report_s / 100)
-        if self.active_term.deciding_scheduler is not scheduler or view.allotment_versions[team_name] != version:
+        if (
+            self.active_term.deciding_scheduler is not scheduler
+            or view.allocation_mod_revisions[team_name] != mod_revision
+        ):
             return
-        part = target.at_least(self.used(team_name)).at_most(allotment.part(self.share))
-        if part.covers(allotment.part(self.share)):
-            del self._pins[team_name]
-            self._set_part(team_name, self.part(team_name))
+        quota = target.at_least(self.committed_usage(team_name)).at_most(allocation.quota(self.shard))
+        if quota.covers(allocation.quota(self.shard)):
+            del self._pending_quotas[team_name]
+            self._apply_quota(team_name, self.quota(team_name))
             return
-        self._pins[team_name] = Pin(version, part)
-        self._set_part(team_name, self.part(team_name))
-        conditions = [(in_share(self.share, LEADER_KEY), scheduler.cluster.fencing_token)]
-        await self.host.put_allotment(team_name, allotment.with_part(self.share, part), version, conditions)
-        self.take_parts()
+        self._pending_quotas[team_name] = PendingQuota(mod_revision, quota)
+        self._apply_quota(team_name, self.quota(team_name))
+        compares = [(shard_key(self.shard, LEADER_KEY), scheduler.cluster.fencing_token)]
+        await self.host.commit_allocation(team_name, allocation.with_quota(self.shard, quota), mod_revision, compares)
+        self.apply_quotas()
 
-    def used(self, team_name: str) -> Amount:
+    def committed_usage(self, team_name: str) -> Amount:
         """Return what the committed tasks of a team take."""
         usage = self.scheduler.cluster.team_usage.get(team_name) if self.scheduler is not None else None
         return Amount(usage.cpus, usage.gpus) if usage is not None else Amount()
 
-    def status(self) -> ShareStatus | None:
+    def status(self) -> ShardStatus | None:
         """Return how the share stands, if it is led here for certain."""
         scheduler = self.active_term.deciding_scheduler
         if scheduler is None:
             return None
-        demands = demands_of(scheduler, self._full_teams, self.wall())
+        demands = team_demands(scheduler, self._full_teams, self.wall())
         queued = sum(job.tasks_queued for job in scheduler.queue.queued().jobs)
-        return ShareStatus(
-            self.share, scheduler.cluster.fencing_token, len(scheduler.cluster.machines), queued, demands
+        return ShardStatus(
+            self.shard, scheduler.cluster.fencing_token, len(scheduler.cluster.machines), queued, demands
         )
 
     # -- jobs of other shares that ours need --------------------------------------------------------------
 
-    async def _watch_needs(self) -> None:
+    async def _watch_external_dependencies(self) -> None:
         """Find out how jobs that are homed elsewhere, and that jobs of this share need, have ended."""
         while True:
-            await asyncio.sleep(self.platform.report_s * NEEDS_PAUSE)
+            await asyncio.sleep(self.platform.report_s * DEPENDENCY_CHECK_INTERVAL)
             scheduler = self.active_term.deciding_scheduler
             if scheduler is None:
                 continue
             try:
-                await self._note_ends_elsewhere(scheduler)
+                await self._record_external_ends(scheduler)
             except (StoreError, wire.WireError) as error:
                 log.debug("jobs of other shares: %s", error)
 
-    async def _note_ends_elsewhere(self, scheduler: Scheduler) -> None:
-        for need in sorted(_needs_elsewhere(scheduler)):
-            state = await self._end_of(need)
+    async def _record_external_ends(self, scheduler: Scheduler) -> None:
+        for dependency in sorted(_external_dependencies(scheduler)):
+            state = await self._external_end_state(dependency)
             if state is not None and self.active_term.scheduler is scheduler:
-                scheduler.record_external_end(need, state)
+                scheduler.record_external_end(dependency, state)
                 self.active_term.wake_committer()
 
-    async def _end_of(self, job_id: str) -> JobState | None:
+    async def _external_end_state(self, job_id: str) -> JobState | None:
         """Return whether a job of another share is done or cancelled; None if neither."""
-        home = await self.host.claims.home(job_id)
-        state = await state_elsewhere(self.host.store, home, job_id) if home is not None else None
+        home_shard = await self.host.job_directory.home_shard(job_id)
+        state = await read_job_state(self.host.store, home_shard, job_id) if home_shard is not None else None
         return JobState(state) if state in FINAL_STATES else None
 
 
-def _share_network(
-    host: "SharingHost", share: int, platform: Platform, clock: Callable[[], float], *_: Handler
+def _shard_network(
+    host: "ShardHost", shard: int, platform: Platform, clock: Callable[[], float], *_: Handler
 ) -> SharedNetwork:
     """Return the host's network as one share uses it; the host passes on the requests that concern the share."""
     clients = ControllerClients(
-        store=ShareStore(host.store, share, host.process_lease, store_limits(platform)),
-        cloud=ShareCloud(host.cloud, share, host.view, host.registry, platform, clock),
+        store=ShardStore(host.store, shard, host.process_lease, store_limits(platform)),
+        cloud=ShardCloud(host.cloud, shard, host.view, host.registry, platform, clock),
         workers=host.workers,
-        peers=host.make_peers(share),
+        peers=host.make_peers(shard),
     )
     return SharedNetwork(clients, host.front)
 
 
-def _needs_elsewhere(scheduler: Scheduler) -> set[str]:
-    needs = (
+def _external_dependencies(scheduler: Scheduler) -> set[str]:
+    dependencies = (
         set().union(*scheduler.cluster.dependencies.unmet_dependencies.values())
         if scheduler.cluster.dependencies.unmet_dependencies
         else set()
     )
-    return needs - scheduler.cluster.jobs.keys()
+    return dependencies - scheduler.cluster.jobs.keys()
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -23,16 +23,16 @@
 from driftcleat.peers.client import PATH
 from driftcleat.runtime.background import Background, run_for_ever
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.assignment import Assignment
+from driftcleat.sharing.assignment import ShardAssignment
 from driftcleat.sharing.cloud import MachineRegistry
-from driftcleat.sharing.coordinator_loops import CoordinatorDuties
-from driftcleat.sharing.engine import ShareEngine
-from driftcleat.sharing.handoff import Transfers
-from driftcleat.sharing.job_directory import Claims
-from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE
+from driftcleat.sharing.coordinator_loops import CoordinatorLoops
+from driftcleat.sharing.engine import ShardEngine
+from driftcleat.sharing.handoff import Handoffs
+from driftcleat.sharing.job_directory import JobDirectory
+from driftcleat.sharing.keys import ALLOCATIONS_PREFIX, ASSIGNMENT_KEY, FIRST_SHARD
 from driftcleat.sharing.operators import OperatorApi
 from driftcleat.sharing.process_lease import ProcessLease
-from driftcleat.sharing.quota import Allotment
+from driftcleat.sharing.quota import QuotaAllocation
 from driftcleat.sharing.routing import UserRouter
 from driftcleat.sharing.settings import SharingSettings
 from driftcleat.sharing.view import SharingView
@@ -43,16 +43,16 @@
 log = logging.getLogger(__name__)
 
 # How often the replica of what shares have in common is asked for anew, of the worker lease.
-VIEW_WAIT = 0.25
+VIEW_WATCH_TIMEOUT = 0.25
 
 
-class ReportingMachine(msgspec.Struct):
+class HeartbeatSender(msgspec.Struct):
     """The one field of a report by which it finds its share."""
 
     name: str = msgspec.field(name="bollard")
 
 
-class SharingHost:
+class ShardHost:
     """A controller's process with several shares."""
 
     def __init__(
@@ -62,14 +62,14 @@
         settings: SharingSettings,
         rng: random.Random | None = None,
         clock: Callable[[], float] = time.monotonic,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self.platform, self.tuning, self.settings = platform, tuning, settings
-        self.clock, self.wall = clock, wall
+        self.clock, self.wall_clock = clock, wall_clock
         self.rng = rng if rng is not None else random.Random()
         self.labels = sorted([platform.label, *(peer.label for peer in platform.peers)])
         self.background = Background()
-        self.engines: dict[int, ShareEngine] = {}
+        self.engines: dict[int, ShardEngine] = {}
         self._engine_tasks: dict[int, asyncio.Task[None]] = {}
 
     # -- the parts ----------------------------------------------------------------------------------------
@@ -84,9 +84,9 @@
         pause_s = self.platform.report_s * LOOP_RESTART_PAUSE
         loops: Sequence[Callable[[], Awaitable[None]]] = [
             self.view.run,
-            self.transfers.run,
-            self.duties.run,
-            self.duties.run_status,
+            self.handoffs.run,
+            self.coordinator_loops.run,
+            self.coordinator_loops.run_status_reports,
         ]
         try:
             self._start_engines()
@@ -110,9 +110,9 @@
         self._peer_client = clients.peers
         return clients.connections
 
-    def make_peers(self, share: int) -> PeerClient:
+    def make_peers(self, shard: int) -> PeerClient:
         """Return the client with which a share's engines talk to one another."""
-        path = PATH if share == FIRST_SHARE else f"{PATH}/{share}"
+        path = PATH if shard == FIRST_SHARD else f"{PATH}/{shard}"
         return PeerClient(self._peer_client, self.platform, path)
 
     def make_sharing_client(self, path: str) -> PeerClient:
@@ -123,58 +123,58 @@
         platform = self.platform
         ttl_s = platform.lease_s * self.tuning.leader_ttl_leases
         self.process_lease = ProcessLease(self.store, ttl_s, ttl_s * self.tuning.keep_alive_pause_ttls, self.clock)
-        self.claims = Claims(self.store)
-        self.view = SharingView(self.store, self.labels, platform.lease_s * VIEW_WAIT)
-        self.view.on_change = self._note_change
+        self.job_directory = JobDirectory(self.store)
+        self.view = SharingView(self.store, self.labels, platform.lease_s * VIEW_WATCH_TIMEOUT)
+        self.view.on_change = self._on_view_change
         self.registry = MachineRegistry(self.store, self.view, platform)
         self.router = UserRouter(self)
-        self.transfers = Transfers(self)
-        self.duties = CoordinatorDuties(self)
+        self.handoffs = Handoffs(self)
+        self.coordinator_loops = CoordinatorLoops(self)
         self.operators = OperatorApi(self)
 
     def _start_engines(self) -> None:
         """Start an engine for each share that there is, or will be."""
         assignment = self.view.assignment
-        count = max(self.settings.shares, assignment.shares if assignment is not None else 1)
-        platform = self._platform_of_a_share(count)
-        for share in range(count):
-            if share not in self.engines:
+        count = max(self.settings.shares, assignment.shard_count if assignment is not None else 1)
+        platform = self._shard_platform(count)
+        for shard in range(count):
+            if shard not in self.engines:
                 rng = random.Random(self.rng.random())
-                engine = self.engines[share] = ShareEngine(self, share, platform, self.tuning, rng)
-                self._engine_tasks[share] = asyncio.ensure_future(engine.run())
+                engine = self.engines[shard] = ShardEngine(self, shard, platform, self.tuning, rng)
+                self._engine_tasks[shard] = asyncio.ensure_future(engine.run())
 
-    def _platform_of_a_share(self, shares: int) -> Platform:
+    def _shard_platform(self, shard_count: int) -> Platform:
         """Return the platform with one share's part of what the store and the cloud take, and of the processor.
 
         One part more of the store's changes is for what shares have in common: claims, machines, assignments.
         """
         platform = self.platform
-        at_once = math.ceil(shares / len(self.labels))
+        shards_per_controller = math.ceil(shard_count / len(self.labels))
         return dataclasses.replace(
             platform,
-            write_rps=platform.write_rps / (shares + 1),
-            cloud_rps=platform.cloud_rps / shares,
-            core_share=platform.core_share / at_once,
+            write_rps=platform.write_rps / (shard_count + 1),
+            cloud_rps=platform.cloud_rps / shard_count,
+            core_share=platform.core_share / shards_per_controller,
         )
 
-    def _note_change(self) -> None:
+    def _on_view_change(self) -> None:
         """The replica has changed: there may be more shares, or other parts of the limits."""
         self._start_engines()
-        self.note_allotments()
-        self.transfers.wake()
+        self.apply_quotas()
+        self.handoffs.wake()
 
-    def note_allotments(self) -> None:
+    def apply_quotas(self) -> None:
         """The parts of the limits may have changed: the shares that are led here go by them."""
         for engine in self.engines.values():
             if engine.active_term.scheduler is not None:
-                engine.take_parts()
+                engine.apply_quotas()
 
     # -- the coordinator ----------------------------------------------------------------------------------
 
     @property
-    def first_engine(self) -> ShareEngine:
+    def first_engine(self) -> ShardEngine:
         """Return the engine of the first share, whose leader is the coordinator."""
-        return self.engines[FIRST_SHARE]
+        return self.engines[FIRST_SHARD]
 
     @property
     def election(self) -> Election:
@@ -184,48 +184,48 @@
     @property
     def may_decide(self) -> bool:
         """Whether this controller is the coordinator for certain."""
-        return FIRST_SHARE in self.engines and self.first_engine.may_decide
+        return FIRST_SHARD in self.engines and self.first_engine.may_decide
 
     @property
     def coordinator(self) -> str | None:
         """Return the coordinator's label as far as known."""
         return self.first_engine.leader
 
-    def leads(self, share: int) -> bool:
+    def leads(self, shard: int) -> bool:
         """Whether this controller leads a share for certain."""
-        return share in self.engines and self.engines[share].may_decide
+        return shard in self.engines and self.engines[shard].may_decide
 
     # -- commits of what shares have in common ------------------------------------------------------------
 
-    async def put_assignment(self, assignment: Assignment) -> None:
+    async def commit_assignment(self, assignment: ShardAssignment) -> None:
         """Commit an assignment as the coordinator; `StoreError` if it was not, or may not have been."""
         view = self.view
-        changes: list[Any] = [messages.Put(ASSIGNMENT, assignment)]
-        conditions = [
+        operations: list[Any] = [messages.Put(ASSIGNMENT_KEY, assignment)]
+        compares = [
             messages.Compare(LEADER_KEY, self.election.fencing_token),
-            messages.Compare(ASSIGNMENT, view.assignment_version),
+            messages.Compare(ASSIGNMENT_KEY, view.assignment_mod_revision),
         ]
         try:
-            version = await self.store.commit(messages.Transaction(conditions, changes))
+            mod_revision = await self.store.commit(messages.Transaction(compares, operations))
         except CompareFailedError:
             await view.refresh()
             raise
-        view.take_assignment(wire.encode(assignment), version)
-        self._note_change()
+        view.apply_assignment(wire.encode(assignment), mod_revision)
+        self._on_view_change()
 
-    async def put_allotment(
-        self, team: str, allotment: Allotment, version: int, conditions: Sequence[tuple[str, int]]
+    async def commit_allocation(
+        self, team: str, allocation: QuotaAllocation, mod_revision: int, compares: Sequence[tuple[str, int]]
     ) -> None:
         """Commit the parts of a team's limit if their version stands; `StoreError` if that failed, or may have."""
-        key = ALLOTMENTS + team
-        checks = [messages.Compare(key, version), *(messages.Compare(*condition) for condition in conditions)]
+        key = ALLOCATIONS_PREFIX + team
+        all_compares = [messages.Compare(key, mod_revision), *(messages.Compare(*compare) for compare in compares)]
         try:
-            revision = await self.store.commit(messages.Transaction(checks, [messages.Put(key, allotment)]))
+            revision = await self.store.commit(messages.Transaction(all_compares, [messages.Put(key, allocation)]))
         except CompareFailedError:
             await self.view.refresh()
             raise
-        self.view.allotments[team] = allotment
-        self.view.allotment_versions[team] = revision
+        self.view.allocations[team] = allocation
+        self.view.allocation_mod_revisions[team] = revision
 
     # -- servers ------------------------------------------------------------------------------------------
 
@@ -240,32 +240,32 @@
         if path != HEARTBEAT_PATH or method != "POST":
             return self.handle_front(method, path, body)
         try:
-            machine = wire.decode(body, ReportingMachine).name
+            machine = wire.decode(body, HeartbeatSender).name
         except wire.WireError as error:
             return Answer.error(400, str(error))
-        share = self.view.share_of(machine)
-        if share is None:
-            return self._report_of_unknown(machine, body)
-        return self.engines[share].heartbeats.handle(body) if self.is_set_up(share) else self._starting()
+        shard = self.view.shard_of(machine)
+        if shard is None:
+            return self._handle_unregistered_heartbeat(machine, body)
+        return self.engines[shard].heartbeats.handle(body) if self.is_serving(shard) else self._not_ready()
 
-    async def _report_of_unknown(self, machine: str, body: bytes) -> Answer:
+    async def _handle_unregistered_heartbeat(self, machine: str, body: bytes) -> Answer:
         """Our replica may be late: ask the store. A machine that nobody has registered yet comes back."""
         try:
-            share = await self.registry.look_up(machine) if self.view.loaded else None
+            shard = await self.registry.look_up(machine) if self.view.loaded else None
         except (StoreError, wire.WireError, ValueError) as error:
             log.debug("machine %s: %s", machine, error)
-            share = None
-        if share is None or not self.is_set_up(share):
-            return self._starting()
-        reply = self.engines[share].heartbeats.handle(body)
+            shard = None
+        if shard is None or not self.is_serving(shard):
+            return self._not_ready()
+        reply = self.engines[shard].heartbeats.handle(body)
         return reply if isinstance(reply, Answer) else await reply
 
-    def _starting(self) -> Answer:
+    def _not_ready(self) -> Answer:
         return Answer.error(503, "not known yet", retry_after_s=1)
 
-    def is_set_up(self, share: int) -> bool:
+    def is_serving(self, shard: int) -> bool:
         """Whether the engine of a share serves."""
-        return share in self.engines and self.engines[share].is_serving
+        return shard in self.engines and self.engines[shard].is_serving
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
         """Answer a request at `bind`."""
@@ -274,8 +274,8 @@
             if reply is None:
                 return Answer.error(405, "only POST is allowed here")
             return reply if isinstance(reply, Answer) else await reply
-        if not self.is_set_up(FIRST_SHARE):
-            return self._starting()
+        if not self.is_serving(FIRST_SHARD):
+            return self._not_ready()
         if path == "/ready":
             return await self.first_engine.handle_front(method, path, body)
         return await self.router.handle(method, path, body)
@@ -283,10 +283,10 @@
     async def handle_back(self, method: str, path: str, body: bytes) -> Answer:
         """Answer a request at `back`."""
         if path.startswith(PATH + "/"):
-            share = path[len(PATH) + 1 :]
-            if not share.isascii() or not share.isdigit() or int(share) not in self.engines:
+            shard = path[len(PATH) + 1 :]
+            if not shard.isascii() or not shard.isdigit() or int(shard) not in self.engines:
                 return Answer.error(404, "no such share")
-            return await self.engines[int(share)].handle_back(method, PATH, body)
+            return await self.engines[int(shard)].handle_back(method, PATH, body)
         answer = await self.operators.handle(method, path, body)
         if answer is not None:
             return answer
--- a/driftcleat/sharing/job_states.py
+++ b/driftcleat/sharing/job_states.py
@@ -2,21 +2,23 @@
 
 from driftcleat import wire
 from driftcleat.cluster import JobState
-from driftcleat.sharing.keys import in_share
+from driftcleat.sharing.keys import shard_key
 from driftcleat.store.client import StoreClient
 from driftcleat.store.decoding import decode_head
 from driftcleat.store.keys import ENDED_JOBS_PREFIX, JOBS_PREFIX
 from driftcleat.store.records import EndedJobRecord
 
 
-async def state_elsewhere(store: StoreClient, home: int, job_id: str, most_wait_s: float | None = None) -> str | None:
+async def read_job_state(
+    store: StoreClient, home_shard: int, job_id: str, max_wait_s: float | None = None
+) -> str | None:
     """Return "active", "done" or "cancelled"; None if the job was claimed and never accepted.
 
     The head is read first, so that a job that ends in between is still found.
     """
-    head = await store.get(in_share(home, JOBS_PREFIX + job_id), most_wait_s)
+    head = await store.get(shard_key(home_shard, JOBS_PREFIX + job_id), max_wait_s)
     if head is not None:
         cancelled = decode_head(head).state is JobState.CANCELLED
         return (JobState.CANCELLED if cancelled else JobState.ACTIVE).value
-    ended = await store.get(in_share(home, ENDED_JOBS_PREFIX + job_id), most_wait_s)
+    ended = await store.get(shard_key(home_shard, ENDED_JOBS_PREFIX + job_id), max_wait_s)
     return wire.decode(bytes(ended.value), EndedJobRecord).state if ended is not None else None
--- a/driftcleat/sharing/keys.py
+++ b/driftcleat/sharing/keys.py
@@ -3,30 +3,30 @@
 from driftcleat.store.keys import ROOT_PREFIX
 
 # What all shares have in common; every controller keeps a replica of what lies under it.
-SHARING = ROOT_PREFIX + "sharing/"
-ASSIGNMENT = SHARING + "assignment"
-MACHINES = SHARING + "machines/"
-ALLOTMENTS = SHARING + "allotments/"
+SHARING_PREFIX = ROOT_PREFIX + "sharing/"
+ASSIGNMENT_KEY = SHARING_PREFIX + "assignment"
+MACHINE_SHARDS_PREFIX = SHARING_PREFIX + "machines/"
+ALLOCATIONS_PREFIX = SHARING_PREFIX + "allotments/"
 # Which share a job is homed on. Apart from the above, since there are as many as jobs ever submitted.
-CLAIMS = ROOT_PREFIX + "claims/"
+JOB_DIRECTORY_PREFIX = ROOT_PREFIX + "claims/"
 
 # The share whose layout is that of a deployment without sharing; who leads it is the coordinator.
-FIRST_SHARE = 0
+FIRST_SHARD = 0
 
 
-def share_root(share: int) -> str:
+def shard_prefix(shard: int) -> str:
     """Return the prefix of a share's own keys."""
-    return ROOT_PREFIX if share == FIRST_SHARE else f"{ROOT_PREFIX}shares/{share}/"
+    return ROOT_PREFIX if shard == FIRST_SHARD else f"{ROOT_PREFIX}shares/{shard}/"
 
 
-def in_share(share: int, key: str) -> str:
+def shard_key(shard: int, key: str) -> str:
     """Return where a share keeps what lies at `key` without sharing; what shares have in common stays."""
-    if share == FIRST_SHARE or key.startswith((SHARING, CLAIMS)):
+    if shard == FIRST_SHARD or key.startswith((SHARING_PREFIX, JOB_DIRECTORY_PREFIX)):
         return key
-    return share_root(share) + key[len(ROOT_PREFIX) :]
+    return shard_prefix(shard) + key[len(ROOT_PREFIX) :]
 
 
-def without_share(share: int, key: str) -> str:
-    """Return the key that `in_share` was given."""
-    root = share_root(share)
-    return ROOT_PREFIX + key[len(root) :] if share != FIRST_SHARE and key.startswith(root) else key
+def unsharded_key(shard: int, key: str) -> str:
+    """Return the key that `shard_key` was given."""
+    root = shard_prefix(shard)
+    return ROOT_PREFIX + key[len(root) :] if shard != FIRST_SHARD and key.startswith(root) else key
--- a/driftcleat/sharing/messages.py
+++ b/driftcleat/sharing/messages.py
@@ -18,65 +18,65 @@
     first_job_waited_s: float
 
 
-class ShareStatus(msgspec.Struct, frozen=True, array_like=True):
+class ShardStatus(msgspec.Struct, frozen=True, array_like=True):
     """How a share stands at the controller that leads it."""
 
-    share: int
-    token: int
+    shard: int
+    fencing_token: int
     machines: int
     queued_tasks: int
     demands: tuple[TeamDemand, ...] = ()
 
 
-class Status(msgspec.Struct, frozen=True, array_like=True, tag="status"):
+class ControllerStatus(msgspec.Struct, frozen=True, array_like=True, tag="status"):
     """A controller tells the coordinator how its shares stand."""
 
     sender: str
-    shares: tuple[ShareStatus, ...]
+    shards: tuple[ShardStatus, ...]
 
 
-class Target(msgspec.Struct, frozen=True, array_like=True):
+class QuotaTarget(msgspec.Struct, frozen=True, array_like=True):
     """What a share's part of a team's limit is to be lowered to, as far as its tasks allow."""
 
-    share: int
+    shard: int
     team: str
-    part: Amount
+    quota: Amount
 
 
-class StatusAnswer(msgspec.Struct, frozen=True, array_like=True, tag="status-answer"):
+class StatusResponse(msgspec.Struct, frozen=True, array_like=True, tag="status-answer"):
     """The coordinator's answer; `coordinator` is False from who is none."""
 
     coordinator: bool
-    targets: tuple[Target, ...] = ()
+    quota_targets: tuple[QuotaTarget, ...] = ()
 
 
-class LetGo(msgspec.Struct, frozen=True, array_like=True, tag="let-go"):
+class ReleaseRequest(msgspec.Struct, frozen=True, array_like=True, tag="let-go"):
     """The receiver of a move asks the giver to let the share go."""
 
-    share: int
-    receiver: str
+    shard: int
+    target: str
     number: int
 
 
-class LetGoAnswer(msgspec.Struct, frozen=True, array_like=True, tag="let-go-answer"):
+class ReleaseResponse(msgspec.Struct, frozen=True, array_like=True, tag="let-go-answer"):
     """The version of the leader key that the giver has let go of; None, and why, if it has not."""
 
-    version: int | None
-    why: str = ""
+    mod_revision: int | None
+    reason: str = ""
 
 
 class MoveRequest(msgspec.Struct, frozen=True, array_like=True, tag="move"):
     """An operator asks the coordinator for a move."""
 
-    share: int
-    receiver: str
+    shard: int
+    target: str
 
 
-class MoveAnswer(msgspec.Struct, frozen=True, array_like=True, tag="move-answer"):
+class MoveResponse(msgspec.Struct, frozen=True, array_like=True, tag="move-answer"):
     """Whether a move was begun, or why not."""
 
-    begun: bool
-    why: str = ""
+    accepted: bool
+    reason: str = ""
 
 
-SharingMessage = Status | StatusAnswer | LetGo | LetGoAnswer | MoveRequest | MoveAnswer
+SharingMessage = ControllerStatus | StatusResponse | ReleaseRequest | ReleaseResponse | MoveRequest | MoveResponse
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -8,16 +8,16 @@
 from driftcleat import wire
 from driftcleat.api import Answer
 from driftcleat.peers.client import PeerError
-from driftcleat.sharing.messages import LetGo, MoveAnswer, MoveRequest, SharingMessage, Status
+from driftcleat.sharing.messages import ControllerStatus, MoveRequest, MoveResponse, ReleaseRequest, SharingMessage
 from driftcleat.sharing.sharing_client import PATH, SharingClient
 
 if TYPE_CHECKING:
-    from driftcleat.sharing.host import SharingHost
+    from driftcleat.sharing.host import ShardHost
 
 log = logging.getLogger(__name__)
 
 
-class ShareRow(msgspec.Struct):
+class ShardRow(msgspec.Struct):
     """One share, as this controller sees it."""
 
     share: int
@@ -30,7 +30,7 @@
     refused: str | None
 
 
-class SharesView(msgspec.Struct):
+class ShardsView(msgspec.Struct):
     """All shares, as this controller sees them."""
 
     controller: str
@@ -40,7 +40,7 @@
     moves_received: int
     last_move_s: float
     lease_requests: int
-    shares: list[ShareRow]
+    shares: list[ShardRow]
 
 
 class MoveOrder(msgspec.Struct):
@@ -53,84 +53,84 @@
 class OperatorApi:
     """Answers messages about shares."""
 
-    def __init__(self, host: "SharingHost") -> None:
+    def __init__(self, host: "ShardHost") -> None:
         self._host = host
         self._client = SharingClient(host)
         self.malformed = 0
 
     async def handle(self, method: str, path: str, body: bytes) -> Answer | None:
         """Answer a request; None if the path is not ours."""
-        wanted = {PATH: "POST", "/shares": "GET", "/shares/move": "POST"}.get(path)
-        if wanted is None:
+        allowed_method = {PATH: "POST", "/shares": "GET", "/shares/move": "POST"}.get(path)
+        if allowed_method is None:
             return None
-        if method != wanted:
-            return Answer.error(405, f"only {wanted} is allowed here")
+        if method != allowed_method:
+            return Answer.error(405, f"only {allowed_method} is allowed here")
         if path == "/shares":
             return Answer(200, wire.encode(self.view()))
         try:
             if path == PATH:
-                return await self._answer(wire.decode(body, SharingMessage))  # type: ignore[arg-type]
-            return await self._order(wire.decode(body, MoveOrder))
+                return await self._handle_message(wire.decode(body, SharingMessage))  # type: ignore[arg-type]
+            return await self._handle_order(wire.decode(body, MoveOrder))
         except wire.WireError as error:
             self.malformed += 1
             log.info("malformed message about shares: %s", error)
             return Answer.error(400, str(error))
 
-    async def _answer(self, message: SharingMessage) -> Answer:
+    async def _handle_message(self, message: SharingMessage) -> Answer:
         """Answer another controller."""
         host = self._host
-        if isinstance(message, Status):
-            return Answer(200, wire.encode(host.duties.take_status(message)))
-        if isinstance(message, LetGo):
-            return Answer(200, wire.encode(await host.transfers.let_go(message)))
+        if isinstance(message, ControllerStatus):
+            return Answer(200, wire.encode(host.coordinator_loops.handle_status(message)))
+        if isinstance(message, ReleaseRequest):
+            return Answer(200, wire.encode(await host.handoffs.release(message)))
         if isinstance(message, MoveRequest):
-            return Answer(200, wire.encode(await host.duties.move(message)))
+            return Answer(200, wire.encode(await host.coordinator_loops.move(message)))
         return Answer.error(400, "not a question")
 
-    async def _order(self, order: MoveOrder) -> Answer:
+    async def _handle_order(self, order: MoveOrder) -> Answer:
         """Carry out an operator's order, or pass it on to the coordinator."""
         host = self._host
         request = MoveRequest(order.share, order.receiver)
         coordinator = host.coordinator
         if host.may_decide:
-            answer: SharingMessage = await host.duties.move(request)
+            response: SharingMessage = await host.coordinator_loops.move(request)
         elif coordinator is None or coordinator == host.platform.label:
             return Answer.error(503, "there is no coordinator now", retry_after_s=1)
         else:
             try:
-                answer = await self._client.send(coordinator, request, host.platform.report_s)
+                response = await self._client.send(coordinator, request, host.platform.report_s)
             except PeerError as error:
                 return Answer.error(503, f"the coordinator {coordinator}: {error}", retry_after_s=1)
-        if not isinstance(answer, MoveAnswer):
+        if not isinstance(response, MoveResponse):
             return Answer.error(503, "the coordinator's answer is not one", retry_after_s=1)
-        return Answer(200, b"{}") if answer.begun else Answer.error(409, answer.why)
+        return Answer(200, b"{}") if response.accepted else Answer.error(409, response.reason)
 
-    def view(self) -> SharesView:
+    def view(self) -> ShardsView:
         """Return all shares as this controller sees them."""
         host = self._host
-        return SharesView(
+        return ShardsView(
             host.platform.label,
             host.coordinator,
             host.view.assignment is not None,
             host.view.refusal,
-            host.transfers.received,
-            host.transfers.last_took_s,
+            host.handoffs.acquired_count,
+            host.handoffs.last_move_s,
             host.process_lease.requests,
-            [self._row(share) for share in sorted(host.engines) if host.is_set_up(share)],
+            [self._row(share) for share in sorted(host.engines) if host.is_serving(share)],
         )
 
-    def _row(self, share: int) -> ShareRow:
+    def _row(self, share: int) -> ShardRow:
         host = self._host
         engine, assignment = host.engines[share], host.view.assignment
         scheduler = engine.active_term.scheduler
         move = assignment.move_of(share) if assignment is not None else None
-        return ShareRow(
+        return ShardRow(
             share,
             assignment.owner(share) if assignment is not None else None,
             engine.leader,
             engine.election.leader_fencing_token,
-            host.transfers.state(share).value,
+            host.handoffs.state(share).value,
             len(scheduler.cluster.machines) if scheduler is not None else None,
-            move.receiver if move is not None else None,
-            host.duties.coordinator.refusals.get(share),
+            move.target if move is not None else None,
+            host.coordinator_loops.coordinator.refusals.get(share),
         )
--- a/driftcleat/sharing/planner.py
+++ b/driftcleat/sharing/planner.py
@@ -7,27 +7,27 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from driftcleat.sharing.keys import FIRST_SHARE
+from driftcleat.sharing.keys import FIRST_SHARD
 
 
 @dataclass(frozen=True, slots=True)
-class ShareLoad:
+class ShardLoad:
     """A share, who owns it, and what it costs its owner."""
 
-    share: int
+    shard: int
     owner: str
     load: float
 
 
 @dataclass(frozen=True, slots=True)
-class Proposal:
+class MoveProposal:
     """A move that is worth its cost."""
 
-    share: int
-    receiver: str
+    shard: int
+    target: str
 
 
-def loads_by_owner(loads: Sequence[ShareLoad], labels: Sequence[str]) -> dict[str, float]:
+def loads_by_owner(loads: Sequence[ShardLoad], labels: Sequence[str]) -> dict[str, float]:
     """Return the load of each controller."""
     total = dict.fromkeys(labels, 0.0)
     for entry in loads:
@@ -35,28 +35,28 @@
     return total
 
 
-def propose(loads: Sequence[ShareLoad], labels: Sequence[str], imbalance: float) -> Proposal | None:
+def propose_move(loads: Sequence[ShardLoad], labels: Sequence[str], imbalance: float) -> MoveProposal | None:
     """Return the move that evens the load best, or None if none is worth it."""
     total = loads_by_owner(loads, labels)
     if len(total) < 2:
         return None
-    giver = max(sorted(total), key=lambda label: total[label])
-    receiver = min(sorted(total), key=lambda label: total[label])
-    worth = sum(total.values()) / len(total) * imbalance
-    best: ShareLoad | None = None
-    for entry in sorted(loads, key=lambda entry: entry.share):
-        if entry.owner != giver or entry.share == FIRST_SHARE:
+    source = max(sorted(total), key=lambda label: total[label])
+    target = min(sorted(total), key=lambda label: total[label])
+    min_gain = sum(total.values()) / len(total) * imbalance
+    best: ShardLoad | None = None
+    for entry in sorted(loads, key=lambda entry: entry.shard):
+        if entry.owner != source or entry.shard == FIRST_SHARD:
             continue
-        if best is None or _peak(total, entry, receiver) < _peak(total, best, receiver):
+        if best is None or _peak_load_after(total, entry, target) < _peak_load_after(total, best, target):
             best = entry
-    if best is None or total[giver] - _peak(total, best, receiver) < worth or worth <= 0:
+    if best is None or total[source] - _peak_load_after(total, best, target) < min_gain or min_gain <= 0:
         return None
-    return Proposal(best.share, receiver)
+    return MoveProposal(best.shard, target)
 
 
-def _peak(total: Mapping[str, float], entry: ShareLoad, receiver: str) -> float:
+def _peak_load_after(total: Mapping[str, float], entry: ShardLoad, target: str) -> float:
     """Return the load of the most loaded controller after a move."""
     after = dict(total)
     after[entry.owner] -= entry.load
-    after[receiver] += entry.load
+    after[target] += entry.load
     return max(after.values())
--- a/driftcleat/sharing/routing.py
+++ b/driftcleat/sharing/routing.py
@@ -6,14 +6,14 @@
 
 from driftcleat import wire
 from driftcleat.api import Answer
-from driftcleat.sharing.keys import FIRST_SHARE
+from driftcleat.sharing.keys import FIRST_SHARD
 from driftcleat.store.errors import StoreError
 from driftcleat.wire.job_ids import is_job_id
 from driftcleat.wire.job_spec_parsing import InvalidFieldError, parse_job_id, parse_object, parse_submission
 from driftcleat.wire.users import JobSpec
 
 if TYPE_CHECKING:
-    from driftcleat.sharing.host import SharingHost
+    from driftcleat.sharing.host import ShardHost
 
 JOBS_PATH = "/v1/jobs"
 
@@ -21,7 +21,7 @@
 class UserRouter:
     """Claims new jobs for a share and passes requests to the engine of their job's share."""
 
-    def __init__(self, host: "SharingHost") -> None:
+    def __init__(self, host: "ShardHost") -> None:
         self._host = host
 
     async def handle(self, method: str, path: str, body: bytes) -> Answer:
@@ -30,62 +30,62 @@
         users = host.first_engine.users
         try:
             async with asyncio.timeout(users.time_limit_s(method, False)):
-                share = await self._share_for(method, path, body)
-                if isinstance(share, Answer):
-                    return share
-                if not host.is_set_up(share):
+                shard = await self._shard_for(method, path, body)
+                if isinstance(shard, Answer):
+                    return shard
+                if not host.is_serving(shard):
                     return users.unavailable("starting")
-                return await host.engines[share].handle_front(method, path, body)
+                return await host.engines[shard].handle_front(method, path, body)
         except (StoreError, wire.WireError):
             return users.unavailable("the state service does not answer")
         except TimeoutError:
             return users.unavailable("no answer in time")
 
-    async def _share_for(self, method: str, path: str, body: bytes) -> int | Answer:
+    async def _shard_for(self, method: str, path: str, body: bytes) -> int | Answer:
         """Return the share whose engine answers a request, or the answer if no share is needed for it."""
         host = self._host
         if not host.view.loaded:
             return host.first_engine.users.unavailable("starting")
         if host.view.assignment is None:
-            return FIRST_SHARE
+            return FIRST_SHARD
         if path == JOBS_PATH and method == "POST":
-            return await self._share_for_submission(body)
+            return await self._shard_for_submission(body)
         job_id = path[len(JOBS_PATH) + 1 :].partition("/")[0]
         if not path.startswith(JOBS_PATH + "/") or not is_job_id(job_id):
-            return FIRST_SHARE
-        home = await host.claims.home(job_id, host.first_engine.users.max_store_wait_s)
-        return home if home is not None else Answer.error(404, "no such job")
+            return FIRST_SHARD
+        home_shard = await host.job_directory.home_shard(job_id, host.first_engine.users.max_store_wait_s)
+        return home_shard if home_shard is not None else Answer.error(404, "no such job")
 
-    async def _share_for_submission(self, body: bytes) -> int | Answer:
+    async def _shard_for_submission(self, body: bytes) -> int | Answer:
         host = self._host
         try:
             raw = parse_object(body)
             job_id = parse_job_id(raw)
         except InvalidFieldError as error:
             return Answer.error(400, str(error), error.field)
-        known = host.claims.known(job_id)
-        if known is not None:
-            return known
+        cached_home = host.job_directory.cached_home(job_id)
+        if cached_home is not None:
+            return cached_home
         try:
             spec = parse_submission(raw)
         except InvalidFieldError as error:
             # A job accepted before is known whatever its repeat looks like.
-            home = await host.claims.home(job_id, host.first_engine.users.max_store_wait_s)
-            return home if home is not None else Answer.error(400, str(error), error.field)
+            home_shard = await host.job_directory.home_shard(job_id, host.first_engine.users.max_store_wait_s)
+            return home_shard if home_shard is not None else Answer.error(400, str(error), error.field)
         # Most submissions are new: the claim is tried without a look for an older one, which would cost three reads.
-        return await host.claims.claim(job_id, await self._choose(spec))
+        return await host.job_directory.register(job_id, await self._choose(spec))
 
     async def _choose(self, spec: JobSpec) -> int:
         """Return the share for a new job: that of most jobs which it needs, else any share that has a leader."""
         host = self._host
         homes: Counter[int] = Counter()
-        for need in spec.dependencies or ():
-            home = await host.claims.home(need, host.first_engine.users.max_store_wait_s)
-            if home is not None:
-                homes[home] += 1
+        for dependency in spec.dependencies or ():
+            home_shard = await host.job_directory.home_shard(dependency, host.first_engine.users.max_store_wait_s)
+            if home_shard is not None:
+                homes[home_shard] += 1
         if homes:
-            return max(homes, key=lambda share: (homes[share], -share))
+            return max(homes, key=lambda shard: (homes[shard], -shard))
         assignment = host.view.assignment
-        shares = range(assignment.shares if assignment is not None else 1)
-        led = [share for share in shares if host.is_set_up(share) and host.engines[share].leader is not None]
-        return host.rng.choice(led) if led else FIRST_SHARE
+        shards = range(assignment.shard_count if assignment is not None else 1)
+        led = [shard for shard in shards if host.is_serving(shard) and host.engines[shard].leader is not None]
+        return host.rng.choice(led) if led else FIRST_SHARD
--- a/driftcleat/sharing/settings.py
+++ b/driftcleat/sharing/settings.py
@@ -8,15 +8,15 @@
 
 SECTION = "sharing"
 # As many shares as an assignment may name: each costs every controller a watch.
-MOST_SHARES = 32
-DEFAULT_SHARES = 3
+MAX_SHARDS = 32
+DEFAULT_SHARDS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class SharingSettings:
     """How many shares there are and when they move. Times are ratios to the report interval."""
 
-    shares: int = DEFAULT_SHARES
+    shares: int = DEFAULT_SHARDS
     # Time in which a move has to be done, before it is given up.
     move: float = 5.0
     # The least difference between the most and the least loaded controller, of the mean load, that is worth a move.
@@ -28,7 +28,7 @@
 
 
 _RANGES = {
-    "shares": (1, MOST_SHARES),
+    "shares": (1, MAX_SHARDS),
     "move": (1.0, 100.0),
     "imbalance": (0.1, 10.0),
     "balance": (0.0, 10_000.0),
@@ -45,7 +45,7 @@
     if not parser.has_section(SECTION):
         raise SettingsError(f"{path}: {SECTION}: the one section there has to be is missing")
     values = {key: _checked(path, key, text) for key, text in parser.items(SECTION)}
-    shares = int(values.pop("shares", DEFAULT_SHARES))
+    shares = int(values.pop("shares", DEFAULT_SHARDS))
     return SharingSettings(shares, **values)
 
 
--- a/driftcleat/sharing/shard_store.py
+++ b/driftcleat/sharing/shard_store.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from driftcleat import wire
-from driftcleat.sharing.keys import in_share, without_share
+from driftcleat.sharing.keys import shard_key, unsharded_key
 from driftcleat.sharing.process_lease import ProcessLease
 from driftcleat.store.client import StoreClient, StoreLimits
 from driftcleat.store.keys import LEADER_KEY
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 
-class _RawChange(msgspec.Struct, omit_defaults=True):
+class _RawOperation(msgspec.Struct, omit_defaults=True):
     """A change whose value is not looked at."""
 
     put: str | None = None
@@ -26,24 +26,24 @@
     remove: str | None = None
 
 
-class _RawCondition(msgspec.Struct):
+class _RawCompare(msgspec.Struct):
     key: str
     entry: int
 
 
-class _RawTxn(msgspec.Struct):
-    conditions: list[_RawCondition] = msgspec.field(name="if")
-    changes: list[_RawChange] = msgspec.field(name="then")
+class _RawTransaction(msgspec.Struct):
+    compares: list[_RawCompare] = msgspec.field(name="if")
+    changes: list[_RawOperation] = msgspec.field(name="then")
 
 
-class ShareStore(StoreClient):
+class ShardStore(StoreClient):
     """Passes requests to the process's client, with the keys of a share.
 
     The parts of a controller that read and write records need not know of shares.
     """
 
-    def __init__(self, inner: StoreClient, share: int, lease: ProcessLease, limits: StoreLimits) -> None:
-        self._inner, self._share, self._lease = inner, share, lease
+    def __init__(self, inner: StoreClient, shard: int, lease: ProcessLease, limits: StoreLimits) -> None:
+        self._inner, self._shard, self._lease = inner, shard, lease
         self.limits, self.clock = limits, inner.clock
         self.write_bucket = TokenBucket(limits.write_rps * 0.9, inner.clock)
 
@@ -68,23 +68,23 @@
 
     async def get(self, key: str, most_wait_s: float | None = None) -> messages.KeyValue | None:
         """Return a key of this share."""
-        key_value = await self._inner.get(in_share(self._share, key), most_wait_s)
-        return self._own(key_value) if key_value is not None else None
+        key_value = await self._inner.get(shard_key(self._shard, key), most_wait_s)
+        return self._without_shard_key(key_value) if key_value is not None else None
 
     async def list_page(
         self, prefix: str, after: str | None, limit: int, timeout_s: float | None = None
     ) -> messages.KeyValuePage:
         """Return a page of the share's keys under a prefix."""
-        begin = in_share(self._share, after) if after is not None else None
-        page = await self._inner.list_page(in_share(self._share, prefix), begin, limit, timeout_s)
-        return msgspec.structs.replace(page, key_values=tuple(map(self._own, page.key_values)))
+        start = shard_key(self._shard, after) if after is not None else None
+        page = await self._inner.list_page(shard_key(self._shard, prefix), start, limit, timeout_s)
+        return msgspec.structs.replace(page, key_values=tuple(map(self._without_shard_key, page.key_values)))
 
     async def watch(self, prefix: str, revision: int, wait_s: float) -> messages.WatchResponse | None:
         """Wait for a change under a prefix of the share; the keys in the answer are those of the store."""
-        return await self._inner.watch(in_share(self._share, prefix), revision, wait_s)
+        return await self._inner.watch(shard_key(self._shard, prefix), revision, wait_s)
 
-    def _own(self, key_value: messages.KeyValue) -> messages.KeyValue:
-        return msgspec.structs.replace(key_value, key=without_share(self._share, key_value.key))
+    def _without_shard_key(self, key_value: messages.KeyValue) -> messages.KeyValue:
+        return msgspec.structs.replace(key_value, key=unsharded_key(self._shard, key_value.key))
 
     # -- writing ------------------------------------------------------------------------------------------
 
@@ -93,28 +93,28 @@
         while (delay := self.write_bucket.delay_s(changes)) > 0:
             await asyncio.sleep(delay)
         self.write_bucket.consume(changes)
-        return await self._inner.commit_encoded(self._rekeyed(body), changes)
-
-    def _rekeyed(self, body: bytes) -> bytes:
-        txn = wire.decode(body, _RawTxn)
-        for condition in txn.conditions:
-            condition.key = in_share(self._share, condition.key)
-        for change in txn.changes:
-            if change.put is not None:
-                change.put = in_share(self._share, change.put)
-            elif change.remove is not None:
-                change.remove = in_share(self._share, change.remove)
-        return wire.encode(txn)
+        return await self._inner.commit_encoded(self._with_shard_keys(body), changes)
+
+    def _with_shard_keys(self, body: bytes) -> bytes:
+        transaction = wire.decode(body, _RawTransaction)
+        for compare in transaction.compares:
+            compare.key = shard_key(self._shard, compare.key)
+        for operation in transaction.changes:
+            if operation.put is not None:
+                operation.put = shard_key(self._shard, operation.put)
+            elif operation.remove is not None:
+                operation.remove = shard_key(self._shard, operation.remove)
+        return wire.encode(transaction)
 
     # -- the lease ----------------------------------------------------------------------------------------
 
     async def grant_lease(self, ttl_s: float) -> int:
         """Return the process's lease with its full time."""
-        return await self._lease.hold()
+        return await self._lease.renew_or_grant()
 
     async def keep_lease_alive(self, lease: int, timeout_s: float) -> None:
         """Renew the process's lease."""
-        await self._lease.renew(lease)
+        await self._lease.keep_alive(lease)
 
     async def revoke_lease(self, lease: int) -> None:
         """Take this share's leader key off the process's lease; a lease of an earlier life is ended as a whole."""
--- a/driftcleat/sharing/sharing_client.py
+++ b/driftcleat/sharing/sharing_client.py
@@ -8,7 +8,7 @@
 from driftcleat.sharing.messages import SharingMessage
 
 if TYPE_CHECKING:
-    from driftcleat.sharing.host import SharingHost
+    from driftcleat.sharing.host import ShardHost
 
 PATH = "/sharing"
 
@@ -16,7 +16,7 @@
 class SharingClient:
     """Sends messages about shares to other controllers."""
 
-    def __init__(self, host: "SharingHost") -> None:
+    def __init__(self, host: "ShardHost") -> None:
         self._peers = host.make_sharing_client(PATH)
 
     async def send(self, label: str, message: SharingMessage, timeout_s: float) -> SharingMessage:
@@ -25,12 +25,12 @@
         if address is None:
             raise PeerError(f"unknown controller {label}")
         try:
-            answer = await self._peers.exchange(address, wire.encode(message), timeout_s)
+            response = await self._peers.exchange(address, wire.encode(message), timeout_s)
         except (HttpError, TimeoutError) as error:
             raise PeerError(f"no answer: {error!r}") from None
-        if answer.status != 200:
-            raise PeerError(f"status {answer.status}")
+        if response.status != 200:
+            raise PeerError(f"status {response.status}")
         try:
-            return wire.decode(answer.body, SharingMessage)  # type: ignore[arg-type]
+            return wire.decode(response.body, SharingMessage)  # type: ignore[arg-type]
         except wire.WireError as error:
             raise PeerError(str(error)) from None
--- a/driftcleat/sharing/view.py
+++ b/driftcleat/sharing/view.py
@@ -12,18 +12,24 @@
 import msgspec
 
 from driftcleat import wire
-from driftcleat.sharing.assignment import Assignment, AssignmentError, read_assignment
-from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE, MACHINES, SHARING
-from driftcleat.sharing.quota import Allotment
+from driftcleat.sharing.assignment import AssignmentError, ShardAssignment, decode_assignment
+from driftcleat.sharing.keys import (
+    ALLOCATIONS_PREFIX,
+    ASSIGNMENT_KEY,
+    FIRST_SHARD,
+    MACHINE_SHARDS_PREFIX,
+    SHARING_PREFIX,
+)
+from driftcleat.sharing.quota import QuotaAllocation
 from driftcleat.store.client import StoreClient
 from driftcleat.store.errors import StoreError
 
 log = logging.getLogger(__name__)
 
-PAGE = 500
+PAGE_SIZE = 500
 
 
-class Change(msgspec.Struct, frozen=True):
+class WatchEvent(msgspec.Struct, frozen=True):
     """One change in the answer to a watch."""
 
     entry: int
@@ -35,95 +41,95 @@
 class SharingView:
     """The replica."""
 
-    def __init__(self, store: StoreClient, labels: Collection[str], wait_s: float) -> None:
-        self._store, self._labels, self._wait_s = store, labels, wait_s
+    def __init__(self, store: StoreClient, labels: Collection[str], watch_timeout_s: float) -> None:
+        self._store, self._labels, self._watch_timeout_s = store, labels, watch_timeout_s
         self._revision = 0
         # Whether the whole was read since the start of this process.
         self.loaded = False
-        self.assignment: Assignment | None = None
-        self.assignment_version = 0
+        self.assignment: ShardAssignment | None = None
+        self.assignment_mod_revision = 0
         # Why the stored assignment cannot be acted on.
         self.refusal: str | None = None
         self.machines: dict[str, int] = {}
-        self.allotments: dict[str, Allotment] = {}
-        self.allotment_versions: dict[str, int] = {}
+        self.allocations: dict[str, QuotaAllocation] = {}
+        self.allocation_mod_revisions: dict[str, int] = {}
         self.on_change: Callable[[], None] = lambda: None
 
-    def share_of(self, machine: str) -> int | None:
+    def shard_of(self, machine: str) -> int | None:
         """Return the share that has a machine, None if that is not known (yet)."""
-        known = self.machines.get(machine)
-        if known is not None:
-            return known
+        known_shard = self.machines.get(machine)
+        if known_shard is not None:
+            return known_shard
         if self.assignment is None:
             # Without an assignment there is one share, unless we have not read whether there is one.
-            return FIRST_SHARE if self.loaded else None
-        return FIRST_SHARE if machine <= self.assignment.first_share_until else None
+            return FIRST_SHARD if self.loaded else None
+        return FIRST_SHARD if machine <= self.assignment.first_shard_last_machine else None
 
     async def run(self) -> None:
         """Keep the replica for ever."""
         while True:
             try:
                 await self._load()
-                while await self._follow():
+                while await self._follow_changes():
                     pass
             except (StoreError, wire.WireError) as error:
                 log.debug("sharing: %s", error)
-                await asyncio.sleep(self._wait_s / 10)
+                await asyncio.sleep(self._watch_timeout_s / 10)
 
     async def _load(self) -> None:
         """Read everything. What changes meanwhile comes again with the watch, which goes on from the first page."""
-        before: int | None = None
-        seen: set[str] = set()
+        first_revision: int | None = None
+        seen_keys: set[str] = set()
         after: str | None = None
         while True:
-            page = await self._store.list_page(SHARING, after, PAGE)
-            before = page.revision if before is None else before
+            page = await self._store.list_page(SHARING_PREFIX, after, PAGE_SIZE)
+            first_revision = page.revision if first_revision is None else first_revision
             for key_value in page.key_values:
-                seen.add(key_value.key)
-                self._take(key_value.key, bytes(key_value.value), key_value.mod_revision)
+                seen_keys.add(key_value.key)
+                self._apply(key_value.key, bytes(key_value.value), key_value.mod_revision)
             if not page.more or not page.key_values:
                 break
             after = page.key_values[-1].key
-        for name in [name for name in self.machines if MACHINES + name not in seen]:
+        for name in [name for name in self.machines if MACHINE_SHARDS_PREFIX + name not in seen_keys]:
             del self.machines[name]
-        self._revision = before
+        self._revision = first_revision
         self.loaded = True
         self.on_change()
 
-    async def _follow(self) -> bool:
+    async def _follow_changes(self) -> bool:
         """Take in what changes next; False if everything has to be read again."""
-        answer = await self._store.watch(SHARING, self._revision, self._wait_s)
-        if answer is None:
+        response = await self._store.watch(SHARING_PREFIX, self._revision, self._watch_timeout_s)
+        if response is None:
             return False
-        for event in answer.events:
-            change = wire.convert(event, Change)
+        for event in response.events:
+            change = wire.convert(event, WatchEvent)
             if change.put is not None:
-                self._take(change.put, wire.encode(change.v), change.entry)
+                self._apply(change.put, wire.encode(change.v), change.entry)
             elif change.remove is not None:
-                self.machines.pop(change.remove[len(MACHINES) :], None)
-        self._revision = max(self._revision, answer.revision)
-        if answer.events:
+                self.machines.pop(change.remove[len(MACHINE_SHARDS_PREFIX) :], None)
+        self._revision = max(self._revision, response.revision)
+        if response.events:
             self.on_change()
         return True
 
-    def _take(self, key: str, value: bytes, version: int) -> None:
+    def _apply(self, key: str, value: bytes, mod_revision: int) -> None:
         """Take in a key as it is stored; an older version than the one known changes nothing."""
-        if key == ASSIGNMENT:
-            if version >= self.assignment_version:
-                self.take_assignment(value, version)
-        elif key.startswith(MACHINES):
-            self.machines[key[len(MACHINES) :]] = wire.decode(value, int)
-        elif key.startswith(ALLOTMENTS):
-            team = key[len(ALLOTMENTS) :]
-            if version >= self.allotment_versions.get(team, 0):
-                self.allotments[team] = wire.decode(value, Allotment)
-                self.allotment_versions[team] = version
-
-    def take_assignment(self, value: bytes, version: int) -> None:
+        if key == ASSIGNMENT_KEY:
+            if mod_revision >= self.assignment_mod_revision:
+                self.apply_assignment(value, mod_revision)
+        elif key.startswith(MACHINE_SHARDS_PREFIX):
+            self.machines[key[len(MACHINE_SHARDS_PREFIX) :]] = wire.decode(value, int)
+        elif key.startswith(ALLOCATIONS_PREFIX):
+            team = key[len(ALLOCATIONS_PREFIX) :]
+            if mod_revision >= self.allocation_mod_revisions.get(team, 0):
+                self.allocations[team] = wire.decode(value, QuotaAllocation)
+                self.allocation_mod_revisions[team] = mod_revision
+
+    def apply_assignment(self, value: bytes, mod_revision: int) -> None:
         """Take in the assignment; one that cannot be acted on leaves the one before in force, and is said."""
-        self.assignment_version = version
+        self.assignment_mod_revision = mod_revision
         try:
-            self.assignment = read_assignment(value, self._labels)
+            self.assignment = decode_assignment(value, self._labels)
             self.refusal = None
         except AssignmentError as error:
             if self.refusal != str(error):
@@ -132,6 +138,6 @@
 
     async def refresh(self) -> None:
         """Read assignment and allotments once more: for who must not act on what was true a moment ago."""
-        for prefix in (ASSIGNMENT, ALLOTMENTS):
-            for key_value in (await self._store.list_page(prefix, None, PAGE)).key_values:
-                self._take(key_value.key, bytes(key_value.value), key_value.mod_revision)
+        for prefix in (ASSIGNMENT_KEY, ALLOCATIONS_PREFIX):
+            for key_value in (await self._store.list_page(prefix, None, PAGE_SIZE)).key_values:
+                self._apply(key_value.key, bytes(key_value.value), key_value.mod_revision)
--- a/tests/sharing_simulation.py
+++ b/tests/sharing_simulation.py
@@ -9,9 +9,9 @@
 from driftcleat import wire
 from driftcleat.net import SocketBudget
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.host import SharingHost
-from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, MACHINES, share_root
-from driftcleat.sharing.quota import Allotment, limit_of
+from driftcleat.sharing.host import ShardHost
+from driftcleat.sharing.keys import ALLOCATIONS_PREFIX, ASSIGNMENT_KEY, MACHINE_SHARDS_PREFIX, shard_prefix
+from driftcleat.sharing.quota import QuotaAllocation, team_limit
 from driftcleat.sharing.settings import SharingSettings
 from driftcleat.store.keys import LEADER_KEY, ROOT_PREFIX
 
@@ -22,7 +22,7 @@
 SHARES = 3
 
 
-class SimulatedHost(SharingHost):
+class SimulatedHost(ShardHost):
     """The real host without sockets."""
 
     def __init__(self, simulation: "SharedSimulation", platform: Platform, rng: random.Random) -> None:
@@ -76,7 +76,7 @@
         super().end(*labels)
 
     def up(self, label: str) -> bool:
-        return label in self.processes and self.controllers[label].is_set_up(0)
+        return label in self.processes and self.controllers[label].is_serving(0)
 
     def lead(self) -> str | None:
         return next((label for label in sorted(self.processes) if self.controllers[label].may_decide), None)
@@ -89,7 +89,7 @@
 
     def all_led(self) -> bool:
         """Whether every share is led."""
-        return ASSIGNMENT in self.store.data and all(self.owner(share) for share in range(self.sharing.shares))
+        return ASSIGNMENT_KEY in self.store.data and all(self.owner(share) for share in range(self.sharing.shares))
 
     async def ready(self) -> None:
         """Wait until sharing has begun and every share is led."""
@@ -114,7 +114,7 @@
 
     def assignment(self) -> Any:
         """Return the stored assignment as plain data."""
-        return self.store.data[ASSIGNMENT][0]
+        return self.store.data[ASSIGNMENT_KEY][0]
 
     # -- invariants ---------------------------------------------------------------------------------------
 
@@ -123,16 +123,16 @@
         for share in range(self.sharing.shares):
             self.owner(share)
         for key, (value, _) in self.store.data.items():
-            if key.startswith(MACHINES):
-                name = key[len(MACHINES) :]
+            if key.startswith(MACHINE_SHARDS_PREFIX):
+                name = key[len(MACHINE_SHARDS_PREFIX) :]
                 if self.machine_shares.setdefault(name, value) != value:
                     raise RuleBrokenError(f"two owners: {name} was of share {self.machine_shares[name]}, now {value}")
-            elif key.startswith(ALLOTMENTS):
-                self._check_allotment(key[len(ALLOTMENTS) :], value)
+            elif key.startswith(ALLOCATIONS_PREFIX):
+                self._check_allotment(key[len(ALLOCATIONS_PREFIX) :], value)
 
     def _check_allotment(self, team: str, value: Any) -> None:
-        total = wire.convert(value, Allotment).total()
-        if not limit_of(self.platform.teams[team]).covers(total):
+        total = wire.convert(value, QuotaAllocation).total()
+        if not team_limit(self.platform.teams[team]).covers(total):
             raise RuleBrokenError(f"quota: {team}'s parts add up to {total}")
 
     def check_start(self, worker: PlainWorker, task: Running) -> None:
@@ -142,11 +142,11 @@
             (
                 share
                 for share in range(self.sharing.shares)
-                if f"{share_root(share)}jobs/{task.job.id}" in self.store.data
+                if f"{shard_prefix(share)}jobs/{task.job.id}" in self.store.data
             ),
             None,
         )
-        owner = self.store.data.get(MACHINES + worker.name, (None, 0))[0]
+        owner = self.store.data.get(MACHINE_SHARDS_PREFIX + worker.name, (None, 0))[0]
         if home is not None and owner is not None and owner != home:
             self.broken = RuleBrokenError(f"two owners: {worker.name} of share {owner} runs {task.job.id} of {home}")
             raise self.broken
@@ -158,4 +158,4 @@
 
 def leader_key(share: int) -> str:
     """Return where a share's leader key lies."""
-    return LEADER_KEY if share == 0 else share_root(share) + LEADER_KEY[len(ROOT_PREFIX) :]
+    return LEADER_KEY if share == 0 else shard_prefix(share) + LEADER_KEY[len(ROOT_PREFIX) :]
--- a/tests/test_share_checker.py
+++ b/tests/test_share_checker.py
@@ -5,7 +5,7 @@
 import pytest
 
 from driftcleat.settings import Team
-from driftcleat.sharing.quota import Allotment, Amount
+from driftcleat.sharing.quota import Amount, QuotaAllocation
 from tools.shares.checker import Broken, Checker
 from tools.shares.history import (
     Allotted,
@@ -29,7 +29,7 @@
     Led(0.1, 1, "b", 2),
     MachineAssigned(0.2, "m1", 0),
     MachineAssigned(0.2, "m2", 1),
-    Allotted(0.3, "red", Allotment((Amount(0.0, 2.0), Amount(0.0, 2.0)))),
+    Allotted(0.3, "red", QuotaAllocation((Amount(0.0, 2.0), Amount(0.0, 2.0)))),
     Answered(1.0, "m1", 1),
     Answered(1.0, "m2", 2),
     Told(1.1, "j1", "pending", 2, 1.1),
@@ -81,7 +81,7 @@
         (without(Answered(3.0, "m2", 9)), Broken.NO_OWNER),
         ([*GOOD, Started(1.7, "m1", "j2", 0, "red", 0.0)], Broken.RAN_TWICE),
         ([*GOOD, Started(1.7, "m1", "j3", 0, "red", 1.0)], Broken.QUOTA),
-        ([*GOOD, Allotted(2.0, "red", Allotment((Amount(0.0, 2.0), Amount(0.0, 2.5))))], Broken.OVER_ALLOTTED),
+        ([*GOOD, Allotted(2.0, "red", QuotaAllocation((Amount(0.0, 2.0), Amount(0.0, 2.5))))], Broken.OVER_ALLOTTED),
         ([*without(Stopped(4.0, "m2", "j2", 0, False)), Stopped(7.2, "m2", "j2", 0, False)], Broken.RAN_CANCELLED),
         ([*GOOD, Started(7.5, "m2", "j2", 0, "red", 1.0)], Broken.RAN_CANCELLED),
         ([*without(Stopped(4.6, "m2", "j1", 1, True)), Stopped(4.6, "m2", "j1", 1, False)], Broken.NOT_DONE),
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -8,9 +8,15 @@
 
 from driftcleat import wire
 from driftcleat.leadership import Role
-from driftcleat.sharing.handoff import TransferState
-from driftcleat.sharing.keys import ASSIGNMENT, CLAIMS, MACHINES, in_share, share_root
-from driftcleat.sharing.messages import LetGo, LetGoAnswer
+from driftcleat.sharing.handoff import HandoffState
+from driftcleat.sharing.keys import (
+    ASSIGNMENT_KEY,
+    JOB_DIRECTORY_PREFIX,
+    MACHINE_SHARDS_PREFIX,
+    shard_key,
+    shard_prefix,
+)
+from driftcleat.sharing.messages import ReleaseRequest, ReleaseResponse
 from driftcleat.store.errors import StoreUnavailableError
 from driftcleat.store.keys import JOBS_PREFIX, LEADER_KEY
 
@@ -42,7 +48,7 @@
     """Hand a job in whose claim names this share, and wait until it is accepted."""
     job_id = f"req-{number:06d}"
     host = sim.controllers[str(sim.lead())]
-    assert await host.claims.claim(job_id, share) == share
+    assert await host.job_directory.register(job_id, share) == share
     await sim.hand_in(raw_job(number, **changes))
     assert job_id in sim.told
     return job_id
@@ -147,13 +153,13 @@
     async def story(sim: SharedSimulation) -> None:
         giver = str(sim.owner(1))
         engine = sim.controllers[giver].engines[1]
-        election, token = engine.share_election, engine.election.fencing_token
-        assert election.let_go() == token and election.let_go() == token
+        election, token = engine.shard_election, engine.election.fencing_token
+        assert election.release() == token and election.release() == token
         assert (
             not election.may_decide and not election.may_send_starts and engine.active_term.deciding_scheduler is None
         )
         assert election.may_answer_heartbeats, "leases are kept"
-        assert sim.controllers[giver].transfers.state(1) is TransferState.HANDING_OVER
+        assert sim.controllers[giver].handoffs.state(1) is HandoffState.RELEASING
         # The process renews its lease for its other shares, or for this one: that gives nothing back.
         await engine.election.leader_loop.keep_alive()
         assert not election.may_decide and not election.lease.is_valid(sim.time())
@@ -161,7 +167,7 @@
         await sim.until(lambda: sim.owner(1) == giver, 30.0)
         assert engine.election.fencing_token > token and sim.store.data[leader_key(1)][1] > held
         # A transaction of the receiver that comes late finds another version.
-        assert sim.controllers[giver].transfers.state(1) is TransferState.OWNED
+        assert sim.controllers[giver].handoffs.state(1) is HandoffState.OWNED
 
     play(story)
 
@@ -177,13 +183,13 @@
         assert (await sim.order_move(1, receiver))[0] == 200 or sim.lead() is None
         await sim.until(lambda: host.view.assignment is not None and host.view.assignment.moves, 5.0)
         # From here on its replica is not kept up to date; the coordinator drops the move.
-        host.view._take = lambda *_: None  # type: ignore[method-assign]
+        host.view._apply = lambda *_: None  # type: ignore[method-assign]
         dropped = [sim.assignment()[0], sim.assignment()[1], [], *sim.assignment()[3:]]
-        sim.tamper(ASSIGNMENT, dropped)
+        sim.tamper(ASSIGNMENT_KEY, dropped)
         await sim.rest(0.5)
-        version = sim.controllers[giver].engines[1].share_election.let_go()
+        version = sim.controllers[giver].engines[1].shard_election.release()
         assert version is not None
-        host.engines[1].share_election.take_over(version)
+        host.engines[1].shard_election.acquire(version)
         await sim.rest(0.5)
         assert sim.owner(1) != receiver and sim.assignment() == dropped
         await sim.until(lambda: sim.owner(1) == giver, 30.0)
@@ -238,10 +244,15 @@
         receiver, third = others(giver)
         await moved(sim, 1, receiver)
         await moved(sim, 1, giver)
-        transfers = sim.controllers[giver].transfers
-        for stray in (LetGo(1, receiver, 1), LetGo(1, third, 3), LetGo(2, receiver, 2), LetGo(7, receiver, 1)):
-            answer = await transfers.let_go(stray)
-            assert isinstance(answer, LetGoAnswer) and answer.version is None and answer.why
+        handoffs = sim.controllers[giver].handoffs
+        for stray in (
+            ReleaseRequest(1, receiver, 1),
+            ReleaseRequest(1, third, 3),
+            ReleaseRequest(2, receiver, 2),
+            ReleaseRequest(7, receiver, 1),
+        ):
+            answer = await handoffs.release(stray)
+            assert isinstance(answer, ReleaseResponse) and answer.mod_revision is None and answer.reason
         assert sim.owner(1) == giver
         # Nor does a message of another controller, or of another move, count for the one under way.
         sim.part(receiver)
@@ -250,9 +261,9 @@
             await sim.rest(0.1)
             move = sim.controllers[giver].view.assignment.move_of(1)  # type: ignore[union-attr]
             assert move is not None
-            for stray in (LetGo(1, third, move.number), LetGo(1, receiver, move.number - 1)):
-                answer = await transfers.let_go(stray)
-                assert isinstance(answer, LetGoAnswer) and answer.version is None
+            for stray in (ReleaseRequest(1, third, move.number), ReleaseRequest(1, receiver, move.number - 1)):
+                answer = await handoffs.release(stray)
+                assert isinstance(answer, ReleaseResponse) and answer.mod_revision is None
 
     play(story)
 
@@ -283,7 +294,7 @@
 def test_an_assignment_that_cannot_be_acted_on_is_refused_and_the_one_before_stays_in_force() -> None:
     async def story(sim: SharedSimulation) -> None:
         before = [sim.owner(share) for share in range(3)]
-        stored = sim.store.data[ASSIGNMENT]
+        stored = sim.store.data[ASSIGNMENT_KEY]
         for broken in (
             [1, ["", "a", "x"]],
             [1, ["", "b"], [[1, "b", 1]]],
@@ -291,13 +302,13 @@
             [1, ["", "b", "c"], [[9, "a", 1]]],
         ):
             sim.store.revision += 1
-            sim.store.data[ASSIGNMENT] = (broken, sim.store.revision)
-            entry = {"put": ASSIGNMENT, "v": broken, "entry": sim.store.revision}
+            sim.store.data[ASSIGNMENT_KEY] = (broken, sim.store.revision)
+            entry = {"put": ASSIGNMENT_KEY, "v": broken, "entry": sim.store.revision}
             sim.state.log.append(entry)  # type: ignore[attr-defined]
             await sim.rest(4.0)
             assert [sim.owner(share) for share in range(3)] == before
             assert all(sim.controllers[label].view.refusal for label in LABELS)
-        sim.tamper(ASSIGNMENT, stored[0])
+        sim.tamper(ASSIGNMENT_KEY, stored[0])
         await sim.rest(2.0)
         assert not any(sim.controllers[label].view.refusal for label in LABELS)
 
@@ -372,8 +383,8 @@
 def test_a_needed_job_of_another_share_must_have_been_accepted() -> None:
     async def story(sim: SharedSimulation) -> None:
         host = sim.controllers[str(sim.lead())]
-        await host.claims.claim("req-000009", 1)
-        await host.claims.claim("req-000002", 2)
+        await host.job_directory.register("req-000009", 1)
+        await host.job_directory.register("req-000002", 2)
         # The share's leader has asked the cloud for its machine types.
         await sim.rest(3.0)
         status, _ = await sim.ask("POST", "/v1/jobs", raw_job(2, tows=["req-000009"]))
@@ -393,8 +404,8 @@
         await sim.rest(10.0)
         for number in range(1, 7):
             job_id = f"req-{number:06d}"
-            homes = [share for share in range(3) if in_share(share, JOBS_PREFIX + job_id) in sim.store.data]
-            assert homes == [sim.store.data[CLAIMS + job_id][0]]
+            homes = [share for share in range(3) if shard_key(share, JOBS_PREFIX + job_id) in sim.store.data]
+            assert homes == [sim.store.data[JOB_DIRECTORY_PREFIX + job_id][0]]
 
     play(story)
 
@@ -423,7 +434,9 @@
         assert await b.registry.register(names[2:], 2) == names[4:]
         assert await a.registry.register(names, 1) == names[:4]
         stored = {
-            key[len(MACHINES) :]: value for key, (value, _) in sim.store.data.items() if key.startswith(MACHINES)
+            key[len(MACHINE_SHARDS_PREFIX) :]: value
+            for key, (value, _) in sim.store.data.items()
+            if key.startswith(MACHINE_SHARDS_PREFIX)
         }
         assert stored == dict.fromkeys(names[:4], 1) | dict.fromkeys(names[4:], 2)
 
@@ -445,11 +458,11 @@
         report = {"bollard": "vm-900001", "addr": "x:1", "build": "big", "harbor": "north", "driftwood": False}
         body = wire.encode(report | {"watch": 1, "knot": 1, "helm": 0, "hands": []})
         answer = await host.handle_front("POST", "/agent/beat", body)
-        assert answer.status in (200, 421) and host.view.share_of("vm-900001") == 1
+        assert answer.status in (200, 421) and host.view.shard_of("vm-900001") == 1
         assert all(
             "vm-900001" not in engine.scheduler.cluster.machines
             for engine in host.engines.values()
-            if engine.scheduler is not None and engine.share != 1
+            if engine.scheduler is not None and engine.shard != 1
         )
 
     play(story)
@@ -510,7 +523,7 @@
             sim.end(label)
             sim.start(label)
             await sim.rest(8.0)
-            assert ASSIGNMENT not in sim.store.data, "a controller without sharing serves"
+            assert ASSIGNMENT_KEY not in sim.store.data, "a controller without sharing serves"
         sim.plain.clear()
         sim.end("a")
         sim.start("a")
@@ -523,7 +536,7 @@
         for number in range(3, 9):
             sim.hand_in(raw_job(number, hands=1, voyageS=2.0, tows=["req-000002"] if number == 3 else []))
         await sim.rest(30.0)
-        assert len({value for key, (value, _) in sim.store.data.items() if key.startswith(CLAIMS)}) > 1
+        assert len({value for key, (value, _) in sim.store.data.items() if key.startswith(JOB_DIRECTORY_PREFIX)}) > 1
         await sim.settle_down()
 
     sim.play(story)
@@ -563,7 +576,7 @@
         await on_share(sim, 0, 1, hands=1)
         await on_share(sim, 1, 2, hands=1)
         assert LEADER_KEY in sim.store.data and JOBS_PREFIX + "req-000001" in sim.store.data
-        assert share_root(1) + "jobs/req-000002" in sim.store.data
+        assert shard_prefix(1) + "jobs/req-000002" in sim.store.data
         assert sim.controllers["a"].engines[1].election.role in (Role.LEADER, Role.FOLLOWER)
 
     play(story)
--- a/tests/test_sharing_parts.py
+++ b/tests/test_sharing_parts.py
@@ -11,30 +11,30 @@
 from driftcleat import wire
 from driftcleat.settings import SettingsError, Team
 from driftcleat.sharing.assignment import (
-    Assignment,
     AssignmentError,
+    ShardAssignment,
+    add_shards,
     begin_move,
     complete_move,
+    decode_assignment,
     drop_move,
-    grow,
     initial_assignment,
-    read_assignment,
     reassign,
 )
 from driftcleat.sharing.coordinator import Coordinator
-from driftcleat.sharing.keys import ASSIGNMENT, in_share, without_share
-from driftcleat.sharing.messages import ShareStatus
-from driftcleat.sharing.planner import ShareLoad, loads_by_owner, propose
+from driftcleat.sharing.keys import ASSIGNMENT_KEY, shard_key, unsharded_key
+from driftcleat.sharing.messages import ShardStatus
+from driftcleat.sharing.planner import ShardLoad, loads_by_owner, propose_move
 from driftcleat.sharing.quota import (
-    NONE,
     ROUNDING,
-    Allotment,
+    ZERO,
     Amount,
     Demand,
-    allotted,
-    first_allotment,
-    raised,
-    targets,
+    QuotaAllocation,
+    initial_allocation,
+    quota_targets,
+    raised_allocation,
+    team_with_quota,
 )
 from driftcleat.sharing.settings import SharingSettings, load_sharing
 from driftcleat.store.keys import CHUNKS_PREFIX, JOBS_PREFIX, LEADER_KEY
@@ -78,7 +78,7 @@
 
 def test_an_assignment_survives_being_stored() -> None:
     assignment = begin_move(initial_assignment(4, LABELS, "vm-7"), 1, "c", LABELS)
-    assert read_assignment(wire.encode(assignment), LABELS) == assignment
+    assert decode_assignment(wire.encode(assignment), LABELS) == assignment
 
 
 FIRST = initial_assignment(3, LABELS, "")
@@ -97,7 +97,7 @@
         (lambda: reassign(FIRST, 0, "a"), "cannot be reassigned"),
     ],
 )
-def test_impossible_changes_are_refused_with_the_reason(change: Callable[[], Assignment], why: str) -> None:
+def test_impossible_changes_are_refused_with_the_reason(change: Callable[[], ShardAssignment], why: str) -> None:
     with pytest.raises(AssignmentError, match=why):
         change()
 
@@ -119,7 +119,7 @@
 )
 def test_a_stored_assignment_that_cannot_be_acted_on_is_refused(value: bytes, why: str) -> None:
     with pytest.raises(AssignmentError, match=why):
-        read_assignment(value, LABELS)
+        decode_assignment(value, LABELS)
 
 
 def test_a_move_is_completed_or_dropped_and_its_number_never_comes_again() -> None:
@@ -132,8 +132,8 @@
 
 
 def test_shares_that_are_added_leave_the_others_as_they_are() -> None:
-    larger = grow(complete_move(begin_move(FIRST, 1, "c", LABELS), 1), 5, LABELS)
-    assert larger.owners[:3] == ("", "c", "c") and larger.shares == 5
+    larger = add_shards(complete_move(begin_move(FIRST, 1, "c", LABELS), 1), 5, LABELS)
+    assert larger.owners[:3] == ("", "c", "c") and larger.shard_count == 5
 
 
 # -- keys -------------------------------------------------------------------------------------------------
@@ -141,11 +141,11 @@
 
 def test_each_share_has_its_own_keys_and_the_first_those_of_a_deployment_without_sharing() -> None:
     keys = (LEADER_KEY, JOBS_PREFIX + "req-000001", CHUNKS_PREFIX + "req-000001/2.1")
-    stored = {in_share(share, key) for share, key in product(range(12), keys)}
+    stored = {shard_key(share, key) for share, key in product(range(12), keys)}
     assert len(stored) == 36
-    assert all(in_share(0, key) == key for key in keys)
-    assert all(without_share(share, in_share(share, key)) == key for share, key in product(range(12), keys))
-    assert in_share(3, ASSIGNMENT) == ASSIGNMENT
+    assert all(shard_key(0, key) == key for key in keys)
+    assert all(unsharded_key(share, shard_key(share, key)) == key for share, key in product(range(12), keys))
+    assert shard_key(3, ASSIGNMENT_KEY) == ASSIGNMENT_KEY
 
 
 # -- allotments -------------------------------------------------------------------------------------------
@@ -166,7 +166,7 @@
 
 @given(demands, st.integers(1, 40).map(float))
 def test_targets_never_add_up_to_more_than_the_limit_and_leave_nothing(found: list[Demand], limit: float) -> None:
-    parts = targets(Amount(0.0, limit), found, 15.0)
+    parts = quota_targets(Amount(0.0, limit), found, 15.0)
     assert abs(sum(part.gpus for part in parts) - limit) < 1e-3
     assert all(part.gpus >= 0 for part in parts)
 
@@ -175,15 +175,15 @@
 def test_whoever_lowers_and_raises_the_parts_stay_within_the_limit(found: list[Demand], limit: float) -> None:
     """Owners lower to what they use, the coordinator raises by what is free: in any order, step by step."""
     whole = Amount(0.0, limit)
-    allotment = first_allotment(Team("red", 0.0, 0.0, 0.0, limit), len(found))
+    allotment = initial_allocation(Team("red", 0.0, 0.0, 0.0, limit), len(found))
     for _ in range(3):
-        wishes = targets(whole, found, 15.0)
-        allotment = raised(whole, allotment, wishes)
+        wishes = quota_targets(whole, found, 15.0)
+        allotment = raised_allocation(whole, allotment, wishes)
         assert whole.covers(allotment.total())
         for share, wish in enumerate(wishes):
-            part = allotment.part(share)
+            part = allotment.quota(share)
             lower = wish.at_least(found[share].used).at_most(part)
-            allotment = allotment.with_part(share, lower)
+            allotment = allotment.with_quota(share, lower)
         assert whole.covers(allotment.total())
 
 
@@ -191,20 +191,20 @@
     """The other shares give up what it lacks, once it has waited for long."""
     limit = Amount(0.0, 12.0)
     greedy = Demand(Amount(0.0, 4.0), Amount(0.0, 40.0))
-    large = Demand(NONE, Amount(0.0, 10.0), Amount(0.0, 10.0), 0.0)
-    assert targets(limit, [greedy, greedy, large], 15.0)[2].gpus < 10.0
-    waited = Demand(NONE, Amount(0.0, 10.0), Amount(0.0, 10.0), 16.0)
-    assert targets(limit, [greedy, greedy, waited], 15.0)[2].gpus >= 10.0
+    large = Demand(ZERO, Amount(0.0, 10.0), Amount(0.0, 10.0), 0.0)
+    assert quota_targets(limit, [greedy, greedy, large], 15.0)[2].gpus < 10.0
+    waited = Demand(ZERO, Amount(0.0, 10.0), Amount(0.0, 10.0), 16.0)
+    assert quota_targets(limit, [greedy, greedy, waited], 15.0)[2].gpus >= 10.0
 
 
 def test_parts_are_whole() -> None:
-    parts = targets(Amount(0.0, 8.0), [Demand(NONE, Amount(0.0, 9.0))] * 3, 15.0)
+    parts = quota_targets(Amount(0.0, 8.0), [Demand(ZERO, Amount(0.0, 9.0))] * 3, 15.0)
     assert sorted(part.gpus for part in parts) == [2.0, 3.0, 3.0]
 
 
 def test_a_part_of_nothing_is_not_a_limit_of_none() -> None:
-    assert 0.0 < allotted(TEAM, NONE, 0.0).gpus_max < ROUNDING
-    assert allotted(TEAM, NONE, 0.0).cpus_max == 0.0, "the team has no limit of processors"
+    assert 0.0 < team_with_quota(TEAM, ZERO, 0.0).gpus_max < ROUNDING
+    assert team_with_quota(TEAM, ZERO, 0.0).cpus_max == 0.0, "the team has no limit of processors"
 
 
 # -- the planner ------------------------------------------------------------------------------------------
@@ -215,30 +215,30 @@
 @given(fleets)
 def test_a_proposed_move_is_the_best_one_and_worth_its_cost(fleet: list[tuple[str, int]]) -> None:
     """Against a plain model that plays every move."""
-    loads = [ShareLoad(share, owner, float(load)) for share, (owner, load) in enumerate(fleet)]
-    proposal = propose(loads, LABELS, 0.5)
+    loads = [ShardLoad(share, owner, float(load)) for share, (owner, load) in enumerate(fleet)]
+    proposal = propose_move(loads, LABELS, 0.5)
     before = max(loads_by_owner(loads, LABELS).values())
     peaks = {
-        (entry.share, receiver): max(
+        (entry.shard, receiver): max(
             loads_by_owner(
-                [ShareLoad(e.share, receiver if e is entry else e.owner, e.load) for e in loads], LABELS
+                [ShardLoad(e.shard, receiver if e is entry else e.owner, e.load) for e in loads], LABELS
             ).values()
         )
         for entry in loads
         for receiver in LABELS
-        if entry.share and receiver != entry.owner
+        if entry.shard and receiver != entry.owner
     }
     worth = sum(entry.load for entry in loads) / 3 * 0.5
     best = min(peaks.values(), default=before)
     if proposal is None:
         assert before - best < worth or before == 0
     else:
-        assert peaks[(proposal.share, proposal.receiver)] == best and before - best >= worth
+        assert peaks[(proposal.shard, proposal.target)] == best and before - best >= worth
 
 
 def test_even_loads_are_left_alone() -> None:
-    loads = [ShareLoad(share, LABELS[share % 3], 10.0 + share) for share in range(6)]
-    assert propose(loads, LABELS, 0.5) is None
+    loads = [ShardLoad(share, LABELS[share % 3], 10.0 + share) for share in range(6)]
+    assert propose_move(loads, LABELS, 0.5) is None
 
 
 # -- the coordinator --------------------------------------------------------------------------------------
@@ -248,68 +248,68 @@
     return Coordinator(SharingSettings(shares=3, balance=balance), LABELS, 2.0)
 
 
-def status(share: int, machines: int = 1) -> ShareStatus:
-    return ShareStatus(share, 5, machines, 0)
+def status(share: int, machines: int = 1) -> ShardStatus:
+    return ShardStatus(share, 5, machines, 0)
 
 
 def test_sharing_begins_only_once_every_controller_was_heard() -> None:
     decides = coordinator()
-    decides.begin(0.0)
-    decides.note("a", [], 0.1)
-    decides.note("b", [], 0.1)
-    assert not decides.may_begin(0.2)
-    decides.note("x", [], 0.1)
-    assert not decides.may_begin(0.2)
-    decides.note("c", [], 0.2)
-    assert decides.may_begin(0.3) and not decides.may_begin(60.0)
+    decides.reset(0.0)
+    decides.record_status("a", [], 0.1)
+    decides.record_status("b", [], 0.1)
+    assert not decides.may_start_sharing(0.2)
+    decides.record_status("x", [], 0.1)
+    assert not decides.may_start_sharing(0.2)
+    decides.record_status("c", [], 0.2)
+    assert decides.may_start_sharing(0.3) and not decides.may_start_sharing(60.0)
 
 
 def test_the_shares_of_a_silent_controller_go_to_another_but_not_before_everybody_could_be_heard() -> None:
     decides = coordinator()
-    decides.begin(0.0)
-    decides.note("a", [status(0)], 0.1)
+    decides.reset(0.0)
+    decides.record_status("a", [status(0)], 0.1)
     assert decides.next_assignment(FIRST, 0.2) is None
     for now in (2.0, 4.0, 6.0, 8.0):
-        decides.note("a", [status(0)], now)
-        decides.note("c", [status(2)], now)
+        decides.record_status("a", [status(0)], now)
+        decides.record_status("c", [status(2)], now)
     following = decides.next_assignment(FIRST, 8.1)
     assert following is not None and following.owners == ("", "a", "c")
 
 
 def test_a_move_that_takes_too_long_or_whose_receiver_is_lost_is_given_up_and_said() -> None:
     decides = coordinator()
-    decides.begin(0.0)
+    decides.reset(0.0)
     moving = begin_move(FIRST, 1, "c", LABELS)
     for second in range(1, 13):
         for label in LABELS:
-            decides.note(label, [], float(second))
+            decides.record_status(label, [], float(second))
         following = decides.next_assignment(moving, float(second))
         assert following == (drop_move(moving, 1) if second > 11 else None)
     assert decides.refusals[1] == "c did not take it in time"
-    decides.begin(20.0)
+    decides.reset(20.0)
     for now in (21.0, 24.0, 27.0):
-        decides.note("a", [], now)
-        decides.note("b", [], now)
+        decides.record_status("a", [], now)
+        decides.record_status("b", [], now)
     assert decides.next_assignment(moving, 27.0) == drop_move(moving, 1)
     assert decides.refusals[1] == "c is silent"
 
 
 def test_shares_are_balanced_one_at_a_time_and_only_while_all_is_well() -> None:
     decides = coordinator(balance=1.0)
-    decides.begin(0.0)
-    lopsided = Assignment(1, ("", "a", "a"))
+    decides.reset(0.0)
+    lopsided = ShardAssignment(1, ("", "a", "a"))
 
     def heard(now: float) -> None:
-        decides.note("a", [status(0, 10), status(1, 30), status(2, 40)], now)
-        decides.note("b", [], now)
+        decides.record_status("a", [status(0, 10), status(1, 30), status(2, 40)], now)
+        decides.record_status("b", [], now)
 
     heard(4.0)
     assert decides.next_assignment(lopsided, 4.0) is None, "one controller was not heard"
     heard(6.0)
-    decides.note("c", [], 6.0)
+    decides.record_status("c", [], 6.0)
     following = decides.next_assignment(lopsided, 6.0)
     assert following is not None and len(following.moves) == 1
-    decides.note("c", [], 6.1)
+    decides.record_status("c", [], 6.1)
     assert decides.next_assignment(following, 6.1) is None
 
 
@@ -319,30 +319,30 @@
 )
 def test_an_operators_order_is_refused_with_the_reason(share: int, receiver: str, why: str) -> None:
     decides = coordinator()
-    decides.begin(0.0)
-    decides.note("a", [], 1.0)
-    decides.note("b", [], 1.0)
+    decides.reset(0.0)
+    decides.record_status("a", [], 1.0)
+    decides.record_status("b", [], 1.0)
     with pytest.raises(AssignmentError, match=why):
-        decides.requested(FIRST, share, receiver, 1.0)
+        decides.requested_assignment(FIRST, share, receiver, 1.0)
     with pytest.raises(AssignmentError, match="has not begun"):
-        decides.requested(None, 1, "a", 1.0)
+        decides.requested_assignment(None, 1, "a", 1.0)
 
 
 def test_a_share_only_gets_more_of_a_limit_once_another_has_less() -> None:
     decides = coordinator()
-    decides.begin(0.0)
-    first = decides.next_allotment(TEAM, None, 3, 0.0)
-    assert first is not None and first.part(0).gpus == 12.0
+    decides.reset(0.0)
+    first = decides.next_allocation(TEAM, None, 3, 0.0)
+    assert first is not None and first.quota(0).gpus == 12.0
     # Nothing is free: what the first share does not use is to be lowered by its owner before others get it.
-    assert decides.next_allotment(TEAM, first, 3, 0.0) is None
-    told = decides.note("a", [status(0)], 0.1)
-    assert [(target.share, target.part.gpus) for target in told] == [(0, 4.0)]
-    lowered = first.with_part(0, Amount(0.0, 4.0))
-    following = decides.next_allotment(TEAM, lowered, 3, 0.2)
-    assert following is not None and [part.gpus for part in following.parts] == [4.0, 4.0, 4.0]
-    assert decides.next_allotment(Team("free", 0.0, 0.0, 0.0, 0.0), None, 3, 0.0) is None
+    assert decides.next_allocation(TEAM, first, 3, 0.0) is None
+    told = decides.record_status("a", [status(0)], 0.1)
+    assert [(target.shard, target.quota.gpus) for target in told] == [(0, 4.0)]
+    lowered = first.with_quota(0, Amount(0.0, 4.0))
+    following = decides.next_allocation(TEAM, lowered, 3, 0.2)
+    assert following is not None and [part.gpus for part in following.quotas] == [4.0, 4.0, 4.0]
+    assert decides.next_allocation(Team("free", 0.0, 0.0, 0.0, 0.0), None, 3, 0.0) is None
 
 
 def test_an_allotment_knows_nothing_of_shares_that_came_later() -> None:
-    assert Allotment((Amount(0.0, 2.0),)).part(4) == NONE
-    assert Allotment((Amount(0.0, 2.0),)).with_part(2, Amount(0.0, 1.0)).parts[1] == NONE
+    assert QuotaAllocation((Amount(0.0, 2.0),)).quota(4) == ZERO
+    assert QuotaAllocation((Amount(0.0, 2.0),)).with_quota(2, Amount(0.0, 1.0)).quotas[1] == ZERO
--- a/tests/test_sharing_walk.py
+++ b/tests/test_sharing_walk.py
@@ -6,7 +6,7 @@
 import pytest
 
 from driftcleat.peers.client import PeerError
-from driftcleat.sharing.messages import LetGo
+from driftcleat.sharing.messages import ReleaseRequest
 
 from .sharing_simulation import SharedSimulation
 from .simulation import LABELS, Simulation
@@ -59,7 +59,7 @@
         if host is None or not sim.up(sender):
             return
         try:
-            await host.transfers._client.send(owner, LetGo(share, sender, rng.randrange(1, 5)), 1.0)
+            await host.handoffs._client.send(owner, ReleaseRequest(share, sender, rng.randrange(1, 5)), 1.0)
         except PeerError:
             pass
 
--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -528,12 +528,12 @@
     },
     "JobKind": {"ARRAY": "array", "GANG": "group", "SERVICE": "daemon"},
     "Priority": {"CRITICAL": "critical", "HIGH": "high", "STANDARD": "standard", "BEST_EFFORT": "best_effort"},
-    "TransferState": {
+    "HandoffState": {
         "ELSEWHERE": "elsewhere",
         "OWNED": "owned",
         "PREPARING": "preparing",
-        "HANDING_OVER": "handing over",
-        "TAKING_OVER": "taking over",
+        "RELEASING": "handing over",
+        "ACQUIRING": "taking over",
     },
 }
 
--- a/tools/shares/checker.py
+++ b/tools/shares/checker.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 from driftcleat.settings import Team
-from driftcleat.sharing.quota import ROUNDING, limit_of
+from driftcleat.sharing.quota import ROUNDING, team_limit
 
 from .history import (
     Allotted,
@@ -76,7 +76,7 @@
             case MachineAssigned():
                 self._assigned(event)
             case Allotted():
-                limit = limit_of(self._teams[event.team])
+                limit = team_limit(self._teams[event.team])
                 if not limit.covers(event.allotment.total()):
                     self._find(event, Broken.OVER_ALLOTTED, f"{event.team}: {event.allotment.total()}")
             case Answered():
--- a/tools/shares/history.py
+++ b/tools/shares/history.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from driftcleat.sharing.quota import Allotment
+from driftcleat.sharing.quota import QuotaAllocation
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
     at: float
     team: str
-    allotment: Allotment
+    allotment: QuotaAllocation
 
 
 @dataclass(frozen=True, slots=True)
--- a/tools/shares/world.py
+++ b/tools/shares/world.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 
 from driftcleat import wire
-from driftcleat.sharing.keys import ALLOTMENTS, MACHINES, in_share
-from driftcleat.sharing.quota import Allotment
+from driftcleat.sharing.keys import ALLOCATIONS_PREFIX, MACHINE_SHARDS_PREFIX, shard_key
+from driftcleat.sharing.quota import QuotaAllocation
 from driftcleat.store.keys import BATCH_MARKER_KEY, LEADER_KEY
 from driftcleat.store.records import ScaleOutRecord
 from driftcleat.wire.workers import Command
@@ -120,8 +120,8 @@
     def __init__(self, store: PlainStore, shares: int, note: Note) -> None:
         super().__init__(store)
         self._note, self._shares = note, shares
-        self._leader_keys = {in_share(share, LEADER_KEY): share for share in range(shares)}
-        self._batch_keys = {in_share(share, BATCH_MARKER_KEY): share for share in range(shares)}
+        self._leader_keys = {shard_key(share, LEADER_KEY): share for share in range(shares)}
+        self._batch_keys = {shard_key(share, BATCH_MARKER_KEY): share for share in range(shares)}
         self._since: dict[int, tuple[int, float]] = {}
         # For each change of a share's leader: from its key's change to the first batch after, and whether it was a
         # put over another's key, which only a move does.
@@ -143,11 +143,11 @@
             self._note(Led(now, share, change["v"][0], revision))
         elif key in self._batch_keys:
             self._note_batch(self._batch_keys[key], change["v"][0], now)
-        elif key.startswith(MACHINES):
-            self._note(MachineAssigned(now, key[len(MACHINES) :], change["v"]))
-        elif key.startswith(ALLOTMENTS):
-            allotment = wire.convert(change["v"], Allotment)
-            self._note(Allotted(now, key[len(ALLOTMENTS) :], allotment))
+        elif key.startswith(MACHINE_SHARDS_PREFIX):
+            self._note(MachineAssigned(now, key[len(MACHINE_SHARDS_PREFIX) :], change["v"]))
+        elif key.startswith(ALLOCATIONS_PREFIX):
+            allotment = wire.convert(change["v"], QuotaAllocation)
+            self._note(Allotted(now, key[len(ALLOCATIONS_PREFIX) :], allotment))
 
     def _note_batch(self, share: int, token: int, now: float) -> None:
         since = self._since.get(share)
