--- a/driftcleat/sharing/coordinator.py
+++ b/driftcleat/sharing/coordinator.py
@@ -1,4 +1,4 @@
-"""What the coordinator decides: the next assignment and the next allotments. Pure; the host commits them."""
+"""The coordinator's decisions: the next shard assignment and quota allocations. Performs no I/O."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -30,62 +30,62 @@
 
 
 @dataclass(slots=True)
-class ControllerReport:
-    """What a controller said last, and when."""
+class LastStatus:
+    """The last status message of a controller, and when it arrived."""
 
     received_at: float
     shards: dict[int, ShardStatus] = field(default_factory=dict)
 
 
 class Coordinator:
-    """Remembers what controllers say, and decides from it. Nothing in it must outlive the coordinator."""
+    """Decides from the controllers' status messages. Its state is valid for one term and reset at the next."""
 
-    def __init__(self, settings: SharingSettings, labels: Sequence[str], report_interval_s: float) -> None:
+    def __init__(self, settings: SharingSettings, labels: Sequence[str], heartbeat_s: float) -> None:
         self._settings, self._labels = settings, sorted(labels)
-        self._report_interval_s, self._report_timeout_s = report_interval_s, settings.silence * report_interval_s
-        self._reports: dict[str, ControllerReport] = {}
+        self._heartbeat_s, self._status_timeout_s = heartbeat_s, settings.silence * heartbeat_s
+        self._last_statuses: dict[str, LastStatus] = {}
         self._reset_at = 0.0
         self._move_first_seen_at: dict[int, float] = {}
         self._last_proposal_at = 0.0
-        # Why the last moves were refused or given up, by share.
+        # Why the last move of a shard was cancelled, by shard.
         self.refusals: dict[int, str] = {}
         self._quota_targets: list[QuotaTarget] = []
 
     def reset(self, now: float) -> None:
-        """This controller has become the coordinator: nothing is known of the others yet."""
-        self._reports.clear()
+        """Forget all status messages, when this controller becomes the coordinator."""
+        self._last_statuses.clear()
         self._move_first_seen_at.clear()
         self._quota_targets = []
         self._reset_at = self._last_proposal_at = now
 
-    def record_status(self, sender: str, shards: Sequence[ShardStatus], now: float) -> list[QuotaTarget]:
-        """A controller says how its shares stand; return what their parts are to be lowered to."""
+    def record_status(self, sender: str, statuses: Sequence[ShardStatus], now: float) -> list[QuotaTarget]:
+        """Record the status of a controller's shards; return the quotas that these shards have to lower."""
         if sender not in self._labels:
             return []
-        self._reports[sender] = ControllerReport(now, {status.shard: status for status in shards})
-        reported_shards = {status.shard for status in shards}
+        self._last_statuses[sender] = LastStatus(now, {status.shard: status for status in statuses})
+        reported_shards = {status.shard for status in statuses}
         return [target for target in self._quota_targets if target.shard in reported_shards]
 
     def live_controllers(self, now: float) -> list[str]:
-        """Return the controllers that were heard lately."""
+        """Return the controllers whose last status message is recent enough."""
         return [
             label
             for label in self._labels
-            if label in self._reports and now - self._reports[label].received_at <= self._report_timeout_s
+            if label in self._last_statuses and now - self._last_statuses[label].received_at <= self._status_timeout_s
         ]
 
-    # -- the assignment -----------------------------------------------------------------------------------
+    # Shard assignment.
 
     def may_start_sharing(self, now: float) -> bool:
-        """Whether every controller knows of sharing: an older one would take every job into the first share."""
+        """Return whether every controller runs with sharing: others would home every job on the first shard."""
         return len(self.live_controllers(now)) == len(self._labels)
 
     def first_assignment(self, newest_machine: str) -> ShardAssignment:
-        """Return the assignment with which sharing begins."""
+        """Return the assignment that sharing starts with."""
         return initial_assignment(self._settings.shares, self._labels, newest_machine)
 
     def next_assignment(self, assignment: ShardAssignment, now: float) -> ShardAssignment | None:
-        """Return the assignment that is to come next, or None if the present one may stay."""
+        """Return the assignment to commit next, or None if the current one needs no change."""
         live_controllers = self.live_controllers(now)
         if assignment.shard_count < self._settings.shares:
             return add_shards(assignment, self._settings.shares, self._labels)
@@ -98,28 +98,28 @@
     def _without_failed_moves(
         self, assignment: ShardAssignment, live_controllers: list[str], now: float
     ) -> ShardAssignment | None:
-        """Give up a move whose receiver is lost, or that has taken too long."""
+        """Cancel a move whose target is presumed lost, or that has timed out."""
         moving = {move.shard for move in assignment.moves}
         self._move_first_seen_at = {shard: at for shard, at in self._move_first_seen_at.items() if shard in moving}
         for move in assignment.moves:
             first_seen_at = self._move_first_seen_at.setdefault(move.shard, now)
-            timed_out = now - first_seen_at > self._settings.move * self._report_interval_s
+            timed_out = now - first_seen_at > self._settings.move * self._heartbeat_s
             target_lost = move.target not in live_controllers and self._all_could_report(now)
             if timed_out or target_lost:
                 self.refusals[move.shard] = (
-                    f"{move.target} {'is silent' if target_lost else 'did not take it in time'}"
+                    f"{move.target} {'sends no status' if target_lost else 'did not acquire the share in time'}"
                 )
                 return drop_move(assignment, move.shard)
         return None
 
     def _all_could_report(self, now: float) -> bool:
-        """Whether every controller that lives has had the time to be heard by this coordinator."""
-        return now - self._reset_at > self._report_timeout_s * 2
+        """Return whether every live controller has had time to report to this coordinator."""
+        return now - self._reset_at > self._status_timeout_s * 2
 
     def _without_lost_owners(
         self, assignment: ShardAssignment, live_controllers: list[str], now: float
     ) -> ShardAssignment | None:
-        """Give the shares of a silent controller to the one that has the fewest."""
+        """Reassign a shard of a controller that is presumed lost to the controller with the fewest shards."""
         if not self._all_could_report(now) or not live_controllers:
             return None
         for shard in range(1, assignment.shard_count):
@@ -133,8 +133,8 @@
     def _rebalanced(
         self, assignment: ShardAssignment, live_controllers: list[str], now: float
     ) -> ShardAssignment | None:
-        """Begin a move that is worth it, while everything is in order and nothing else moves."""
-        balance_interval_s = self._settings.balance * self._report_interval_s
+        """Start a move that evens the load, if all controllers are live and no other move is in progress."""
+        balance_interval_s = self._settings.balance * self._heartbeat_s
         if (
             not balance_interval_s
             or assignment.moves
@@ -144,7 +144,7 @@
             return None
         loads = self._loads()
         if len(loads) < assignment.shard_count:
-            # Some share has no leader.
+            # A shard without a leader reports no load.
             return None
         self._last_proposal_at = now
         proposal = propose_move(loads, self._labels, self._settings.imbalance)
@@ -155,36 +155,36 @@
     def _loads(self) -> list[ShardLoad]:
         return [
             ShardLoad(shard, label, float(status.machines))
-            for label, report in self._reports.items()
-            for shard, status in report.shards.items()
+            for label, last_status in self._last_statuses.items()
+            for shard, status in last_status.shards.items()
         ]
 
     def requested_assignment(
         self, assignment: ShardAssignment | None, shard: int, target: str, now: float
     ) -> ShardAssignment:
-        """Return the assignment with a move that an operator asks for; `AssignmentError` if it cannot be."""
+        """Return the assignment with a move requested by an operator; `AssignmentError` if it is impossible."""
         if assignment is None:
             raise AssignmentError("sharing has not begun: not every controller knows of it")
         if target in self._labels and target not in self.live_controllers(now):
-            raise AssignmentError(f"{target} is silent")
+            raise AssignmentError(f"{target} sends no status")
         self.refusals.pop(shard, None)
         return begin_move(assignment, shard, target, self._labels)
 
-    # -- allotments ---------------------------------------------------------------------------------------
+    # Quota allocations.
 
     def next_allocation(
-        self, team: Team, allocation: QuotaAllocation | None, shards: int, now: float
+        self, team: Team, allocation: QuotaAllocation | None, shard_count: int, now: float
     ) -> QuotaAllocation | None:
-        """Return the parts of a team's limit that are to come next, or None if the present ones may stay.
+        """Return a team's allocation to commit next, or None if no quota is to be raised.
 
-        What shares are to lower is remembered for when their owners next report.
+        Quotas to be lowered are kept, and returned to the shards' leaders with their next status message.
         """
         if not has_limit(team):
             return None
         if allocation is None:
-            return initial_allocation(team, shards)
-        demands = [self._demand(team.name, shard) for shard in range(shards)]
-        target_quotas = quota_targets(team_limit(team), demands, FIRST_JOB_PATIENCE * self._report_interval_s)
+            return initial_allocation(team, shard_count)
+        demands = [self._demand(team.name, shard) for shard in range(shard_count)]
+        target_quotas = quota_targets(team_limit(team), demands, FIRST_JOB_PATIENCE * self._heartbeat_s)
         self._quota_targets = [target for target in self._quota_targets if target.team != team.name]
         self._quota_targets += [
             QuotaTarget(shard, team.name, target_quota.at_most(allocation.quota(shard)))
@@ -196,8 +196,8 @@
         return raised if is_raised else None
 
     def _demand(self, team: str, shard: int) -> Demand:
-        for report in self._reports.values():
-            status = report.shards.get(shard)
+        for last_status in self._last_statuses.values():
+            status = last_status.shards.get(shard)
             for demand in status.demands if status is not None else ():
                 if demand.team == team:
                     return Demand(demand.used, demand.wanted, demand.first_job, demand.first_job_waited_s)
--- a/tests/test_sharing_parts.py
+++ b/tests/test_sharing_parts.py
@@ -89,7 +89,7 @@
     [
         (lambda: begin_move(FIRST, 7, "a", LABELS), "there is no share 7"),
         (lambda: begin_move(FIRST, -1, "a", LABELS), "there is no share -1"),
-        (lambda: begin_move(FIRST, 0, "a", LABELS), "goes with the coordinator"),
+        (lambda: begin_move(FIRST, 0, "a", LABELS), "is led by the coordinator: it cannot be moved"),
         (lambda: begin_move(FIRST, 1, "x", LABELS), "unknown controller x"),
         (lambda: begin_move(FIRST, 1, "b", LABELS), "b owns share 1 already"),
         (lambda: begin_move(begin_move(FIRST, 1, "c", LABELS), 1, "a", LABELS), "is being moved already"),
@@ -108,13 +108,13 @@
         (b'[1,["","b"', "malformed"),
         (b"{}", "malformed"),
         (b'[1,["","b"],[[1]]]', "malformed"),
-        (b'[2,["","b"]]', "form 2"),
-        (b"[1,[]]", "has no owner of its own"),
-        (b'[1,["a","b"]]', "has no owner of its own"),
+        (b'[2,["","b"]]', "format 2"),
+        (b"[1,[]]", "must not have an owner"),
+        (b'[1,["a","b"]]', "must not have an owner"),
         (b'[1,["","x"]]', "unknown controller x"),
         (b'[1,["","b"],[[5,"a",1]]]', "no share 5"),
         (b'[1,["","b"],[[1,"b",1]]]', "owns share 1 already"),
-        (b'[1,["","b"],[[1,"a",1],[1,"c",2]]]', "moved twice"),
+        (b'[1,["","b"],[[1,"a",1],[1,"c",2]]]', "more than one move"),
     ],
 )
 def test_a_stored_assignment_that_cannot_be_acted_on_is_refused(value: bytes, why: str) -> None:
@@ -285,13 +285,13 @@
             decides.record_status(label, [], float(second))
         following = decides.next_assignment(moving, float(second))
         assert following == (drop_move(moving, 1) if second > 11 else None)
-    assert decides.refusals[1] == "c did not take it in time"
+    assert decides.refusals[1] == "c did not acquire the share in time"
     decides.reset(20.0)
     for now in (21.0, 24.0, 27.0):
         decides.record_status("a", [], now)
         decides.record_status("b", [], now)
     assert decides.next_assignment(moving, 27.0) == drop_move(moving, 1)
-    assert decides.refusals[1] == "c is silent"
+    assert decides.refusals[1] == "c sends no status"
 
 
 def test_shares_are_balanced_one_at_a_time_and_only_while_all_is_well() -> None:
@@ -315,7 +315,12 @@
 
 @pytest.mark.parametrize(
     ("share", "receiver", "why"),
-    [(1, "x", "unknown controller x"), (1, "c", "c is silent"), (9, "a", "no share 9"), (1, "b", "owns share 1")],
+    [
+        (1, "x", "unknown controller x"),
+        (1, "c", "c sends no status"),
+        (9, "a", "no share 9"),
+        (1, "b", "owns share 1"),
+    ],
 )
 def test_an_operators_order_is_refused_with_the_reason(share: int, receiver: str, why: str) -> None:
     decides = coordinator()
