--- a/driftcleat/sharing/cloud.py
+++ b/driftcleat/sharing/cloud.py
@@ -1,7 +1,8 @@
-"""The cloud as one share sees it: machines are a share's once the store says so, and for as long as they exist.
+"""The cloud as one shard sees it: a machine belongs to the shard named in the store, for as long as it exists.
 
-A machine's share is a key that is created if it is absent: whoever rented it writes it before anybody acts on it, the
-coordinator writes it for machines that nobody has. Two shares can never have one machine.
+One key per machine names its shard. The key is only written if it is absent, so a machine never belongs to two
+shards. The shard that created a machine writes it before it uses the machine; the leader of the first shard writes it
+for machines that stay unregistered.
 """
 
 import logging
@@ -20,22 +21,25 @@
 
 log = logging.getLogger(__name__)
 
-# A machine that nobody has is taken by the first share once it is this old, as a multiple of the list's lag: until
-# then whoever rented it may be about to say so.
+# Age from which the first shard takes an unregistered machine, as a multiple of the lag of the cloud's list: until
+# then the shard that created the machine may still register it.
 UNOWNED_GRACE_LAGS = 2.0
-# Keys of machines that are gone for certain may be removed after this many lags without being listed.
+# Time without being listed after which a machine's key is removed, as a multiple of the lag of the cloud's list.
 UNREGISTER_LAGS = 12.0
 
 
 class MachineRegistry:
-    """Writes which share a machine belongs to."""
+    """Reads and writes the keys that name the machines' shards."""
 
     def __init__(self, store: StoreClient, view: SharingView, platform: Platform) -> None:
         self._store, self._view = store, view
         self._max_names_per_transaction = max(1, platform.txn_ops)
 
     async def register(self, names: Sequence[str], shard: int) -> list[str]:
-        """Make machines a share's; return those that are. `StoreError` if that cannot be said."""
+        """Register machines with a shard, except those of other shards; return the shard's.
+
+        Raises `StoreError` if a write failed or its outcome is unknown.
+        """
         owned: list[str] = []
         for start in range(0, len(names), self._max_names_per_transaction):
             owned += await self._register(names[start : start + self._max_names_per_transaction], shard)
@@ -55,7 +59,7 @@
         return [name for name in names if self._view.shard_of(name) == shard]
 
     async def _register_one_by_one(self, names: Sequence[str], shard: int) -> list[str]:
-        """Some of them are registered already: by ourselves before, or to another share."""
+        """Register each machine in a transaction of its own, since some are registered already."""
         for name in names:
             if self._view.shard_of(name) is not None:
                 continue
@@ -70,7 +74,7 @@
         return [name for name in names if self._view.shard_of(name) == shard]
 
     async def look_up(self, name: str) -> int | None:
-        """Return a machine's share as the store has it just now."""
+        """Read a machine's shard from the store; None if the machine is not registered."""
         key_value = await self._store.get(MACHINE_SHARDS_PREFIX + name)
         if key_value is None:
             return None
@@ -79,7 +83,7 @@
         return shard
 
     async def unregister(self, names: Sequence[str]) -> None:
-        """Remove machines that are gone for good."""
+        """Remove the keys of machines that no longer exist."""
         known = [name for name in names if name in self._view.machines]
         for start in range(0, len(known), self._max_names_per_transaction):
             batch = known[start : start + self._max_names_per_transaction]
@@ -88,7 +92,7 @@
 
 
 class ShardCloud(CloudClient):
-    """Passes calls to the process's client; sees the machines of one share only."""
+    """A cloud client that is restricted to the machines of one shard; calls go to the client of the process."""
 
     def __init__(
         self,
@@ -103,42 +107,42 @@
         self._lag_s = platform.list_lag_s
         self._clock = clock
         self._unlisted_since: dict[str, float] = {}
-        # This share's part of the cloud's calls, by which the sizes of plans and the pace of lists go.
+        # The shard's part of the cloud's request rate. It bounds the sizes of plans and the rate of list requests.
         self.rate_limit = TokenBucket(platform.cloud_rps * 0.9, clock, burst_s=2.0)
 
     @property
     def malformed_responses(self) -> int:  # type: ignore[override]
-        """Return how many answers of the cloud were malformed."""
+        """Return how many responses of the cloud were malformed."""
         return self._inner.malformed_responses
 
     async def list_machine_types(self) -> tuple[wire_cloud.MachineType, ...]:
-        """Return the types on offer."""
+        """Return the machine types that the cloud offers."""
         return await self._inner.list_machine_types()
 
     async def create_machines(self, request: wire_cloud.CreateMachinesRequest) -> tuple[str, ...]:
-        """Rent machines and make them this share's; those that another share has are left to it.
+        """Create machines and register them with this shard; return those that the shard got.
 
-        Until the store says whose they are the rental is not settled: it is repeated under its name.
+        Raises `CloudError` if they could not be registered: the caller then repeats the request under the same id.
         """
-        # Tokens are unique over all shares, and so are the names that begin with them.
+        # Fencing tokens are unique over all shards, and so are the machine names that begin with them.
         names = await self._inner.create_machines(request)
         try:
             return tuple(await self._registry.register(names, self._shard))
         except StoreError as error:
-            raise CloudError(f"rented machines could not be registered: {error}") from None
+            raise CloudError(f"created machines could not be registered: {error}") from None
 
     async def delete_machines(self, names: list[str]) -> None:
-        """Return machines of this share; those of another are never named."""
+        """Delete machines, except those that are registered with another shard."""
         await self._inner.delete_machines(
             [name for name in names if self._view.shard_of(name) in (self._shard, None)]
         )
         try:
             await self._registry.unregister(names)
         except StoreError as error:
-            log.debug("machines that are gone are still registered: %s", error)
+            log.debug("deleted machines could not be unregistered: %s", error)
 
     async def list_machines(self) -> list[wire_cloud.ListedMachine]:
-        """Return this share's machines in the list; the first share takes those that nobody has."""
+        """List the shard's machines; the first shard also registers machines that stayed unregistered."""
         listed = await self._inner.list_machines()
         if self._shard == FIRST_SHARD:
             await self._register_unowned(listed)
@@ -157,7 +161,7 @@
             raise CloudError(f"machines could not be registered: {error}") from None
 
     async def _unregister_unlisted(self, listed: set[str]) -> None:
-        """Remove keys of machines that nobody returned and that the list has lacked for long: taken, or failed."""
+        """Remove the keys of machines that are no longer listed, such as reclaimed or failed ones."""
         now = self._clock()
         unlisted = [name for name in self._view.machines if name not in listed]
         self._unlisted_since = {name: self._unlisted_since.get(name, now) for name in unlisted}
--- a/driftcleat/sharing/demand.py
+++ b/driftcleat/sharing/demand.py
@@ -1,4 +1,4 @@
-"""What one share uses and wants of the teams' limits, read from its term."""
+"""The teams' demand in one shard, computed from the scheduler of the shard's current term."""
 
 from collections.abc import Mapping
 
@@ -10,7 +10,7 @@
 
 
 def team_demands(scheduler: Scheduler, teams: Mapping[str, Team], wall_clock_s: float) -> tuple[TeamDemand, ...]:
-    """Return the demand for each team with a limit that has any."""
+    """Return the demand of each team that has a limit and uses or waits for capacity."""
     found = []
     for team in teams.values():
         if has_limit(team):
@@ -32,7 +32,7 @@
     first, waited_s = Amount(), 0.0
     if waiting:
         oldest = min(waiting, key=lambda job: (job.submitted_at, job.id))
-        # An array or a service begins with one task; a gang with all.
+        # An array or a service can start with one task; a gang needs all of its tasks.
         first = _amount(oldest, oldest.tasks_queued if oldest.is_gang else 1)
         waited_s = max(0.0, wall_clock_s - oldest.submitted_at)
     return TeamDemand(team, used, wanted, first, waited_s)
--- a/driftcleat/sharing/job_directory.py
+++ b/driftcleat/sharing/job_directory.py
@@ -1,4 +1,4 @@
-"""Claims: one key a job, created if it is absent, names the share on which the job is homed for ever."""
+"""The job directory: one key per job names its home shard. The key is created once and never changes."""
 
 from collections import OrderedDict
 from typing import Any
@@ -10,23 +10,27 @@
 from driftcleat.store.keys import ENDED_JOBS_PREFIX, JOBS_PREFIX
 from driftcleat.wire import state as messages
 
-# Homes that are kept in memory; a home never changes.
+# Bound of the cache. Cached entries never go stale, since a home shard never changes.
 MAX_CACHED_HOMES = 50_000
 
 
 class JobDirectory:
-    """Finds and makes claims. A job without one that the first share has a record of is from before sharing."""
+    """Looks up and registers home shards.
+
+    A job without an entry, of which the first shard has a record, was submitted before sharing started: its home is
+    the first shard.
+    """
 
     def __init__(self, store: StoreClient) -> None:
         self._store = store
         self._homes: OrderedDict[str, int] = OrderedDict()
 
     def cached_home(self, job_id: str) -> int | None:
-        """Return the share of a job if it has been found or claimed here before."""
+        """Return the home shard of a job if this process has looked it up or registered it before."""
         return self._homes.get(job_id)
 
     async def home_shard(self, job_id: str, max_wait_s: float | None = None) -> int | None:
-        """Return the share of a job; None if nobody has claimed it. `StoreError` if that cannot be said."""
+        """Return the home shard of a job, None if the job is unknown; `StoreError` if the store cannot be read."""
         cached_home = self.cached_home(job_id)
         if cached_home is not None:
             return cached_home
@@ -39,7 +43,7 @@
         return None
 
     async def register(self, job_id: str, shard: int) -> int:
-        """Home a job on a share, unless it is homed already; return its home."""
+        """Make a shard the home of a job unless the job has one; return the job's home shard."""
         compares = [
             messages.Compare(prefix + job_id, 0) for prefix in (JOB_DIRECTORY_PREFIX, JOBS_PREFIX, ENDED_JOBS_PREFIX)
         ]
--- a/driftcleat/sharing/job_states.py
+++ b/driftcleat/sharing/job_states.py
@@ -1,4 +1,4 @@
-"""How a job of another share stands, read from that share's records."""
+"""Reads the state of a job on another shard from that shard's records."""
 
 from driftcleat import wire
 from driftcleat.cluster import JobState
@@ -12,9 +12,9 @@
 async def read_job_state(
     store: StoreClient, home_shard: int, job_id: str, max_wait_s: float | None = None
 ) -> str | None:
-    """Return "active", "done" or "cancelled"; None if the job was claimed and never accepted.
+    """Return "active", "done" or "cancelled"; None if the job is in the job directory but was never accepted.
 
-    The head is read first, so that a job that ends in between is still found.
+    The head is read before the record of the ended job, so that a job that ends between the two reads is still found.
     """
     head = await store.get(shard_key(home_shard, JOBS_PREFIX + job_id), max_wait_s)
     if head is not None:
--- a/driftcleat/sharing/messages.py
+++ b/driftcleat/sharing/messages.py
@@ -1,6 +1,6 @@
-"""Messages between controllers about shares: tagged tuples, as those of `wire.peers`, at a path of their own.
+"""Messages of sharing between controllers: tagged arrays, as in `wire.peers`, at a path of their own.
 
-A controller without sharing does not know the path and answers 404: it is not ready for sharing.
+A controller that runs without sharing answers 404 at this path, so it never counts as ready for sharing.
 """
 
 import msgspec
@@ -9,7 +9,7 @@
 
 
 class TeamDemand(msgspec.Struct, frozen=True, array_like=True):
-    """What a share uses and wants of one team's limit."""
+    """A team's demand in one shard, in the terms of `Demand`."""
 
     team: str
     used: Amount
@@ -19,7 +19,7 @@
 
 
 class ShardStatus(msgspec.Struct, frozen=True, array_like=True):
-    """How a share stands at the controller that leads it."""
+    """The status of one shard, from the controller that leads it."""
 
     shard: int
     fencing_token: int
@@ -29,14 +29,14 @@
 
 
 class ControllerStatus(msgspec.Struct, frozen=True, array_like=True, tag="status"):
-    """A controller tells the coordinator how its shares stand."""
+    """The status of the shards that a controller leads, sent to the coordinator."""
 
     sender: str
     shards: tuple[ShardStatus, ...]
 
 
 class QuotaTarget(msgspec.Struct, frozen=True, array_like=True):
-    """What a share's part of a team's limit is to be lowered to, as far as its tasks allow."""
+    """A quota that a shard has to lower, as far as its running tasks allow."""
 
     shard: int
     team: str
@@ -44,14 +44,14 @@
 
 
 class StatusResponse(msgspec.Struct, frozen=True, array_like=True, tag="status-answer"):
-    """The coordinator's answer; `coordinator` is False from who is none."""
+    """The response to a status; `coordinator` is False if the responder is not the coordinator."""
 
     coordinator: bool
     quota_targets: tuple[QuotaTarget, ...] = ()
 
 
 class ReleaseRequest(msgspec.Struct, frozen=True, array_like=True, tag="let-go"):
-    """The receiver of a move asks the giver to let the share go."""
+    """Sent by the target of a move to the source: release the shard."""
 
     shard: int
     target: str
@@ -59,21 +59,21 @@
 
 
 class ReleaseResponse(msgspec.Struct, frozen=True, array_like=True, tag="let-go-answer"):
-    """The version of the leader key that the giver has let go of; None, and why, if it has not."""
+    """The mod revision of the leader key that the source has released; None with a reason if it has not."""
 
     mod_revision: int | None
     reason: str = ""
 
 
 class MoveRequest(msgspec.Struct, frozen=True, array_like=True, tag="move"):
-    """An operator asks the coordinator for a move."""
+    """An operator's request for a move, sent to the coordinator."""
 
     shard: int
     target: str
 
 
 class MoveResponse(msgspec.Struct, frozen=True, array_like=True, tag="move-answer"):
-    """Whether a move was begun, or why not."""
+    """Whether the coordinator accepted a requested move; if not, the reason."""
 
     accepted: bool
     reason: str = ""
--- a/driftcleat/sharing/planner.py
+++ b/driftcleat/sharing/planner.py
@@ -1,7 +1,7 @@
-"""Which share to move so that controllers are loaded evenly. Pure.
+"""Load balancing: which shard to move so that controllers are loaded evenly. Pure functions.
 
-One move at a time is proposed, and only if it lowers the load of the most loaded controller by a stated part of the
-mean: a move costs the share a few seconds without decisions.
+One move is proposed at a time, and only if it lowers the load of the most loaded controller by a given fraction of
+the mean load: a move costs the shard a few seconds without decisions.
 """
 
 from collections.abc import Mapping, Sequence
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardLoad:
-    """A share, who owns it, and what it costs its owner."""
+    """A shard, its owner, and the load that the shard puts on its owner."""
 
     shard: int
     owner: str
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveProposal:
-    """A move that is worth its cost."""
+    """A move whose gain is worth its cost."""
 
     shard: int
     target: str
 
 
 def loads_by_owner(loads: Sequence[ShardLoad], labels: Sequence[str]) -> dict[str, float]:
-    """Return the load of each controller."""
+    """Return the total load of each controller."""
     total = dict.fromkeys(labels, 0.0)
     for entry in loads:
         total[entry.owner] += entry.load
@@ -36,7 +36,7 @@
 
 
 def propose_move(loads: Sequence[ShardLoad], labels: Sequence[str], imbalance: float) -> MoveProposal | None:
-    """Return the move that evens the load best, or None if none is worth it."""
+    """Return the move that lowers the highest load most, or None if no move gains enough."""
     total = loads_by_owner(loads, labels)
     if len(total) < 2:
         return None
@@ -55,7 +55,7 @@
 
 
 def _peak_load_after(total: Mapping[str, float], entry: ShardLoad, target: str) -> float:
-    """Return the load of the most loaded controller after a move."""
+    """Return the load of the most loaded controller if the shard moved to the target."""
     after = dict(total)
     after[entry.owner] -= entry.load
     after[target] += entry.load
--- a/driftcleat/sharing/process_lease.py
+++ b/driftcleat/sharing/process_lease.py
@@ -1,4 +1,4 @@
-"""The one lease of the store on which all leader keys of a process hang: more shares cost no more renewals."""
+"""The one store lease that all leader keys of a process are attached to: more shards need no more renewals."""
 
 import asyncio
 import logging
@@ -10,35 +10,35 @@
 
 log = logging.getLogger(__name__)
 
-# A renewal that is this fresh, as a part of the pause between renewals, serves whoever asks next.
+# A renewal younger than this fraction of the pause between renewals is not repeated for another shard.
 FRESH_RENEWAL = 0.7
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewal:
-    """A lease, and when the request was sent that gave it its full time."""
+    """A lease, and when the last request was sent that restored its full time to live."""
 
     lease: int
     sent_at: float
 
 
 class ProcessLease:
-    """Granted when it is first needed; renewed by whoever asks, and by one request for all that ask together."""
+    """Grants the lease at its first use and keeps it alive; concurrent callers are served by one request."""
 
     def __init__(self, store: StoreClient, ttl_s: float, renewal_pause_s: float, clock: Callable[[], float]) -> None:
         self._store, self._ttl_s, self._pause_s, self._clock = store, ttl_s, renewal_pause_s, clock
         self._last_renewal: LeaseRenewal | None = None
         self._lock = asyncio.Lock()
-        # How many requests were sent, for measurements.
+        # Number of grant and keep-alive requests sent.
         self.requests = 0
 
     @property
     def lease(self) -> int | None:
-        """Return the lease that is held, as far as known."""
+        """Return the id of the current lease, or None if none is known."""
         return self._last_renewal.lease if self._last_renewal is not None else None
 
     async def renew_or_grant(self) -> int:
-        """Return a lease that was renewed, or granted, by a request sent after this call."""
+        """Return a lease that was kept alive, or granted, by a request sent after this call."""
         called_at = self._clock()
         async with self._lock:
             if self._last_renewal is not None:
@@ -47,21 +47,22 @@
                 try:
                     return (await self._send_keep_alive(self._last_renewal.lease)).lease
                 except LeaseNotFoundError:
-                    log.info("the lease of this process has ended")
+                    log.info("lease of this process expired; a new one is granted")
             sent_at = self._clock()
             self.requests += 1
             self._last_renewal = LeaseRenewal(await self._store.grant_lease(self._ttl_s), sent_at)
             return self._last_renewal.lease
 
     async def keep_alive(self, lease: int) -> float:
-        """Renew a lease, unless that was done lately; return when the request was sent that counts.
+        """Keep a lease alive unless it was renewed recently; return when the last successful request was sent.
 
-        `LeaseNotFoundError` if the lease has ended: what hung on it is gone, whatever the process holds now.
+        Raises `LeaseNotFoundError` if the lease has expired: the keys attached to it are deleted, even if the process
+        holds a newer lease.
         """
         async with self._lock:
             last_renewal = self._last_renewal
             if last_renewal is None or last_renewal.lease != lease:
-                raise LeaseNotFoundError(f"lease {lease} has ended")
+                raise LeaseNotFoundError(f"lease {lease} has expired")
             if self._clock() - last_renewal.sent_at < self._pause_s * FRESH_RENEWAL:
                 return last_renewal.sent_at
             return (await self._send_keep_alive(lease)).sent_at
--- a/driftcleat/sharing/quota.py
+++ b/driftcleat/sharing/quota.py
@@ -1,8 +1,8 @@
-"""Teams' limits divided among shares, so that the parts never add up to more than the limit. Pure.
+"""Quota allocations: a team's limit divided among the shards. Pure functions.
 
-One record a team holds all parts. A share's owner alone lowers its part, once its tasks fit into less; the
-coordinator alone raises one, by no more than what is free. Every change is conditional on the record's version, so
-the sum holds whoever else changes it, and whoever leads.
+One record per team holds the quotas of all shards. Only a shard's leader lowers the shard's quota, once its tasks fit
+into the lower one; only the coordinator raises quotas, by no more than what is unallocated. Every change compares the
+record's mod revision, so the quotas never add up to more than the limit, whichever controllers lead.
 """
 
 import math
@@ -13,17 +13,16 @@
 
 from driftcleat.settings import Team
 
-# Sums of decimal amounts differ in their last digits; no real request is this small.
+# Tolerance for rounding errors in sums of amounts; every real request is larger.
 ROUNDING = 1e-6
-# A part of nothing, where 0 would mean that there is no limit.
+# Stands for an empty quota in `Team`, where 0 means that there is no limit.
 MIN_QUOTA = 1e-9
-# How long a job may be the first in its share's queue until what it needs goes before all other wishes, in seconds
-# for each report interval.
+# After how many heartbeat intervals at the head of a shard's queue a job is served before all other demand.
 FIRST_JOB_PATIENCE = 5.0
 
 
 class Amount(msgspec.Struct, frozen=True, array_like=True):
-    """CPUs and GPUs."""
+    """A number of CPUs and GPUs."""
 
     cpus: float = 0.0
     gpus: float = 0.0
@@ -35,15 +34,15 @@
         return Amount(self.cpus - other.cpus, self.gpus - other.gpus)
 
     def at_least(self, other: "Amount") -> "Amount":
-        """Return the larger of each amount."""
+        """Return the larger amount of each resource."""
         return Amount(max(self.cpus, other.cpus), max(self.gpus, other.gpus))
 
     def at_most(self, other: "Amount") -> "Amount":
-        """Return the smaller of each amount."""
+        """Return the smaller amount of each resource."""
         return Amount(min(self.cpus, other.cpus), min(self.gpus, other.gpus))
 
     def covers(self, other: "Amount") -> bool:
-        """Whether this is as much as the other."""
+        """Return whether no resource is less than in the other amount, up to rounding errors."""
         return self.cpus + ROUNDING >= other.cpus and self.gpus + ROUNDING >= other.gpus
 
 
@@ -51,20 +50,20 @@
 
 
 class QuotaAllocation(msgspec.Struct, frozen=True, array_like=True):
-    """The parts of one team's limit, by share. An amount without a limit is not divided and stands as 0."""
+    """The quotas of one team, by shard. A resource without a limit is not divided: its quotas are 0."""
 
     quotas: tuple[Amount, ...]
 
     def quota(self, shard: int) -> Amount:
-        """Return a share's part; none for a share that came after the record."""
+        """Return a shard's quota; zero for a shard that was added after the record was written."""
         return self.quotas[shard] if shard < len(self.quotas) else ZERO
 
     def total(self) -> Amount:
-        """Return the sum of all parts."""
+        """Return the sum of all quotas."""
         return sum(self.quotas, ZERO)
 
     def with_quota(self, shard: int, quota: Amount) -> "QuotaAllocation":
-        """Return the allotment with another part for a share."""
+        """Return the allocation with the quota of one shard replaced."""
         quotas = list(self.quotas) + [ZERO] * (shard + 1 - len(self.quotas))
         quotas[shard] = quota
         return QuotaAllocation(tuple(quotas))
@@ -72,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a share uses of a team's limit, what it could use, and what its first waiting job needs."""
+    """What a shard uses of a team's limit, what it could use at most, and what its oldest queued job needs."""
 
     used: Amount = ZERO
     wanted: Amount = ZERO
@@ -81,22 +80,22 @@
 
 
 def team_limit(team: Team) -> Amount:
-    """Return a team's limit; 0: none."""
+    """Return a team's limit; 0 means that a resource has no limit."""
     return Amount(team.cpus_max, team.gpus_max)
 
 
 def has_limit(team: Team) -> bool:
-    """Whether a team has a limit at all."""
+    """Return whether any resource of a team has a limit."""
     return team.cpus_max > 0 or team.gpus_max > 0
 
 
 def initial_allocation(team: Team, shard_count: int) -> QuotaAllocation:
-    """Return the allotment that sharing begins with: everything is the first share's, where all jobs are."""
+    """Return the allocation that sharing starts with: the whole limit for the first shard, which has all jobs."""
     return QuotaAllocation((team_limit(team), *(ZERO for _ in range(1, shard_count))))
 
 
 def team_with_quota(team: Team, quota: Amount, fraction: float) -> Team:
-    """Return a team as a share sees it: its part as the limit, and as much of the guarantee."""
+    """Return a team as one shard sees it: limited to the shard's quota, with a fraction of the team's guarantee."""
     return Team(
         team.name,
         team.cpus * fraction,
@@ -107,7 +106,7 @@
 
 
 def guarantee_fraction(team: Team, quota: Amount, shard_count: int) -> float:
-    """Return how much of a team's guarantee goes with a part of its limit."""
+    """Return the fraction of a team's guarantee that belongs to a quota; equal fractions if there is no limit."""
     fractions = [
         held / limit for held, limit in ((quota.cpus, team.cpus_max), (quota.gpus, team.gpus_max)) if limit > 0
     ]
@@ -115,11 +114,11 @@
 
 
 def quota_targets(limit: Amount, demands: Sequence[Demand], patience_s: float) -> list[Amount]:
-    """Return the part that each share is to have, by what it uses and wants.
+    """Return the quota that each shard should have, from what the shards use and could use.
 
-    A job that has waited for long at the head of a share's queue goes first, so that one larger than its share's part
-    comes to its turn: the others are to give up what it lacks as their tasks end. The rest is dealt out evenly, up to
-    what each wants.
+    If a job has waited for longer than `patience_s` at the head of a shard's queue, what it needs is allocated first.
+    Guards against starvation of a job that is larger than its shard's quota: the other shards lower their quotas as
+    their tasks end. The rest is distributed evenly, up to what each shard could use.
     """
     longest_waiting = max(range(len(demands)), key=lambda shard: demands[shard].first_job_waited_s, default=None)
     first = [ZERO] * len(demands)
@@ -132,7 +131,7 @@
 
 
 def _distribute(limit: float, first: Sequence[float], wanted: Sequence[float]) -> list[float]:
-    """Deal an amount out: first what goes before, then evenly up to what is wanted, and what is left evenly."""
+    """Distribute a limit: `first` as given, then evenly up to `wanted`, then evenly what is left over."""
     quotas = list(first)
     left = limit - sum(quotas)
     open_shards = [shard for shard in range(len(quotas)) if wanted[shard] > quotas[shard]]
@@ -146,9 +145,9 @@
 
 
 def _round_to_whole(quotas: list[float], wanted: Sequence[float]) -> list[float]:
-    """Return whole amounts with the same sum; what is over goes to whom most is lacking.
+    """Round quotas down to whole numbers and give the remainder to the shards that lack most; the sum stays.
 
-    Guards against a part of a processor in each share that no task fits into.
+    Guards against a fraction of a processor in each shard that no task fits into.
     """
     rounded = [float(math.floor(quota + ROUNDING)) for quota in quotas]
     remainder = sum(quotas) - sum(rounded)
@@ -160,7 +159,7 @@
 
 
 def raised_allocation(limit: Amount, allocation: QuotaAllocation, target_quotas: Sequence[Amount]) -> QuotaAllocation:
-    """Return the allotment with parts raised towards their targets, by no more than what is free."""
+    """Return the allocation with quotas raised towards their targets, by no more than what is unallocated."""
     free = limit - allocation.total()
     for shard, target in enumerate(target_quotas):
         quota = allocation.quota(shard)
--- a/driftcleat/sharing/settings.py
+++ b/driftcleat/sharing/settings.py
@@ -1,4 +1,4 @@
-"""The settings of sharing: an INI file, checked as a whole before anything is switched on."""
+"""The settings of sharing: an INI file, validated as a whole before the controller starts."""
 
 import math
 from dataclasses import dataclass
@@ -7,23 +7,26 @@
 from driftcleat.settings.operator import read_ini
 
 SECTION = "sharing"
-# As many shares as an assignment may name: each costs every controller a watch.
+# Bound on the number of shards: each costs every controller a watch on the store.
 MAX_SHARDS = 32
 DEFAULT_SHARDS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class SharingSettings:
-    """How many shares there are and when they move. Times are ratios to the report interval."""
+    """The number of shards, and when they move. The INI keys are the field names.
+
+    Times are multiples of the heartbeat interval.
+    """
 
     shares: int = DEFAULT_SHARDS
-    # Time in which a move has to be done, before it is given up.
+    # Timeout of a move, after which it is cancelled.
     move: float = 5.0
-    # The least difference between the most and the least loaded controller, of the mean load, that is worth a move.
+    # Minimum gain of a proposed move: by how much it lowers the highest load, as a fraction of the mean load.
     imbalance: float = 0.5
-    # Pause between two moves that the planner proposes; 0: it proposes none.
+    # Pause between two moves that the planner proposes; 0 disables the planner.
     balance: float = 20.0
-    # Time without a word from a controller until its shares are given to others.
+    # Time without a status message after which a controller is presumed lost and its shards are reassigned.
     silence: float = 1.5
 
 
@@ -37,7 +40,7 @@
 
 
 def load_sharing(path: str) -> SharingSettings:
-    """Return the checked settings of a file; `SettingsError` with one line that names file and key otherwise."""
+    """Return the validated settings of a file; `SettingsError` with one line that names file and key if invalid."""
     parser = read_ini(path)
     for section in parser.sections():
         if section != SECTION:
--- a/driftcleat/sharing/shard_store.py
+++ b/driftcleat/sharing/shard_store.py
@@ -1,4 +1,4 @@
-"""The store as one share sees it: its own prefix, its part of the changes a second, the process's one lease."""
+"""The store as one shard sees it: the shard's prefix, its part of the write rate, and the process's lease."""
 
 import asyncio
 import logging
@@ -18,7 +18,7 @@
 
 
 class _RawOperation(msgspec.Struct, omit_defaults=True):
-    """A change whose value is not looked at."""
+    """An operation of a transaction, with its value left encoded."""
 
     put: str | None = None
     v: msgspec.Raw | msgspec.UnsetType = msgspec.UNSET
@@ -37,9 +37,9 @@
 
 
 class ShardStore(StoreClient):
-    """Passes requests to the process's client, with the keys of a share.
+    """A store client that maps keys to the keys of one shard and passes requests to the client of the process.
 
-    The parts of a controller that read and write records need not know of shares.
+    The code of a controller that reads and writes records thereby works without regard to shards.
     """
 
     def __init__(self, inner: StoreClient, shard: int, lease: ProcessLease, limits: StoreLimits) -> None:
@@ -47,49 +47,43 @@
         self.limits, self.clock = limits, inner.clock
         self.write_bucket = TokenBucket(limits.write_rps * 0.9, inner.clock)
 
-    # -- what the process's client has noted ---------------------------------------------------------------
-
     @property
     def last_success_at(self) -> float | None:  # type: ignore[override]
-        """Return when the store last served this process."""
+        """Return when a request of this process last succeeded."""
         return self._inner.last_success_at
 
     @property
     def last_failure_at(self) -> float | None:  # type: ignore[override]
-        """Return when the store last refused this process."""
+        """Return when a request of this process last failed."""
         return self._inner.last_failure_at
 
     @property
     def malformed_responses(self) -> int:  # type: ignore[override]
-        """Return how many answers of the store were malformed."""
+        """Return how many responses of the store were malformed."""
         return self._inner.malformed_responses
 
-    # -- reading ------------------------------------------------------------------------------------------
-
     async def get(self, key: str, most_wait_s: float | None = None) -> messages.KeyValue | None:
-        """Return a key of this share."""
+        """Return a key of the shard with its value; None if it does not exist."""
         key_value = await self._inner.get(shard_key(self._shard, key), most_wait_s)
         return self._without_shard_key(key_value) if key_value is not None else None
 
     async def list_page(
         self, prefix: str, after: str | None, limit: int, timeout_s: float | None = None
     ) -> messages.KeyValuePage:
-        """Return a page of the share's keys under a prefix."""
+        """Return a page of the shard's keys under a prefix."""
         start = shard_key(self._shard, after) if after is not None else None
         page = await self._inner.list_page(shard_key(self._shard, prefix), start, limit, timeout_s)
         return msgspec.structs.replace(page, key_values=tuple(map(self._without_shard_key, page.key_values)))
 
     async def watch(self, prefix: str, revision: int, wait_s: float) -> messages.WatchResponse | None:
-        """Wait for a change under a prefix of the share; the keys in the answer are those of the store."""
+        """Wait for a change under a prefix of the shard; keys in the response keep the shard's prefix."""
         return await self._inner.watch(shard_key(self._shard, prefix), revision, wait_s)
 
     def _without_shard_key(self, key_value: messages.KeyValue) -> messages.KeyValue:
         return msgspec.structs.replace(key_value, key=unsharded_key(self._shard, key_value.key))
 
-    # -- writing ------------------------------------------------------------------------------------------
-
     async def commit_encoded(self, body: bytes, changes: int) -> int:
-        """Carry out an encoded transaction on the share's keys."""
+        """Commit an encoded transaction on the shard's keys, within the shard's write rate."""
         while (delay := self.write_bucket.delay_s(changes)) > 0:
             await asyncio.sleep(delay)
         self.write_bucket.consume(changes)
@@ -106,18 +100,16 @@
                 operation.remove = shard_key(self._shard, operation.remove)
         return wire.encode(transaction)
 
-    # -- the lease ----------------------------------------------------------------------------------------
-
     async def grant_lease(self, ttl_s: float) -> int:
-        """Return the process's lease with its full time."""
+        """Return the process's lease with its full time to live; `ttl_s` is ignored."""
         return await self._lease.renew_or_grant()
 
     async def keep_lease_alive(self, lease: int, timeout_s: float) -> None:
-        """Renew the process's lease."""
+        """Keep the process's lease alive; `timeout_s` is ignored."""
         await self._lease.keep_alive(lease)
 
     async def revoke_lease(self, lease: int) -> None:
-        """Take this share's leader key off the process's lease; a lease of an earlier life is ended as a whole."""
+        """Delete the shard's leader key if the lease is the process's, which other shards use; else revoke it."""
         if lease != self._lease.lease:
             await self._inner.revoke_lease(lease)
             return
--- a/driftcleat/sharing/view.py
+++ b/driftcleat/sharing/view.py
@@ -1,7 +1,7 @@
-"""A replica of what all shares have in common: the assignment, the machines' shares, the teams' allotments.
+"""A replica of the records that all shards use: the assignment, the machines' shards, the teams' quota allocations.
 
-Read as a whole, then kept up to date by a watch. It may be late, never wrong: the assignment and allotments are only
-changed on condition of their versions, and a machine's share never changes.
+The replica is loaded as a whole and then kept up to date by a watch. It may lag behind the store, but acting on it is
+safe: assignment and allocations are only written if their mod revisions match, and a machine's shard never changes.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class WatchEvent(msgspec.Struct, frozen=True):
-    """One change in the answer to a watch."""
+    """One change in the response to a watch; `entry` is its mod revision."""
 
     entry: int
     put: str | None = None
@@ -39,16 +39,16 @@
 
 
 class SharingView:
-    """The replica."""
+    """Replica of the sharing records in this process. Calls `on_change` after it has changed."""
 
     def __init__(self, store: StoreClient, labels: Collection[str], watch_timeout_s: float) -> None:
         self._store, self._labels, self._watch_timeout_s = store, labels, watch_timeout_s
         self._revision = 0
-        # Whether the whole was read since the start of this process.
+        # Whether the replica has been loaded since the start of this process.
         self.loaded = False
         self.assignment: ShardAssignment | None = None
         self.assignment_mod_revision = 0
-        # Why the stored assignment cannot be acted on.
+        # Why the stored assignment was rejected; None if it was accepted.
         self.refusal: str | None = None
         self.machines: dict[str, int] = {}
         self.allocations: dict[str, QuotaAllocation] = {}
@@ -56,28 +56,28 @@
         self.on_change: Callable[[], None] = lambda: None
 
     def shard_of(self, machine: str) -> int | None:
-        """Return the share that has a machine, None if that is not known (yet)."""
+        """Return the shard that a machine belongs to; None if the replica does not have it (yet)."""
         known_shard = self.machines.get(machine)
         if known_shard is not None:
             return known_shard
         if self.assignment is None:
-            # Without an assignment there is one share, unless we have not read whether there is one.
+            # If the store has no assignment, all machines are in the first shard; before the load that is unknown.
             return FIRST_SHARD if self.loaded else None
         return FIRST_SHARD if machine <= self.assignment.first_shard_last_machine else None
 
     async def run(self) -> None:
-        """Keep the replica for ever."""
+        """Load the replica and follow changes until cancelled; reload after an error."""
         while True:
             try:
                 await self._load()
                 while await self._follow_changes():
                     pass
             except (StoreError, wire.WireError) as error:
-                log.debug("sharing: %s", error)
+                log.debug("sharing records could not be read: %s", error)
                 await asyncio.sleep(self._watch_timeout_s / 10)
 
     async def _load(self) -> None:
-        """Read everything. What changes meanwhile comes again with the watch, which goes on from the first page."""
+        """Load all records. The watch starts at the first page's revision, so it repeats changes made meanwhile."""
         first_revision: int | None = None
         seen_keys: set[str] = set()
         after: str | None = None
@@ -97,7 +97,7 @@
         self.on_change()
 
     async def _follow_changes(self) -> bool:
-        """Take in what changes next; False if everything has to be read again."""
+        """Wait for the next changes and apply them; return False if the replica has to be loaded again."""
         response = await self._store.watch(SHARING_PREFIX, self._revision, self._watch_timeout_s)
         if response is None:
             return False
@@ -113,7 +113,7 @@
         return True
 
     def _apply(self, key: str, value: bytes, mod_revision: int) -> None:
-        """Take in a key as it is stored; an older version than the one known changes nothing."""
+        """Apply a stored key, unless the replica has a later mod revision of it."""
         if key == ASSIGNMENT_KEY:
             if mod_revision >= self.assignment_mod_revision:
                 self.apply_assignment(value, mod_revision)
@@ -126,18 +126,18 @@
                 self.allocation_mod_revisions[team] = mod_revision
 
     def apply_assignment(self, value: bytes, mod_revision: int) -> None:
-        """Take in the assignment; one that cannot be acted on leaves the one before in force, and is said."""
+        """Apply a stored assignment; if it is invalid, log that and keep the previous one in force."""
         self.assignment_mod_revision = mod_revision
         try:
             self.assignment = decode_assignment(value, self._labels)
             self.refusal = None
         except AssignmentError as error:
             if self.refusal != str(error):
-                log.error("the assignment of shares is refused: %s", error)
+                log.error("stored shard assignment rejected: %s", error)
             self.refusal = str(error)
 
     async def refresh(self) -> None:
-        """Read assignment and allotments once more: for who must not act on what was true a moment ago."""
+        """Read assignment and allocations from the store now, for callers that must not act on outdated ones."""
         for prefix in (ASSIGNMENT_KEY, ALLOCATIONS_PREFIX):
             for key_value in (await self._store.list_page(prefix, None, PAGE_SIZE)).key_values:
                 self._apply(key_value.key, bytes(key_value.value), key_value.mod_revision)
