--- a/driftcleat/sharing/__init__.py
+++ b/driftcleat/sharing/__init__.py
@@ -1,6 +1,7 @@
-"""Shared machines: several controllers decide at once, each for the shares that it owns.
+"""Sharing: the machines are divided into shards, so that several controllers schedule at the same time.
 
-A share is a set of machines and the jobs homed on them: a scheduler of its own with its own leader key, batches and
-records. Nothing here is loaded unless `deploy/sharing.ini` (or another file given by `DRIFTCLEAT_SHARING`) is named.
+A shard is a set of machines and the jobs homed on them. It has its own scheduler, leader key, batches and records,
+and is led by the controller that it is assigned to. Operators know a shard as a "share". This package is only
+imported if a settings file of sharing, such as `deploy/sharing.ini`, is given by `--sharing` or `DRIFTCLEAT_SHARING`.
 See `docs/sharing.md`.
 """
--- a/driftcleat/sharing/coordinator_loops.py
+++ b/driftcleat/sharing/coordinator_loops.py
@@ -1,4 +1,4 @@
-"""The loops around the coordinator: everybody's word about its shares, and what the coordinator commits from it."""
+"""The loops of coordination: status messages to the coordinator, and the coordinator's decisions and commits."""
 
 import asyncio
 import logging
@@ -25,28 +25,29 @@
 
 log = logging.getLogger(__name__)
 
-# How often controllers say how their shares stand, and how often the coordinator decides, of the report interval.
+# Pauses between two status messages of a controller, and between two decisions of the coordinator, as fractions of
+# the heartbeat interval.
 STATUS_INTERVAL = 1 / 2
 DECISION_INTERVAL = 1 / 4
-# How long an answer is waited for.
+# Timeout of a status message, as a fraction of the heartbeat interval.
 STATUS_TIMEOUT = 1 / 2
 
 
 class CoordinatorLoops:
-    """Sends this controller's word; takes in the others' and decides while this controller is the coordinator."""
+    """Sends this controller's status; handles the others' and decides while this controller is the coordinator."""
 
     def __init__(self, host: "ShardHost") -> None:
         self._host = host
         self._client = SharingClient(host)
         self.coordinator = Coordinator(host.settings, host.labels, host.platform.report_s)
-        # The token under which this controller last began to coordinate.
+        # Fencing token of the term that the coordinator's state belongs to.
         self._fencing_token = 0
         self._decision_lock = asyncio.Lock()
 
-    # -- everybody ----------------------------------------------------------------------------------------
+    # On every controller.
 
-    async def run_status_reports(self) -> None:
-        """Tell the coordinator how our shares stand, for ever."""
+    async def run_status_sender(self) -> None:
+        """Send status messages until cancelled, and lower quotas as the responses ask for."""
         while True:
             await asyncio.sleep(self._host.platform.report_s * STATUS_INTERVAL)
             for target in await self._send_status():
@@ -56,7 +57,7 @@
                 try:
                     await engine.lower_quota(target.team, target.quota)
                 except StoreError as error:
-                    log.debug("share %d: part of %s not lowered: %s", target.shard, target.team, error)
+                    log.debug("shard %d: lowering the quota of team %s failed: %s", target.shard, target.team, error)
 
     async def _send_status(self) -> tuple[QuotaTarget, ...]:
         host = self._host
@@ -71,16 +72,16 @@
             try:
                 response = await self._client.send(coordinator, message, host.platform.report_s * STATUS_TIMEOUT)
             except PeerError as error:
-                log.debug("coordinator %s: %s", coordinator, error)
+                log.debug("status message to coordinator %s failed: %s", coordinator, error)
                 return ()
         else:
             return ()
         return response.quota_targets if isinstance(response, StatusResponse) else ()
 
-    # -- the coordinator ----------------------------------------------------------------------------------
+    # On the coordinator.
 
     def handle_status(self, message: ControllerStatus) -> StatusResponse:
-        """Take in how a controller's shares stand."""
+        """Record a controller's status; respond with the quotas that its shards have to lower."""
         host = self._host
         if not host.may_decide:
             return StatusResponse(False)
@@ -96,7 +97,7 @@
             self.coordinator.reset(self._host.clock())
 
     async def run(self) -> None:
-        """Decide, for ever, while this controller is the coordinator."""
+        """Run until cancelled: decide and commit at intervals while this controller is the coordinator."""
         host = self._host
         while True:
             await asyncio.sleep(host.platform.report_s * DECISION_INTERVAL)
@@ -107,7 +108,7 @@
                 async with self._decision_lock:
                     await self._decide()
             except (StoreError, CloudError) as error:
-                log.debug("coordinator: %s", error)
+                log.debug("coordinator's decision failed: %s", error)
 
     async def _decide(self) -> None:
         host = self._host
@@ -118,7 +119,8 @@
         next_assignment = self.coordinator.next_assignment(assignment, host.clock())
         if next_assignment is not None:
             log.info(
-                "shares: %s", "; ".join(_owner_changes(assignment.owners, next_assignment.owners)) or "moves change"
+                "shard assignment changes: %s",
+                "; ".join(_owner_changes(assignment.owners, next_assignment.owners)) or "only moves in progress",
             )
             await host.commit_assignment(next_assignment)
         for team in host.platform.teams.values():
@@ -132,9 +134,9 @@
                 host.apply_quotas()
 
     async def _start_sharing(self) -> None:
-        """Write the first assignment, once every controller knows of sharing.
+        """Commit the first assignment once every controller runs with sharing.
 
-        Machines of the list, and those that the first share's leader knows beyond it, are the first share's.
+        All machines that the cloud lists or that the first shard's leader knows belong to the first shard.
         """
         host = self._host
         if not self.coordinator.may_start_sharing(host.clock()):
@@ -144,11 +146,11 @@
         if scheduler is None or host.first_engine.active_term.deciding_scheduler is not scheduler:
             return
         names = [machine.name for machine in listed] + list(scheduler.cluster.machines)
-        log.info("sharing begins with %d shares", host.settings.shares)
+        log.info("sharing starts with %d shards", host.settings.shares)
         await host.commit_assignment(self.coordinator.first_assignment(max(names, default="")))
 
     async def move(self, message: MoveRequest) -> MoveResponse:
-        """Begin a move that an operator asks for."""
+        """Start a move requested by an operator; the response says why if it was rejected."""
         host = self._host
         if not host.may_decide:
             return MoveResponse(False, "this controller is not the coordinator")
@@ -161,11 +163,13 @@
             except AssignmentError as error:
                 return MoveResponse(False, str(error))
             except StoreError as error:
-                return MoveResponse(False, f"the state service did not take it: {error}")
+                return MoveResponse(False, f"storing the move failed: {error}")
         return MoveResponse(True)
 
 
 def _owner_changes(before: tuple[str, ...], after: tuple[str, ...]) -> list[str]:
     return [
-        f"{shard} to {owner}" for shard, owner in enumerate(after) if shard >= len(before) or before[shard] != owner
+        f"shard {shard} to {owner}"
+        for shard, owner in enumerate(after)
+        if shard >= len(before) or before[shard] != owner
     ]
--- a/driftcleat/sharing/dependencies.py
+++ b/driftcleat/sharing/dependencies.py
@@ -1,4 +1,4 @@
-"""The users' interface of one share: a job may depend on jobs that are homed on another share."""
+"""The users' API of one shard, in which a job may depend on jobs that are homed on another shard."""
 
 from collections.abc import Callable
 from functools import partial
@@ -29,15 +29,16 @@
 
 
 def build_shard_user_api(host: "ShardHost", shard: int, _: Platform, *arguments: *UserApiArguments) -> UserApi:
-    """Return the users' interface of a share; the arguments are those of `UserApi`.
+    """Return the users' API of a shard; `arguments` are those of `UserApi` after the platform.
 
-    The host's platform replaces the share's: whether a job can ever run is judged by the teams' whole limits.
+    The host's platform replaces the shard's, so that a job is rejected as unschedulable by the teams' whole limits
+    and not by the shard's quotas.
     """
     return UserApi(host.platform, *arguments, partial(ShardDependencyLookup, host, shard))
 
 
 class ShardDependencyLookup(DependencyLookup):
-    """Looks up dependencies that may be homed on another share."""
+    """Looks up dependencies that may be homed on another shard."""
 
     def __init__(
         self,
@@ -52,7 +53,7 @@
         self._shard = shard
 
     async def ended_dependencies(self, scheduler: Scheduler, spec: JobSpec) -> dict[str, str]:
-        """Return the final states of ended dependencies; those homed on another share are read from its records."""
+        """Return the final states of ended dependencies; those homed on another shard are read from its records."""
         ended: dict[str, str] = {}
         own: list[str] = []
         for dependency in spec.dependencies or ():
@@ -72,13 +73,13 @@
         return await super().ended_dependencies(scheduler, own_spec) | ended
 
     async def has_cancelled_dependency(self, spec: JobSpec) -> bool:
-        """Return whether a dependency is cancelled; `StoreUnavailableError` if one is homed on another share.
+        """Return whether a dependency is cancelled; `StoreUnavailableError` if one is homed on another shard.
 
-        Guards against an answer from the records that is ahead of the leader's, which learns later of the state of a
-        job on another share.
+        Guards against a response from the records that is ahead of the leader's responses: the leader learns later of
+        the state of a job on another shard.
         """
         for dependency in spec.dependencies or ():
             home_shard = await self._host.job_directory.home_shard(dependency, self._records.max_wait_s)
             if home_shard is not None and home_shard != self._shard:
-                raise StoreUnavailableError("it needs a job of another share")
+                raise StoreUnavailableError("a dependency is homed on another shard")
         return await super().has_cancelled_dependency(spec)
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -1,4 +1,4 @@
-"""One share at one controller: the parts of a controller, with the share's keys, machines and part of the limits."""
+"""One shard in one process: a whole controller, restricted to the shard's store keys, machines and quotas."""
 
 import asyncio
 import dataclasses
@@ -35,23 +35,23 @@
 
 log = logging.getLogger(__name__)
 
-# How often jobs of other shares that ours need are looked at, of the report interval.
+# Pause between two reads of the states of dependencies on other shards, as a multiple of the heartbeat interval.
 DEPENDENCY_CHECK_INTERVAL = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingQuota:
-    """A lowered part whose commit is under way, or of unknown outcome, on this version of the record."""
+    """A lowered quota whose commit on this mod revision is in flight, or has an unknown outcome."""
 
     mod_revision: int
     quota: Amount
 
 
 class ShardEngine(Controller):
-    """A controller for one share; the process's clients and listeners are its host's."""
+    """A controller for one shard; it uses the clients and listeners of its host."""
 
     def __init__(self, host: "ShardHost", shard: int, platform: Platform, tuning: Tuning, rng: random.Random) -> None:
-        # Its own table of teams: the parts of the limits change while a term lasts.
+        # The shard has a team table of its own, since its quotas change during a term.
         shard_platform = dataclasses.replace(platform, teams=dict(platform.teams))
         factories = Factories(
             network=partial(_shard_network, host, shard),
@@ -69,30 +69,28 @@
 
     @property
     def shard_election(self) -> ShardElection:
-        """Return the share's election."""
+        """Return the shard's election."""
         assert isinstance(self.election, ShardElection)
         return self.election
 
-    # -- terms --------------------------------------------------------------------------------------------
-
     async def _recover(self, token: int) -> None:
-        """Begin a term with the parts of the limits as they stand now that nobody else can lower them."""
+        """Begin a term with the stored quotas: from now on no other controller can lower them."""
         await self.host.view.refresh()
         self._pending_quotas.clear()
         self.apply_quotas()
         await super()._recover(token)
         scheduler = self.active_term.scheduler
         if scheduler is not None:
-            # An earlier leader may have told users of cancellations that it saw in other shares.
+            # An earlier leader may have answered users from cancellations that it read from other shards.
             await self._record_external_ends(scheduler)
 
     def apply_quotas(self) -> None:
-        """Go by the parts of the limits as they are known now."""
+        """Limit each team to the shard's current quota."""
         for team in self._full_teams.values():
             self._apply_quota(team.name, self.quota(team.name))
 
     def quota(self, team_name: str) -> Amount:
-        """Return this share's part of a team's limit; less while it is open whether a lowered part was committed."""
+        """Return the shard's quota for a team: the lowered one while the outcome of lowering it is unknown."""
         view = self.host.view
         allocation = view.allocations.get(team_name)
         quota = allocation.quota(self.shard) if allocation is not None else Amount()
@@ -105,7 +103,7 @@
         return quota.at_most(pending.quota)
 
     def _apply_quota(self, team_name: str, quota: Amount) -> None:
-        """Place no more of a team's tasks than fit into a part of its limit."""
+        """Limit a team to a quota, with the corresponding fraction of its guarantee."""
         team = self._full_teams[team_name]
         assignment = self.host.view.assignment
         if assignment is None:
@@ -124,10 +122,10 @@
                 self.scheduler.pacing.record_change()
 
     async def lower_quota(self, team_name: str, target: Amount) -> None:
-        """Lower this share's part of a team's limit as far as its tasks allow.
+        """Lower the shard's quota for a team to the target, or to what its committed tasks use if that is more.
 
-        Nothing beyond the target is placed from now on; the batch under way was built before and may still place
-        more, so the lowered part is only committed once its outcome is known.
+        No tasks beyond it are placed from now on. A batch in flight was built before and may still place more, so the
+        lowered quota is only committed once the outcome of that batch is known.
         """
         view, scheduler = self.host.view, self.active_term.deciding_scheduler
         allocation = view.allocations.get(team_name)
@@ -157,12 +155,12 @@
         self.apply_quotas()
 
     def committed_usage(self, team_name: str) -> Amount:
-        """Return what the committed tasks of a team take."""
+        """Return the amount that the committed tasks of a team use."""
         usage = self.scheduler.cluster.team_usage.get(team_name) if self.scheduler is not None else None
         return Amount(usage.cpus, usage.gpus) if usage is not None else Amount()
 
     def status(self) -> ShardStatus | None:
-        """Return how the share stands, if it is led here for certain."""
+        """Return the shard's status, or None if this controller is not its confirmed leader."""
         scheduler = self.active_term.deciding_scheduler
         if scheduler is None:
             return None
@@ -172,10 +170,8 @@
             self.shard, scheduler.cluster.fencing_token, len(scheduler.cluster.machines), queued, demands
         )
 
-    # -- jobs of other shares that ours need --------------------------------------------------------------
-
     async def _watch_external_dependencies(self) -> None:
-        """Find out how jobs that are homed elsewhere, and that jobs of this share need, have ended."""
+        """Record at intervals which dependencies homed on other shards have ended."""
         while True:
             await asyncio.sleep(self.platform.report_s * DEPENDENCY_CHECK_INTERVAL)
             scheduler = self.active_term.deciding_scheduler
@@ -184,7 +180,7 @@
             try:
                 await self._record_external_ends(scheduler)
             except (StoreError, wire.WireError) as error:
-                log.debug("jobs of other shares: %s", error)
+                log.debug("dependencies on other shards could not be read: %s", error)
 
     async def _record_external_ends(self, scheduler: Scheduler) -> None:
         for dependency in sorted(_external_dependencies(scheduler)):
@@ -194,7 +190,7 @@
                 self.active_term.wake_committer()
 
     async def _external_end_state(self, job_id: str) -> JobState | None:
-        """Return whether a job of another share is done or cancelled; None if neither."""
+        """Return the final state of a job on another shard; None if it has not ended."""
         home_shard = await self.host.job_directory.home_shard(job_id)
         state = await read_job_state(self.host.store, home_shard, job_id) if home_shard is not None else None
         return JobState(state) if state in FINAL_STATES else None
@@ -203,7 +199,7 @@
 def _shard_network(
     host: "ShardHost", shard: int, platform: Platform, clock: Callable[[], float], *_: Handler
 ) -> SharedNetwork:
-    """Return the host's network as one share uses it; the host passes on the requests that concern the share."""
+    """Return the host's network as one shard uses it; the host passes the shard's requests to its engine."""
     clients = ControllerClients(
         store=ShardStore(host.store, shard, host.process_lease, store_limits(platform)),
         cloud=ShardCloud(host.cloud, shard, host.view, host.registry, platform, clock),
--- a/driftcleat/sharing/handoff.py
+++ b/driftcleat/sharing/handoff.py
@@ -1,4 +1,4 @@
-"""Moves of shares, at the receiver and at the giver: `docs/sharing.md` shows the states."""
+"""Hand-offs of shards, at the target and at the source. `docs/sharing.md` shows the states."""
 
 import asyncio
 import logging
@@ -17,43 +17,45 @@
 
 log = logging.getLogger(__name__)
 
-# How often a receiver tries, and how long it waits for the giver's answer, of the report interval.
+# Pause between two attempts of a target, and how long it waits for the source's response, as fractions of the
+# heartbeat interval.
 RETRY_INTERVAL = 1 / 10
 RELEASE_TIMEOUT = 1 / 3
 
 
 class HandoffState(StrEnum):
-    """Where a share stands at one controller."""
+    """State of a shard at one controller."""
 
-    # This controller does not lead the share and is not to.
+    # This controller does not lead the shard and is not the target of a move.
     ELSEWHERE = "elsewhere"
     OWNED = "owned"
-    # This controller is the receiver and has not been given the share yet.
+    # This controller is the target of a move and the source has not released the shard yet.
     PREPARING = "preparing"
-    # This controller has let the share go and waits for the receiver to take it.
+    # This controller has released the shard and waits for the target to acquire it.
     RELEASING = "handing over"
-    # This controller has taken the share and reads its records.
+    # This controller has become the leader and is recovering the shard's state from the store.
     ACQUIRING = "taking over"
 
 
 class Handoffs:
-    """Takes over the shares that are moved here, and lets go of those that are moved away."""
+    """Acquires the shards that move to this controller and releases those that move away."""
 
     def __init__(self, host: "ShardHost") -> None:
         self._host = host
         self._client = SharingClient(host)
         self._woken = asyncio.Event()
-        # Moves that were completed here, and for measurements how long each took from its first try.
+        # Number of moves completed with this controller as the target, and how long the last one took from its first
+        # attempt.
         self.acquired_count = 0
         self.last_move_s = 0.0
         self._started_at: dict[int, float] = {}
 
     def wake(self) -> None:
-        """The assignment may have changed."""
+        """Look for moves to this controller now, since the assignment may have changed."""
         self._woken.set()
 
     def state(self, shard: int) -> HandoffState:
-        """Return where a share stands here."""
+        """Return the state of a shard at this controller."""
         host = self._host
         engine, assignment = host.engines[shard], host.view.assignment
         if not host.is_serving(shard):
@@ -68,10 +70,10 @@
         is_target = move is not None and move.target == host.platform.label
         return HandoffState.PREPARING if is_target else HandoffState.ELSEWHERE
 
-    # -- the receiver -------------------------------------------------------------------------------------
+    # At the target.
 
     async def run(self) -> None:
-        """Take over what is moved here, for ever."""
+        """Run until cancelled: acquire the shards that move to this controller."""
         pause_s = self._host.platform.report_s * RETRY_INTERVAL
         while True:
             self._woken.clear()
@@ -97,7 +99,7 @@
         self._started_at.setdefault(move.number, host.clock())
         source = engine.leader
         if source is None or source == host.platform.label:
-            # Nobody leads the share: the election is open to us as it is.
+            # The shard has no leader: this controller campaigns in the ordinary election.
             return
         try:
             response = await self._client.send(
@@ -106,17 +108,17 @@
                 host.platform.report_s * RELEASE_TIMEOUT,
             )
         except PeerError as error:
-            log.debug("share %d: %s: %s", move.shard, source, error)
+            log.debug("shard %d: release request to %s failed: %s", move.shard, source, error)
             return
         if not isinstance(response, ReleaseResponse) or response.mod_revision is None:
-            log.debug("share %d: %s keeps it: %s", move.shard, source, response)
+            log.debug("shard %d: %s did not release the shard: %s", move.shard, source, response)
             return
-        log.info("share %d: %s has let go, taking over", move.shard, source)
+        log.info("shard %d: released by %s, acquiring it", move.shard, source)
         engine.shard_election.acquire(response.mod_revision)
         await self._await_outcome(move)
 
     async def _await_outcome(self, move: Move) -> None:
-        """Wait until the move is completed, or dropped."""
+        """Wait until this controller leads the shard, for at most one leader lease."""
         host = self._host
         engine = host.engines[move.shard]
         deadline = host.clock() + engine.election.ttl_s
@@ -129,16 +131,16 @@
             await asyncio.sleep(host.platform.report_s / 100)
 
     async def _refresh(self) -> None:
-        """Our own transaction has changed the assignment: do not ask for the same move once more."""
+        """Read the assignment, which this controller's own transaction changed, so that the move is not repeated."""
         try:
             await self._host.view.refresh()
         except StoreError as error:
-            log.debug("sharing: %s", error)
+            log.debug("sharing records could not be read after a move: %s", error)
 
-    # -- the giver ----------------------------------------------------------------------------------------
+    # At the source.
 
     async def release(self, message: ReleaseRequest) -> SharingMessage:
-        """Answer the receiver of a move."""
+        """Release a shard to the target of its move, unless the request does not match the move in progress."""
         host = self._host
         assignment = host.view.assignment
         move = assignment.move_of(message.shard) if assignment is not None else None
@@ -150,11 +152,11 @@
             assignment = host.view.assignment
             move = assignment.move_of(message.shard) if assignment is not None else None
         if move is None or (move.number, move.target) != (message.number, message.target):
-            return ReleaseResponse(None, "no such move is under way")
+            return ReleaseResponse(None, "no such move is in progress")
         if not host.is_serving(message.shard):
-            return ReleaseResponse(None, "starting")
+            return ReleaseResponse(None, "the shard's engine is starting")
         mod_revision = host.engines[message.shard].shard_election.release()
         if mod_revision is None:
-            return ReleaseResponse(None, "not led here")
-        log.info("share %d: let go for %s", message.shard, message.target)
+            return ReleaseResponse(None, "this controller does not lead the shard")
+        log.info("shard %d: released to %s", message.shard, message.target)
         return ReleaseResponse(mod_revision)
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -1,4 +1,4 @@
-"""One process with sharing switched on: an engine for each share, and what the shares have in common."""
+"""A controller's process with sharing enabled: an engine for each shard, and the objects that all shards use."""
 
 import asyncio
 import dataclasses
@@ -42,18 +42,18 @@
 
 log = logging.getLogger(__name__)
 
-# How often the replica of what shares have in common is asked for anew, of the worker lease.
+# How long a watch of the sharing records waits for a change, as a fraction of the worker lease.
 VIEW_WATCH_TIMEOUT = 0.25
 
 
 class HeartbeatSender(msgspec.Struct):
-    """The one field of a report by which it finds its share."""
+    """The field of a heartbeat that decides which shard it belongs to."""
 
     name: str = msgspec.field(name="bollard")
 
 
 class ShardHost:
-    """A controller's process with several shares."""
+    """Runs the engines of all shards in one process, and shares clients, listeners and the process's lease."""
 
     def __init__(
         self,
@@ -72,21 +72,19 @@
         self.engines: dict[int, ShardEngine] = {}
         self._engine_tasks: dict[int, asyncio.Task[None]] = {}
 
-    # -- the parts ----------------------------------------------------------------------------------------
-
     async def run(self) -> None:
-        """Serve for ever."""
+        """Serve until cancelled."""
         sockets = SocketBudget(self.platform.fd_limit, len(self.platform.peers))
         clients = self.connect(sockets)
         self._assemble()
         servers = await self.listen(sockets)
-        log.info("controller %s shares machines, up to %d shares", self.platform.label, self.settings.shares)
+        log.info("controller %s starts with sharing, %d shards configured", self.platform.label, self.settings.shares)
         pause_s = self.platform.report_s * LOOP_RESTART_PAUSE
         loops: Sequence[Callable[[], Awaitable[None]]] = [
             self.view.run,
             self.handoffs.run,
             self.coordinator_loops.run,
-            self.coordinator_loops.run_status_reports,
+            self.coordinator_loops.run_status_sender,
         ]
         try:
             self._start_engines()
@@ -104,19 +102,19 @@
             await client.close()
 
     def connect(self, sockets: SocketBudget) -> list[HttpClient]:
-        """Make the clients; return what is to be closed in the end."""
+        """Create the clients; return the connections to close at the end."""
         clients = make_clients(self.platform, sockets, self.clock)
         self.store, self.cloud, self.workers = clients.store, clients.cloud, clients.workers
         self._peer_client = clients.peers
         return clients.connections
 
     def make_peers(self, shard: int) -> PeerClient:
-        """Return the client with which a share's engines talk to one another."""
+        """Return the client through which a shard's engines on different controllers exchange messages."""
         path = PATH if shard == FIRST_SHARD else f"{PATH}/{shard}"
         return PeerClient(self._peer_client, self.platform, path)
 
     def make_sharing_client(self, path: str) -> PeerClient:
-        """Return the client for messages about shares."""
+        """Return the client for messages of sharing."""
         return PeerClient(self._peer_client, self.platform, path)
 
     def _assemble(self) -> None:
@@ -133,7 +131,7 @@
         self.operators = OperatorApi(self)
 
     def _start_engines(self) -> None:
-        """Start an engine for each share that there is, or will be."""
+        """Start the missing engines: one for each shard of the assignment and of the settings."""
         assignment = self.view.assignment
         count = max(self.settings.shares, assignment.shard_count if assignment is not None else 1)
         platform = self._shard_platform(count)
@@ -144,9 +142,10 @@
                 self._engine_tasks[shard] = asyncio.ensure_future(engine.run())
 
     def _shard_platform(self, shard_count: int) -> Platform:
-        """Return the platform with one share's part of what the store and the cloud take, and of the processor.
+        """Return the platform with one shard's part of the rate limits of store and cloud, and of the processor.
 
-        One part more of the store's changes is for what shares have in common: claims, machines, assignments.
+        The store's write rate is divided by one more than the number of shards: the extra part is for the records
+        that all shards use, such as the job directory, the machines' shards and the assignment.
         """
         platform = self.platform
         shards_per_controller = math.ceil(shard_count / len(self.labels))
@@ -158,22 +157,22 @@
         )
 
     def _on_view_change(self) -> None:
-        """The replica has changed: there may be more shares, or other parts of the limits."""
+        """Start engines of new shards, apply changed quotas and wake the hand-offs."""
         self._start_engines()
         self.apply_quotas()
         self.handoffs.wake()
 
     def apply_quotas(self) -> None:
-        """The parts of the limits may have changed: the shares that are led here go by them."""
+        """Apply the current quotas in each shard that is led here."""
         for engine in self.engines.values():
             if engine.active_term.scheduler is not None:
                 engine.apply_quotas()
 
-    # -- the coordinator ----------------------------------------------------------------------------------
+    # The coordinator.
 
     @property
     def first_engine(self) -> ShardEngine:
-        """Return the engine of the first share, whose leader is the coordinator."""
+        """Return the engine of the first shard, whose leader is the coordinator."""
         return self.engines[FIRST_SHARD]
 
     @property
@@ -183,22 +182,22 @@
 
     @property
     def may_decide(self) -> bool:
-        """Whether this controller is the coordinator for certain."""
+        """Return whether this controller is the confirmed coordinator."""
         return FIRST_SHARD in self.engines and self.first_engine.may_decide
 
     @property
     def coordinator(self) -> str | None:
-        """Return the coordinator's label as far as known."""
+        """Return the label of the last known coordinator, or None."""
         return self.first_engine.leader
 
     def leads(self, shard: int) -> bool:
-        """Whether this controller leads a share for certain."""
+        """Return whether this controller is the confirmed leader of a shard."""
         return shard in self.engines and self.engines[shard].may_decide
 
-    # -- commits of what shares have in common ------------------------------------------------------------
+    # Commits of the records that all shards use.
 
     async def commit_assignment(self, assignment: ShardAssignment) -> None:
-        """Commit an assignment as the coordinator; `StoreError` if it was not, or may not have been."""
+        """Commit an assignment as the coordinator; `StoreError` if that failed or its outcome is unknown."""
         view = self.view
         operations: list[Any] = [messages.Put(ASSIGNMENT_KEY, assignment)]
         compares = [
@@ -216,7 +215,10 @@
     async def commit_allocation(
         self, team: str, allocation: QuotaAllocation, mod_revision: int, compares: Sequence[tuple[str, int]]
     ) -> None:
-        """Commit the parts of a team's limit if their version stands; `StoreError` if that failed, or may have."""
+        """Commit a team's allocation if the stored one is at `mod_revision` and `compares` hold.
+
+        Raises `StoreError` if that failed or its outcome is unknown.
+        """
         key = ALLOCATIONS_PREFIX + team
         all_compares = [messages.Compare(key, mod_revision), *(messages.Compare(*compare) for compare in compares)]
         try:
@@ -227,16 +229,16 @@
         self.view.allocations[team] = allocation
         self.view.allocation_mod_revisions[team] = revision
 
-    # -- servers ------------------------------------------------------------------------------------------
+    # Servers.
 
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
-        """Open the addresses that are served."""
+        """Start listening at `bind` and `back`; return the listeners."""
         self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=HEARTBEAT_PATH)
         back = await serve(self.platform.back, self.handle_back, sockets.back, MAX_PEER_BODY)
         return [back, self.front]
 
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
-        """Answer a request at `bind`; reports go to the engine of their machine's share."""
+        """Answer a request at `bind`; heartbeats go to the engine of their machine's shard."""
         if path != HEARTBEAT_PATH or method != "POST":
             return self.handle_front(method, path, body)
         try:
@@ -249,7 +251,7 @@
         return self.engines[shard].heartbeats.handle(body) if self.is_serving(shard) else self._not_ready()
 
     async def _handle_unregistered_heartbeat(self, machine: str, body: bytes) -> Answer:
-        """Our replica may be late: ask the store. A machine that nobody has registered yet comes back."""
+        """Look the machine up in the store, since the replica may lag; let an unregistered machine retry."""
         try:
             shard = await self.registry.look_up(machine) if self.view.loaded else None
         except (StoreError, wire.WireError, ValueError) as error:
@@ -264,7 +266,7 @@
         return Answer.error(503, "not known yet", retry_after_s=1)
 
     def is_serving(self, shard: int) -> bool:
-        """Whether the engine of a share serves."""
+        """Return whether this process has an engine for a shard and it serves requests."""
         return shard in self.engines and self.engines[shard].is_serving
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -1,4 +1,4 @@
-"""What other controllers and operators ask about shares, at `back`."""
+"""HTTP API of sharing at `back`: messages of other controllers, and requests of operators."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -18,7 +18,7 @@
 
 
 class ShardRow(msgspec.Struct):
-    """One share, as this controller sees it."""
+    """One shard as this controller sees it, in the response to an operator."""
 
     share: int
     owner: str | None
@@ -31,7 +31,7 @@
 
 
 class ShardsView(msgspec.Struct):
-    """All shares, as this controller sees them."""
+    """All shards as this controller sees them, in the response to an operator."""
 
     controller: str
     coordinator: str | None
@@ -44,14 +44,14 @@
 
 
 class MoveOrder(msgspec.Struct):
-    """What an operator sends to move a share."""
+    """An operator's request to move a shard."""
 
     share: int
     receiver: str
 
 
 class OperatorApi:
-    """Answers messages about shares."""
+    """Handles requests of operators and messages of other controllers."""
 
     def __init__(self, host: "ShardHost") -> None:
         self._host = host
@@ -59,7 +59,7 @@
         self.malformed = 0
 
     async def handle(self, method: str, path: str, body: bytes) -> Answer | None:
-        """Answer a request; None if the path is not ours."""
+        """Answer a request; None if the path does not belong to sharing."""
         allowed_method = {PATH: "POST", "/shares": "GET", "/shares/move": "POST"}.get(path)
         if allowed_method is None:
             return None
@@ -73,11 +73,11 @@
             return await self._handle_order(wire.decode(body, MoveOrder))
         except wire.WireError as error:
             self.malformed += 1
-            log.info("malformed message about shares: %s", error)
+            log.info("malformed sharing message or move request: %s", error)
             return Answer.error(400, str(error))
 
     async def _handle_message(self, message: SharingMessage) -> Answer:
-        """Answer another controller."""
+        """Answer a message of another controller."""
         host = self._host
         if isinstance(message, ControllerStatus):
             return Answer(200, wire.encode(host.coordinator_loops.handle_status(message)))
@@ -85,10 +85,10 @@
             return Answer(200, wire.encode(await host.handoffs.release(message)))
         if isinstance(message, MoveRequest):
             return Answer(200, wire.encode(await host.coordinator_loops.move(message)))
-        return Answer.error(400, "not a question")
+        return Answer.error(400, "not a request")
 
     async def _handle_order(self, order: MoveOrder) -> Answer:
-        """Carry out an operator's order, or pass it on to the coordinator."""
+        """Carry out an operator's request, or forward it to the coordinator."""
         host = self._host
         request = MoveRequest(order.share, order.receiver)
         coordinator = host.coordinator
@@ -102,11 +102,11 @@
             except PeerError as error:
                 return Answer.error(503, f"the coordinator {coordinator}: {error}", retry_after_s=1)
         if not isinstance(response, MoveResponse):
-            return Answer.error(503, "the coordinator's answer is not one", retry_after_s=1)
+            return Answer.error(503, "malformed response of the coordinator", retry_after_s=1)
         return Answer(200, b"{}") if response.accepted else Answer.error(409, response.reason)
 
     def view(self) -> ShardsView:
-        """Return all shares as this controller sees them."""
+        """Return all shards as this controller sees them."""
         host = self._host
         return ShardsView(
             host.platform.label,
@@ -116,21 +116,21 @@
             host.handoffs.acquired_count,
             host.handoffs.last_move_s,
             host.process_lease.requests,
-            [self._row(share) for share in sorted(host.engines) if host.is_serving(share)],
+            [self._row(shard) for shard in sorted(host.engines) if host.is_serving(shard)],
         )
 
-    def _row(self, share: int) -> ShardRow:
+    def _row(self, shard: int) -> ShardRow:
         host = self._host
-        engine, assignment = host.engines[share], host.view.assignment
+        engine, assignment = host.engines[shard], host.view.assignment
         scheduler = engine.active_term.scheduler
-        move = assignment.move_of(share) if assignment is not None else None
+        move = assignment.move_of(shard) if assignment is not None else None
         return ShardRow(
-            share,
-            assignment.owner(share) if assignment is not None else None,
+            shard,
+            assignment.owner(shard) if assignment is not None else None,
             engine.leader,
             engine.election.leader_fencing_token,
-            host.handoffs.state(share).value,
+            host.handoffs.state(shard).value,
             len(scheduler.cluster.machines) if scheduler is not None else None,
             move.target if move is not None else None,
-            host.coordinator_loops.coordinator.refusals.get(share),
+            host.coordinator_loops.coordinator.refusals.get(shard),
         )
--- a/driftcleat/sharing/routing.py
+++ b/driftcleat/sharing/routing.py
@@ -1,4 +1,4 @@
-"""Users' requests find the share on which their job is homed."""
+"""Routes users' requests to the home shard of their job."""
 
 import asyncio
 from collections import Counter
@@ -19,13 +19,13 @@
 
 
 class UserRouter:
-    """Claims new jobs for a share and passes requests to the engine of their job's share."""
+    """Registers a home shard for new jobs, and passes each request to the engine of its job's home shard."""
 
     def __init__(self, host: "ShardHost") -> None:
         self._host = host
 
     async def handle(self, method: str, path: str, body: bytes) -> Answer:
-        """Answer a user's request."""
+        """Answer a user's request, within the time limit of the users' API."""
         host = self._host
         users = host.first_engine.users
         try:
@@ -42,7 +42,7 @@
             return users.unavailable("no answer in time")
 
     async def _shard_for(self, method: str, path: str, body: bytes) -> int | Answer:
-        """Return the share whose engine answers a request, or the answer if no share is needed for it."""
+        """Return the shard whose engine handles a request, or the answer if no shard is needed for it."""
         host = self._host
         if not host.view.loaded:
             return host.first_engine.users.unavailable("starting")
@@ -69,14 +69,14 @@
         try:
             spec = parse_submission(raw)
         except InvalidFieldError as error:
-            # A job accepted before is known whatever its repeat looks like.
+            # The retry of an accepted job is answered by its home shard, even if the retry is invalid.
             home_shard = await host.job_directory.home_shard(job_id, host.first_engine.users.max_store_wait_s)
             return home_shard if home_shard is not None else Answer.error(400, str(error), error.field)
-        # Most submissions are new: the claim is tried without a look for an older one, which would cost three reads.
+        # Most submissions are new, so the entry is written without a look-up of an existing one, which costs 3 reads.
         return await host.job_directory.register(job_id, await self._choose(spec))
 
     async def _choose(self, spec: JobSpec) -> int:
-        """Return the share for a new job: that of most jobs which it needs, else any share that has a leader."""
+        """Choose a home for a new job: the shard of most of its dependencies, else a random shard with a leader."""
         host = self._host
         homes: Counter[int] = Counter()
         for dependency in spec.dependencies or ():
--- a/driftcleat/sharing/sharing_client.py
+++ b/driftcleat/sharing/sharing_client.py
@@ -1,4 +1,4 @@
-"""The client side of messages about shares."""
+"""Client for the messages of sharing."""
 
 from typing import TYPE_CHECKING
 
@@ -14,20 +14,20 @@
 
 
 class SharingClient:
-    """Sends messages about shares to other controllers."""
+    """Sends messages of sharing to other controllers."""
 
     def __init__(self, host: "ShardHost") -> None:
         self._peers = host.make_sharing_client(PATH)
 
     async def send(self, label: str, message: SharingMessage, timeout_s: float) -> SharingMessage:
-        """Send one message; return the answer. `PeerError` if there is no usable one."""
+        """Send a message and return the response; `PeerError` if there is none or it is malformed."""
         address = self._peers.addresses.get(label)
         if address is None:
             raise PeerError(f"unknown controller {label}")
         try:
             response = await self._peers.exchange(address, wire.encode(message), timeout_s)
         except (HttpError, TimeoutError) as error:
-            raise PeerError(f"no answer: {error!r}") from None
+            raise PeerError(f"no response: {error!r}") from None
         if response.status != 200:
             raise PeerError(f"status {response.status}")
         try:
