--- a/driftcleat/sharing/cloud.py
+++ b/driftcleat/sharing/cloud.py
@@ -161,7 +161,7 @@
             raise CloudError(f"machines could not be registered: {error}") from None
 
     async def _unregister_unlisted(self, listed: set[str]) -> None:
-        """Remove the keys of machines that are no longer listed, such as reclaimed or failed ones."""
+        """Remove the keys of machines that have not been listed for long, such as reclaimed or failed ones."""
         now = self._clock()
         unlisted = [name for name in self._view.machines if name not in listed]
         self._unlisted_since = {name: self._unlisted_since.get(name, now) for name in unlisted}
--- a/driftcleat/sharing/handoff.py
+++ b/driftcleat/sharing/handoff.py
@@ -28,6 +28,7 @@
 
     # This controller does not lead the shard and is not the target of a move.
     ELSEWHERE = "elsewhere"
+    # This controller leads the shard.
     OWNED = "owned"
     # This controller is the target of a move and the source has not released the shard yet.
     PREPARING = "preparing"
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -255,7 +255,7 @@
         try:
             shard = await self.registry.look_up(machine) if self.view.loaded else None
         except (StoreError, wire.WireError, ValueError) as error:
-            log.debug("machine %s: %s", machine, error)
+            log.debug("shard of machine %s could not be read: %s", machine, error)
             shard = None
         if shard is None or not self.is_serving(shard):
             return self._not_ready()
