--- a/driftcleat/sharing/assignment.py
+++ b/driftcleat/sharing/assignment.py
@@ -1,7 +1,7 @@
-"""The assignment: which controller owns which share, and which shares are being moved. Pure.
+"""The shard assignment: which controller owns which shard, and which shards are being moved. Pure functions.
 
-The assignment is one record; only the coordinator changes it, and the receiver of a move, whose transaction completes
-it. Every change is a function from one assignment to the next.
+The assignment is one record. The coordinator changes it; the target of a move changes it too, in the transaction that
+completes the move. Every change is a function from one assignment to the next.
 """
 
 from collections.abc import Collection
@@ -10,135 +10,135 @@
 
 from driftcleat import wire
 from driftcleat.errors import DriftcleatError
-from driftcleat.sharing.keys import FIRST_SHARE
+from driftcleat.sharing.keys import FIRST_SHARD
 
-# The form of the record that this program writes.
-FORMAT = 1
+# Version of the record's format.
+FORMAT_VERSION = 1
 
 
 class AssignmentError(DriftcleatError):
-    """An assignment, or a change of it, that is not possible; the text says why."""
+    """Raised for an invalid assignment or an impossible change; the text gives the reason."""
 
 
 class Move(msgspec.Struct, frozen=True, array_like=True):
-    """A share that is being given from its owner to another controller."""
+    """A hand-off in progress: a shard moves from its owner to the target controller."""
 
-    share: int
-    receiver: str
-    # Counts the moves: a request that belongs to an earlier one is told from it.
+    shard: int
+    target: str
+    # Sequence number of the move: tells a late request of an earlier move from one of this move.
     number: int
 
 
-class Assignment(msgspec.Struct, frozen=True, array_like=True):
-    """Who owns each share. The first has no owner here: it goes with the coordinator."""
+class ShardAssignment(msgspec.Struct, frozen=True, array_like=True):
+    """The owner of each shard. The first shard has no owner here: whoever leads it is the coordinator."""
 
     format: int
     owners: tuple[str, ...]
     moves: tuple[Move, ...] = ()
-    moves_begun: int = 0
-    # Machines are named in the order in which they were rented: those up to this one were there before sharing began,
-    # and are the first share's without a record of their own.
-    first_share_until: str = ""
+    move_count: int = 0
+    # Machine names ascend in the order of creation. Machines up to this name were created before sharing started:
+    # they belong to the first shard without a record of their own.
+    first_shard_last_machine: str = ""
 
     @property
-    def shares(self) -> int:
-        """Return how many shares there are."""
+    def shard_count(self) -> int:
+        """Return the number of shards."""
         return len(self.owners)
 
-    def owner(self, share: int) -> str | None:
-        """Return the controller to which a share is assigned; None for the first share and for unknown ones."""
-        return self.owners[share] if FIRST_SHARE < share < self.shares else None
+    def owner(self, shard: int) -> str | None:
+        """Return the controller that a shard is assigned to; None for the first shard and for unknown shards."""
+        return self.owners[shard] if FIRST_SHARD < shard < self.shard_count else None
 
-    def move_of(self, share: int) -> Move | None:
-        """Return the move of a share that is under way."""
-        return next((move for move in self.moves if move.share == share), None)
+    def move_of(self, shard: int) -> Move | None:
+        """Return the move in progress of a shard, or None."""
+        return next((move for move in self.moves if move.shard == shard), None)
 
-    def owned_by(self, label: str) -> list[int]:
-        """Return the shares that are assigned to a controller."""
-        return [share for share, owner in enumerate(self.owners) if share != FIRST_SHARE and owner == label]
+    def shards_owned_by(self, label: str) -> list[int]:
+        """Return the shards that are assigned to a controller."""
+        return [shard for shard, owner in enumerate(self.owners) if shard != FIRST_SHARD and owner == label]
 
 
-def initial_assignment(shares: int, labels: Collection[str], newest_machine: str) -> Assignment:
-    """Return the first assignment: the shares dealt out in turn, all machines so far the first one's."""
+def initial_assignment(shard_count: int, labels: Collection[str], newest_machine: str) -> ShardAssignment:
+    """Return the first assignment: shards assigned round-robin, all present machines in the first shard."""
     names = sorted(labels)
-    owners = ["", *(names[share % len(names)] for share in range(1, shares))]
-    return Assignment(FORMAT, tuple(owners), first_share_until=newest_machine)
+    owners = ["", *(names[shard % len(names)] for shard in range(1, shard_count))]
+    return ShardAssignment(FORMAT_VERSION, tuple(owners), first_shard_last_machine=newest_machine)
 
 
-def read_assignment(value: bytes, labels: Collection[str]) -> Assignment:
-    """Return the assignment of a stored record; `AssignmentError` if it is not one that can be acted on."""
+def decode_assignment(value: bytes, labels: Collection[str]) -> ShardAssignment:
+    """Return the assignment of a stored record; `AssignmentError` if the record is malformed or invalid."""
     try:
-        found = wire.decode(value, Assignment)
+        assignment = wire.decode(value, ShardAssignment)
     except wire.WireError as error:
         raise AssignmentError(f"the record is malformed: {error}") from None
-    check(found, labels)
-    return found
+    validate(assignment, labels)
+    return assignment
 
 
-def check(assignment: Assignment, labels: Collection[str]) -> None:
-    """Raise `AssignmentError` unless an assignment names known controllers and possible moves only."""
-    if assignment.format != FORMAT:
-        raise AssignmentError(f"the record has form {assignment.format}, this program knows {FORMAT}")
-    if not assignment.owners or assignment.owners[FIRST_SHARE]:
-        raise AssignmentError("the first share goes with the coordinator and has no owner of its own")
-    for share, owner in enumerate(assignment.owners[1:], 1):
+def validate(assignment: ShardAssignment, labels: Collection[str]) -> None:
+    """Raise `AssignmentError` if an assignment names an unknown controller or an impossible move."""
+    if assignment.format != FORMAT_VERSION:
+        raise AssignmentError(f"the record has format {assignment.format}, this version reads {FORMAT_VERSION}")
+    if not assignment.owners or assignment.owners[FIRST_SHARD]:
+        raise AssignmentError("the first share is led by the coordinator and must not have an owner")
+    for shard, owner in enumerate(assignment.owners[1:], 1):
         if owner not in labels:
-            raise AssignmentError(f"share {share}: unknown controller {owner}")
-    moving = [move.share for move in assignment.moves]
-    if len(set(moving)) != len(moving):
-        raise AssignmentError("a share is moved twice at once")
+            raise AssignmentError(f"share {shard}: unknown controller {owner}")
+    moving_shards = [move.shard for move in assignment.moves]
+    if len(set(moving_shards)) != len(moving_shards):
+        raise AssignmentError("a share has more than one move")
     for move in assignment.moves:
-        _check_move(assignment, move.share, move.receiver, labels)
+        _check_move(assignment, move.shard, move.target, labels)
 
 
-def _check_move(assignment: Assignment, share: int, receiver: str, labels: Collection[str]) -> None:
-    if not 0 <= share < assignment.shares:
-        raise AssignmentError(f"there is no share {share}")
-    if share == FIRST_SHARE:
-        raise AssignmentError("the first share goes with the coordinator: it cannot be moved by itself")
-    if receiver not in labels:
-        raise AssignmentError(f"unknown controller {receiver}")
-    if assignment.owner(share) == receiver:
-        raise AssignmentError(f"{receiver} owns share {share} already")
+def _check_move(assignment: ShardAssignment, shard: int, target: str, labels: Collection[str]) -> None:
+    if not 0 <= shard < assignment.shard_count:
+        raise AssignmentError(f"there is no share {shard}")
+    if shard == FIRST_SHARD:
+        raise AssignmentError("the first share is led by the coordinator: it cannot be moved")
+    if target not in labels:
+        raise AssignmentError(f"unknown controller {target}")
+    if assignment.owner(shard) == target:
+        raise AssignmentError(f"{target} owns share {shard} already")
 
 
-def begin_move(assignment: Assignment, share: int, receiver: str, labels: Collection[str]) -> Assignment:
-    """Return the assignment in which a share is being moved."""
-    _check_move(assignment, share, receiver, labels)
-    if assignment.move_of(share) is not None:
-        raise AssignmentError(f"share {share} is being moved already")
-    number = assignment.moves_begun + 1
-    moves = (*assignment.moves, Move(share, receiver, number))
-    return msgspec.structs.replace(assignment, moves=moves, moves_begun=number)
+def begin_move(assignment: ShardAssignment, shard: int, target: str, labels: Collection[str]) -> ShardAssignment:
+    """Return the assignment with a new move; `AssignmentError` if the move is impossible."""
+    _check_move(assignment, shard, target, labels)
+    if assignment.move_of(shard) is not None:
+        raise AssignmentError(f"share {shard} is being moved already")
+    number = assignment.move_count + 1
+    moves = (*assignment.moves, Move(shard, target, number))
+    return msgspec.structs.replace(assignment, moves=moves, move_count=number)
 
 
-def complete_move(assignment: Assignment, share: int) -> Assignment:
-    """Return the assignment in which a share belongs to the receiver of its move."""
-    move = assignment.move_of(share)
+def complete_move(assignment: ShardAssignment, shard: int) -> ShardAssignment:
+    """Return the assignment in which a shard belongs to the target of its move, and the move has ended."""
+    move = assignment.move_of(shard)
     if move is None:
-        raise AssignmentError(f"share {share} is not being moved")
+        raise AssignmentError(f"share {shard} is not being moved")
     owners = list(assignment.owners)
-    owners[share] = move.receiver
-    return msgspec.structs.replace(drop_move(assignment, share), owners=tuple(owners))
+    owners[shard] = move.target
+    return msgspec.structs.replace(drop_move(assignment, shard), owners=tuple(owners))
 
 
-def drop_move(assignment: Assignment, share: int) -> Assignment:
-    """Return the assignment without a move that is given up."""
-    moves = tuple(move for move in assignment.moves if move.share != share)
+def drop_move(assignment: ShardAssignment, shard: int) -> ShardAssignment:
+    """Return the assignment with the move of a shard cancelled."""
+    moves = tuple(move for move in assignment.moves if move.shard != shard)
     return msgspec.structs.replace(assignment, moves=moves)
 
 
-def reassign(assignment: Assignment, share: int, owner: str) -> Assignment:
-    """Return the assignment in which a share whose owner is lost belongs to another controller."""
-    if assignment.owner(share) is None:
-        raise AssignmentError(f"share {share} cannot be reassigned")
+def reassign(assignment: ShardAssignment, shard: int, owner: str) -> ShardAssignment:
+    """Return the assignment in which a shard whose owner is presumed lost belongs to another controller."""
+    if assignment.owner(shard) is None:
+        raise AssignmentError(f"share {shard} cannot be reassigned")
     owners = list(assignment.owners)
-    owners[share] = owner
-    return msgspec.structs.replace(drop_move(assignment, share), owners=tuple(owners))
+    owners[shard] = owner
+    return msgspec.structs.replace(drop_move(assignment, shard), owners=tuple(owners))
 
 
-def grow(assignment: Assignment, shares: int, labels: Collection[str]) -> Assignment:
-    """Return the assignment with more shares, which begin empty; there is no way to have fewer."""
+def add_shards(assignment: ShardAssignment, shard_count: int, labels: Collection[str]) -> ShardAssignment:
+    """Return the assignment with new, empty shards up to `shard_count`; shards cannot be removed."""
     names = sorted(labels)
-    more = [names[share % len(names)] for share in range(assignment.shares, shares)]
-    return msgspec.structs.replace(assignment, owners=(*assignment.owners, *more))
+    new_owners = [names[shard % len(names)] for shard in range(assignment.shard_count, shard_count)]
+    return msgspec.structs.replace(assignment, owners=(*assignment.owners, *new_owners))
--- a/driftcleat/sharing/needs.py
+++ b/driftcleat/sharing/dependencies.py
@@ -1,4 +1,4 @@
-"""The users' interface of one share: a job may depend on jobs that are homed on another share."""
+"""The users' API of one shard, in which a job may depend on jobs that are homed on another shard."""
 
 from collections.abc import Callable
 from functools import partial
@@ -16,52 +16,53 @@
 from driftcleat.leadership import ActiveTerm
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.share_states import state_elsewhere
+from driftcleat.sharing.job_states import read_job_state
 from driftcleat.store.client import StoreClient
 from driftcleat.store.errors import StoreError, StoreUnavailableError
 from driftcleat.wire.users import JobSpec
 
 if TYPE_CHECKING:
-    from driftcleat.sharing.host import SharingHost
+    from driftcleat.sharing.host import ShardHost
 
 # Arguments of `UserApi` after the platform, up to the limits on requests.
 UserApiArguments = tuple[Tuning, StoreClient, ForwardingClient, ActiveTerm[Scheduler], Callable[[], float], int, int]
 
 
-def build_share_user_api(host: "SharingHost", share: int, _: Platform, *arguments: *UserApiArguments) -> UserApi:
-    """Return the users' interface of a share; the arguments are those of `UserApi`.
+def build_shard_user_api(host: "ShardHost", shard: int, _: Platform, *arguments: *UserApiArguments) -> UserApi:
+    """Return the users' API of a shard; `arguments` are those of `UserApi` after the platform.
 
-    The host's platform replaces the share's: whether a job can ever run is judged by the teams' whole limits.
+    The host's platform replaces the shard's, so that a job is rejected as unschedulable by the teams' whole limits
+    and not by the shard's quotas.
     """
-    return UserApi(host.platform, *arguments, partial(ShareDependencyLookup, host, share))
+    return UserApi(host.platform, *arguments, partial(ShardDependencyLookup, host, shard))
 
 
-class ShareDependencyLookup(DependencyLookup):
-    """Looks up dependencies that may be homed on another share."""
+class ShardDependencyLookup(DependencyLookup):
+    """Looks up dependencies that may be homed on another shard."""
 
     def __init__(
         self,
-        host: "SharingHost",
-        share: int,
+        host: "ShardHost",
+        shard: int,
         records: JobRecords,
         leader_lookup: LeaderLookup,
         responses: RetryResponses,
     ) -> None:
         super().__init__(records, leader_lookup, responses)
         self._host = host
-        self._share = share
+        self._shard = shard
 
     async def ended_dependencies(self, scheduler: Scheduler, spec: JobSpec) -> dict[str, str]:
-        """Return the final states of ended dependencies; those homed on another share are read from its records."""
+        """Return the final states of ended dependencies; those homed on another shard are read from its records."""
         ended: dict[str, str] = {}
         own: list[str] = []
         for dependency in spec.dependencies or ():
             try:
-                home = await self._host.claims.home(dependency, self._records.max_wait_s)
-                if home is None or home == self._share:
+                home_shard = await self._host.job_directory.home_shard(dependency, self._records.max_wait_s)
+                if home_shard is None or home_shard == self._shard:
                     own.append(dependency)
                     continue
-                state = await state_elsewhere(self._host.store, home, dependency, self._records.max_wait_s)
+                state = await read_job_state(self._host.store, home_shard, dependency, self._records.max_wait_s)
             except (StoreError, wire.WireError):
                 raise RequestRefusedError(self._responses.store_unavailable()) from None
             if state is None:
@@ -72,13 +73,13 @@
         return await super().ended_dependencies(scheduler, own_spec) | ended
 
     async def has_cancelled_dependency(self, spec: JobSpec) -> bool:
-        """Return whether a dependency is cancelled; `StoreUnavailableError` if one is homed on another share.
+        """Return whether a dependency is cancelled; `StoreUnavailableError` if one is homed on another shard.
 
-        Guards against an answer from the records that is ahead of the leader's, which learns later of the state of a
-        job on another share.
+        Guards against a response from the records that is ahead of the leader's responses: the leader learns later of
+        the state of a job on another shard.
         """
         for dependency in spec.dependencies or ():
-            home = await self._host.claims.home(dependency, self._records.max_wait_s)
-            if home is not None and home != self._share:
-                raise StoreUnavailableError("it needs a job of another share")
+            home_shard = await self._host.job_directory.home_shard(dependency, self._records.max_wait_s)
+            if home_shard is not None and home_shard != self._shard:
+                raise StoreUnavailableError("a dependency is homed on another shard")
         return await super().has_cancelled_dependency(spec)
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -1,4 +1,4 @@
-"""One process with sharing switched on: an engine for each share, and what the shares have in common."""
+"""A controller's process with sharing enabled: an engine for each shard, and the objects that all shards use."""
 
 import asyncio
 import dataclasses
@@ -23,18 +23,18 @@
 from driftcleat.peers.client import PATH
 from driftcleat.runtime.background import Background, run_for_ever
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.allotments import Allotment
-from driftcleat.sharing.assignment import Assignment
-from driftcleat.sharing.claims import Claims
+from driftcleat.sharing.assignment import ShardAssignment
 from driftcleat.sharing.cloud import MachineRegistry
-from driftcleat.sharing.duties import CoordinatorDuties
-from driftcleat.sharing.engine import ShareEngine
-from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, FIRST_SHARE
+from driftcleat.sharing.coordinator_loops import CoordinatorLoops
+from driftcleat.sharing.engine import ShardEngine
+from driftcleat.sharing.handoff import Handoffs
+from driftcleat.sharing.job_directory import JobDirectory
+from driftcleat.sharing.keys import ALLOCATIONS_PREFIX, ASSIGNMENT_KEY, FIRST_SHARD
 from driftcleat.sharing.operators import OperatorApi
 from driftcleat.sharing.process_lease import ProcessLease
+from driftcleat.sharing.quota import QuotaAllocation
 from driftcleat.sharing.routing import UserRouter
 from driftcleat.sharing.settings import SharingSettings
-from driftcleat.sharing.transfer import Transfers
 from driftcleat.sharing.view import SharingView
 from driftcleat.store.errors import CompareFailedError, StoreError
 from driftcleat.store.keys import LEADER_KEY
@@ -42,18 +42,18 @@
 
 log = logging.getLogger(__name__)
 
-# How often the replica of what shares have in common is asked for anew, of the worker lease.
-VIEW_WAIT = 0.25
+# How long a watch of the sharing records waits for a change, as a fraction of the worker lease.
+VIEW_WATCH_TIMEOUT = 0.25
 
 
-class ReportingMachine(msgspec.Struct):
-    """The one field of a report by which it finds its share."""
+class HeartbeatSender(msgspec.Struct):
+    """The field of a heartbeat that decides which shard it belongs to."""
 
     name: str = msgspec.field(name="bollard")
 
 
-class SharingHost:
-    """A controller's process with several shares."""
+class ShardHost:
+    """Runs the engines of all shards in one process, and shares clients, listeners and the process's lease."""
 
     def __init__(
         self,
@@ -62,31 +62,29 @@
         settings: SharingSettings,
         rng: random.Random | None = None,
         clock: Callable[[], float] = time.monotonic,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self.platform, self.tuning, self.settings = platform, tuning, settings
-        self.clock, self.wall = clock, wall
+        self.clock, self.wall_clock = clock, wall_clock
         self.rng = rng if rng is not None else random.Random()
         self.labels = sorted([platform.label, *(peer.label for peer in platform.peers)])
         self.background = Background()
-        self.engines: dict[int, ShareEngine] = {}
+        self.engines: dict[int, ShardEngine] = {}
         self._engine_tasks: dict[int, asyncio.Task[None]] = {}
 
-    # -- the parts ----------------------------------------------------------------------------------------
-
     async def run(self) -> None:
-        """Serve for ever."""
+        """Serve until cancelled."""
         sockets = SocketBudget(self.platform.fd_limit, len(self.platform.peers))
         clients = self.connect(sockets)
         self._assemble()
         servers = await self.listen(sockets)
-        log.info("controller %s shares machines, up to %d shares", self.platform.label, self.settings.shares)
+        log.info("controller %s starts with sharing, %d shards configured", self.platform.label, self.settings.shares)
         pause_s = self.platform.report_s * LOOP_RESTART_PAUSE_INTERVALS
         loops: Sequence[Callable[[], Awaitable[None]]] = [
             self.view.run,
-            self.transfers.run,
-            self.duties.run,
-            self.duties.run_status,
+            self.handoffs.run,
+            self.coordinator_loops.run,
+            self.coordinator_loops.run_status_sender,
         ]
         try:
             self._start_engines()
@@ -104,77 +102,78 @@
             await client.close()
 
     def connect(self, sockets: SocketBudget) -> list[HttpClient]:
-        """Make the clients; return what is to be closed in the end."""
+        """Create the clients; return the connections to close at the end."""
         clients = make_clients(self.platform, sockets, self.clock)
         self.store, self.cloud, self.workers = clients.store, clients.cloud, clients.workers
         self._peer_client = clients.peers
         return clients.connections
 
-    def make_peers(self, share: int) -> PeerClient:
-        """Return the client with which a share's engines talk to one another."""
-        path = PATH if share == FIRST_SHARE else f"{PATH}/{share}"
+    def make_peers(self, shard: int) -> PeerClient:
+        """Return the client through which a shard's engines on different controllers exchange messages."""
+        path = PATH if shard == FIRST_SHARD else f"{PATH}/{shard}"
         return PeerClient(self._peer_client, self.platform, path)
 
     def make_sharing_client(self, path: str) -> PeerClient:
-        """Return the client for messages about shares."""
+        """Return the client for messages of sharing."""
         return PeerClient(self._peer_client, self.platform, path)
 
     def _assemble(self) -> None:
         platform = self.platform
         ttl_s = platform.lease_s * self.tuning.leader_ttl_leases
         self.process_lease = ProcessLease(self.store, ttl_s, ttl_s * self.tuning.keep_alive_pause_ttls, self.clock)
-        self.claims = Claims(self.store)
-        self.view = SharingView(self.store, self.labels, platform.lease_s * VIEW_WAIT)
-        self.view.on_change = self._note_change
+        self.job_directory = JobDirectory(self.store)
+        self.view = SharingView(self.store, self.labels, platform.lease_s * VIEW_WATCH_TIMEOUT)
+        self.view.on_change = self._on_view_change
         self.registry = MachineRegistry(self.store, self.view, platform)
         self.router = UserRouter(self)
-        self.transfers = Transfers(self)
-        self.duties = CoordinatorDuties(self)
+        self.handoffs = Handoffs(self)
+        self.coordinator_loops = CoordinatorLoops(self)
         self.operators = OperatorApi(self)
 
     def _start_engines(self) -> None:
-        """Start an engine for each share that there is, or will be."""
+        """Start the missing engines: one for each shard of the assignment and of the settings."""
         assignment = self.view.assignment
-        count = max(self.settings.shares, assignment.shares if assignment is not None else 1)
-        platform = self._platform_of_a_share(count)
-        for share in range(count):
-            if share not in self.engines:
+        count = max(self.settings.shares, assignment.shard_count if assignment is not None else 1)
+        platform = self._shard_platform(count)
+        for shard in range(count):
+            if shard not in self.engines:
                 rng = random.Random(self.rng.random())
-                engine = self.engines[share] = ShareEngine(self, share, platform, self.tuning, rng)
-                self._engine_tasks[share] = asyncio.ensure_future(engine.run())
+                engine = self.engines[shard] = ShardEngine(self, shard, platform, self.tuning, rng)
+                self._engine_tasks[shard] = asyncio.ensure_future(engine.run())
 
-    def _platform_of_a_share(self, shares: int) -> Platform:
-        """Return the platform with one share's part of what the store and the cloud take, and of the processor.
+    def _shard_platform(self, shard_count: int) -> Platform:
+        """Return the platform with one shard's part of the rate limits of store and cloud, and of the processor.
 
-        One part more of the store's changes is for what shares have in common: claims, machines, assignments.
+        The store's write rate is divided by one more than the number of shards: the extra part is for the records
+        that all shards use, such as the job directory, the machines' shards and the assignment.
         """
         platform = self.platform
-        at_once = math.ceil(shares / len(self.labels))
+        shards_per_controller = math.ceil(shard_count / len(self.labels))
         return dataclasses.replace(
             platform,
-            write_rps=platform.write_rps / (shares + 1),
-            cloud_rps=platform.cloud_rps / shares,
-            core_share=platform.core_share / at_once,
+            write_rps=platform.write_rps / (shard_count + 1),
+            cloud_rps=platform.cloud_rps / shard_count,
+            core_share=platform.core_share / shards_per_controller,
         )
 
-    def _note_change(self) -> None:
-        """The replica has changed: there may be more shares, or other parts of the limits."""
+    def _on_view_change(self) -> None:
+        """Start engines of new shards, apply changed quotas and wake the hand-offs."""
         self._start_engines()
-        self.note_allotments()
-        self.transfers.wake()
+        self.apply_quotas()
+        self.handoffs.wake()
 
-    def note_allotments(self) -> None:
-        """The parts of the limits may have changed: the shares that are led here go by them."""
+    def apply_quotas(self) -> None:
+        """Apply the current quotas in each shard that is led here."""
         for engine in self.engines.values():
             if engine.active_term.scheduler is not None:
-                engine.take_parts()
+                engine.apply_quotas()
 
-    # -- the coordinator ----------------------------------------------------------------------------------
+    # The coordinator.
 
     @property
-    def first_engine(self) -> ShareEngine:
-        """Return the engine of the first share, whose leader is the coordinator."""
-        return self.engines[FIRST_SHARE]
+    def first_engine(self) -> ShardEngine:
+        """Return the engine of the first shard, whose leader is the coordinator."""
+        return self.engines[FIRST_SHARD]
 
     @property
     def election(self) -> Election:
@@ -183,89 +182,92 @@
 
     @property
     def may_decide(self) -> bool:
-        """Whether this controller is the coordinator for certain."""
-        return FIRST_SHARE in self.engines and self.first_engine.may_decide
+        """Return whether this controller is the confirmed coordinator."""
+        return FIRST_SHARD in self.engines and self.first_engine.may_decide
 
     @property
     def coordinator(self) -> str | None:
-        """Return the coordinator's label as far as known."""
+        """Return the label of the last known coordinator, or None."""
         return self.first_engine.leader
 
-    def leads(self, share: int) -> bool:
-        """Whether this controller leads a share for certain."""
-        return share in self.engines and self.engines[share].may_decide
+    def leads(self, shard: int) -> bool:
+        """Return whether this controller is the confirmed leader of a shard."""
+        return shard in self.engines and self.engines[shard].may_decide
 
-    # -- commits of what shares have in common ------------------------------------------------------------
+    # Commits of the records that all shards use.
 
-    async def put_assignment(self, assignment: Assignment) -> None:
-        """Commit an assignment as the coordinator; `StoreError` if it was not, or may not have been."""
+    async def commit_assignment(self, assignment: ShardAssignment) -> None:
+        """Commit an assignment as the coordinator; `StoreError` if that failed or its outcome is unknown."""
         view = self.view
-        changes: list[Any] = [messages.Put(ASSIGNMENT, assignment)]
-        conditions = [
+        operations: list[Any] = [messages.Put(ASSIGNMENT_KEY, assignment)]
+        compares = [
             messages.Compare(LEADER_KEY, self.election.fencing_token),
-            messages.Compare(ASSIGNMENT, view.assignment_version),
+            messages.Compare(ASSIGNMENT_KEY, view.assignment_mod_revision),
         ]
         try:
-            version = await self.store.commit(messages.Transaction(conditions, changes))
+            mod_revision = await self.store.commit(messages.Transaction(compares, operations))
         except CompareFailedError:
             await view.refresh()
             raise
-        view.take_assignment(wire.encode(assignment), version)
-        self._note_change()
+        view.apply_assignment(wire.encode(assignment), mod_revision)
+        self._on_view_change()
 
-    async def put_allotment(
-        self, team: str, allotment: Allotment, version: int, conditions: Sequence[tuple[str, int]]
+    async def commit_allocation(
+        self, team: str, allocation: QuotaAllocation, mod_revision: int, compares: Sequence[tuple[str, int]]
     ) -> None:
-        """Commit the parts of a team's limit if their version stands; `StoreError` if that failed, or may have."""
-        key = ALLOTMENTS + team
-        checks = [messages.Compare(key, version), *(messages.Compare(*condition) for condition in conditions)]
+        """Commit a team's allocation if the stored one is at `mod_revision` and `compares` hold.
+
+        Raises `StoreError` if that failed or its outcome is unknown.
+        """
+        key = ALLOCATIONS_PREFIX + team
+        all_compares = [messages.Compare(key, mod_revision), *(messages.Compare(*compare) for compare in compares)]
         try:
-            revision = await self.store.commit(messages.Transaction(checks, [messages.Put(key, allotment)]))
+            revision = await self.store.commit(messages.Transaction(all_compares, [messages.Put(key, allocation)]))
         except CompareFailedError:
             await self.view.refresh()
             raise
-        self.view.allotments[team] = allotment
-        self.view.allotment_versions[team] = revision
+        self.view.allocations[team] = allocation
+        self.view.allocation_mod_revisions[team] = revision
 
-    # -- servers ------------------------------------------------------------------------------------------
+    # Servers.
 
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
-        """Open the addresses that are served."""
+        """Start listening at `bind` and `back`; return the listeners."""
         self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=HEARTBEAT_PATH)
         back = await serve(self.platform.back, self.handle_back, sockets.back, MAX_PEER_BODY_BYTES)
         return [back, self.front]
 
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
-        """Answer a request at `bind`; reports go to the engine of their machine's share."""
+        """Answer a request at `bind`; heartbeats go to the engine of their machine's shard."""
         if path != HEARTBEAT_PATH or method != "POST":
             return self.handle_front(method, path, body)
         try:
-            machine = wire.decode(body, ReportingMachine).name
+            machine = wire.decode(body, HeartbeatSender).name
         except wire.WireError as error:
             return Answer.error(400, str(error))
-        share = self.view.share_of(machine)
-        if share is None:
-            return self._report_of_unknown(machine, body)
-        return self.engines[share].heartbeats.handle(body) if self.is_set_up(share) else self._starting()
+        shard = self.view.shard_of(machine)
+        if shard is None:
+            return self._handle_unregistered_heartbeat(machine, body)
+        return self.engines[shard].heartbeats.handle(body) if self.is_serving(shard) else self._not_ready()
 
-    async def _report_of_unknown(self, machine: str, body: bytes) -> Answer:
-        """Our replica may be late: ask the store. A machine that nobody has registered yet comes back."""
+    async def _handle_unregistered_heartbeat(self, machine: str, body: bytes) -> Answer:
+        """Look the machine up in the store, since the replica may lag; let an unregistered machine retry."""
         try:
-            share = await self.registry.look_up(machine) if self.view.loaded else None
+            shard = await self.registry.look_up(machine) if self.view.loaded else None
         except (StoreError, wire.WireError, ValueError) as error:
-            log.debug("machine %s: %s", machine, error)
-            share = None
-        if share is None or not self.is_set_up(share):
-            return self._starting()
-        reply = self.engines[share].heartbeats.handle(body)
+            log.debug("shard of machine %s could not be read: %s", machine, error)
+            shard = None
+        if shard is None or not self.is_serving(shard):
+            return self._not_ready()
+        reply = self.engines[shard].heartbeats.handle(body)
         return reply if isinstance(reply, Answer) else await reply
 
-    def _starting(self) -> Answer:
+    def _not_ready(self) -> Answer:
         return Answer.error(503, "not known yet", retry_after_s=1)
 
-    def is_set_up(self, share: int) -> bool:
-        """Whether the engine of a share serves."""
-        return share in self.engines and self.engines[share].is_serving
+    def is_serving(self, shard: int) -> bool:
+        """Return whether this process has an engine for a shard and it serves requests."""
+        return shard in self.engines and self.engines[shard].is_serving
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
         """Answer a request at `bind`."""
@@ -274,8 +276,8 @@
             if reply is None:
                 return Answer.error(405, "only POST is allowed here")
             return reply if isinstance(reply, Answer) else await reply
-        if not self.is_set_up(FIRST_SHARE):
-            return self._starting()
+        if not self.is_serving(FIRST_SHARD):
+            return self._not_ready()
         if path == "/ready":
             return await self.first_engine.handle_front(method, path, body)
         return await self.router.handle(method, path, body)
@@ -283,10 +285,10 @@
     async def handle_back(self, method: str, path: str, body: bytes) -> Answer:
         """Answer a request at `back`."""
         if path.startswith(PATH + "/"):
-            share = path[len(PATH) + 1 :]
-            if not share.isascii() or not share.isdigit() or int(share) not in self.engines:
+            shard = path[len(PATH) + 1 :]
+            if not shard.isascii() or not shard.isdigit() or int(shard) not in self.engines:
                 return Answer.error(404, "no such share")
-            return await self.engines[int(share)].handle_back(method, PATH, body)
+            return await self.engines[int(shard)].handle_back(method, PATH, body)
         answer = await self.operators.handle(method, path, body)
         if answer is not None:
             return answer
--- a/driftcleat/sharing/messages.py
+++ b/driftcleat/sharing/messages.py
@@ -1,15 +1,15 @@
-"""Messages between controllers about shares: tagged tuples, as those of `wire.peers`, at a path of their own.
+"""Messages of sharing between controllers: tagged arrays, as in `wire.peers`, at a path of their own.
 
-A controller without sharing does not know the path and answers 404: it is not ready for sharing.
+A controller that runs without sharing answers 404 at this path, so it never counts as ready for sharing.
 """
 
 import msgspec
 
-from driftcleat.sharing.allotments import Amount
+from driftcleat.sharing.quota import Amount
 
 
 class TeamDemand(msgspec.Struct, frozen=True, array_like=True):
-    """What a share uses and wants of one team's limit."""
+    """A team's demand in one shard, in the terms of `Demand`."""
 
     team: str
     used: Amount
@@ -18,65 +18,65 @@
     first_job_waited_s: float
 
 
-class ShareStatus(msgspec.Struct, frozen=True, array_like=True):
-    """How a share stands at the controller that leads it."""
+class ShardStatus(msgspec.Struct, frozen=True, array_like=True):
+    """The status of one shard, from the controller that leads it."""
 
-    share: int
-    token: int
+    shard: int
+    fencing_token: int
     machines: int
     queued_tasks: int
     demands: tuple[TeamDemand, ...] = ()
 
 
-class Status(msgspec.Struct, frozen=True, array_like=True, tag="status"):
-    """A controller tells the coordinator how its shares stand."""
+class ControllerStatus(msgspec.Struct, frozen=True, array_like=True, tag="status"):
+    """The status of the shards that a controller leads, sent to the coordinator."""
 
     sender: str
-    shares: tuple[ShareStatus, ...]
+    shards: tuple[ShardStatus, ...]
 
 
-class Target(msgspec.Struct, frozen=True, array_like=True):
-    """What a share's part of a team's limit is to be lowered to, as far as its tasks allow."""
+class QuotaTarget(msgspec.Struct, frozen=True, array_like=True):
+    """A quota that a shard has to lower, as far as its running tasks allow."""
 
-    share: int
+    shard: int
     team: str
-    part: Amount
+    quota: Amount
 
 
-class StatusAnswer(msgspec.Struct, frozen=True, array_like=True, tag="status-answer"):
-    """The coordinator's answer; `coordinator` is False from who is none."""
+class StatusResponse(msgspec.Struct, frozen=True, array_like=True, tag="status-answer"):
+    """The response to a status; `coordinator` is False if the responder is not the coordinator."""
 
     coordinator: bool
-    targets: tuple[Target, ...] = ()
+    quota_targets: tuple[QuotaTarget, ...] = ()
 
 
-class LetGo(msgspec.Struct, frozen=True, array_like=True, tag="let-go"):
-    """The receiver of a move asks the giver to let the share go."""
+class ReleaseRequest(msgspec.Struct, frozen=True, array_like=True, tag="let-go"):
+    """Sent by the target of a move to the source: release the shard."""
 
-    share: int
-    receiver: str
+    shard: int
+    target: str
     number: int
 
 
-class LetGoAnswer(msgspec.Struct, frozen=True, array_like=True, tag="let-go-answer"):
-    """The version of the leader key that the giver has let go of; None, and why, if it has not."""
+class ReleaseResponse(msgspec.Struct, frozen=True, array_like=True, tag="let-go-answer"):
+    """The mod revision of the leader key that the source has released; None with a reason if it has not."""
 
-    version: int | None
-    why: str = ""
+    mod_revision: int | None
+    reason: str = ""
 
 
 class MoveRequest(msgspec.Struct, frozen=True, array_like=True, tag="move"):
-    """An operator asks the coordinator for a move."""
+    """An operator's request for a move, sent to the coordinator."""
 
-    share: int
-    receiver: str
+    shard: int
+    target: str
 
 
-class MoveAnswer(msgspec.Struct, frozen=True, array_like=True, tag="move-answer"):
-    """Whether a move was begun, or why not."""
+class MoveResponse(msgspec.Struct, frozen=True, array_like=True, tag="move-answer"):
+    """Whether the coordinator accepted a requested move; if not, the reason."""
 
-    begun: bool
-    why: str = ""
+    accepted: bool
+    reason: str = ""
 
 
-SharingMessage = Status | StatusAnswer | LetGo | LetGoAnswer | MoveRequest | MoveAnswer
+SharingMessage = ControllerStatus | StatusResponse | ReleaseRequest | ReleaseResponse | MoveRequest | MoveResponse
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -1,4 +1,4 @@
-"""What other controllers and operators ask about shares, at `back`."""
+"""HTTP API of sharing at `back`: messages of other controllers, and requests of operators."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -8,17 +8,17 @@
 from driftcleat import wire
 from driftcleat.api import Answer
 from driftcleat.peers.client import PeerError
-from driftcleat.sharing.messages import LetGo, MoveAnswer, MoveRequest, SharingMessage, Status
+from driftcleat.sharing.messages import ControllerStatus, MoveRequest, MoveResponse, ReleaseRequest, SharingMessage
 from driftcleat.sharing.sharing_client import PATH, SharingClient
 
 if TYPE_CHECKING:
-    from driftcleat.sharing.host import SharingHost
+    from driftcleat.sharing.host import ShardHost
 
 log = logging.getLogger(__name__)
 
 
-class ShareRow(msgspec.Struct):
-    """One share, as this controller sees it."""
+class ShardRow(msgspec.Struct):
+    """One shard as this controller sees it, in the response to an operator."""
 
     share: int
     owner: str | None
@@ -30,8 +30,8 @@
     refused: str | None
 
 
-class SharesView(msgspec.Struct):
-    """All shares, as this controller sees them."""
+class ShardsView(msgspec.Struct):
+    """All shards as this controller sees them, in the response to an operator."""
 
     controller: str
     coordinator: str | None
@@ -40,97 +40,97 @@
     moves_received: int
     last_move_s: float
     lease_requests: int
-    shares: list[ShareRow]
+    shares: list[ShardRow]
 
 
 class MoveOrder(msgspec.Struct):
-    """What an operator sends to move a share."""
+    """An operator's request to move a shard."""
 
     share: int
     receiver: str
 
 
 class OperatorApi:
-    """Answers messages about shares."""
+    """Handles requests of operators and messages of other controllers."""
 
-    def __init__(self, host: "SharingHost") -> None:
+    def __init__(self, host: "ShardHost") -> None:
         self._host = host
         self._client = SharingClient(host)
         self.malformed = 0
 
     async def handle(self, method: str, path: str, body: bytes) -> Answer | None:
-        """Answer a request; None if the path is not ours."""
-        wanted = {PATH: "POST", "/shares": "GET", "/shares/move": "POST"}.get(path)
-        if wanted is None:
+        """Answer a request; None if the path does not belong to sharing."""
+        allowed_method = {PATH: "POST", "/shares": "GET", "/shares/move": "POST"}.get(path)
+        if allowed_method is None:
             return None
-        if method != wanted:
-            return Answer.error(405, f"only {wanted} is allowed here")
+        if method != allowed_method:
+            return Answer.error(405, f"only {allowed_method} is allowed here")
         if path == "/shares":
             return Answer(200, wire.encode(self.view()))
         try:
             if path == PATH:
-                return await self._answer(wire.decode(body, SharingMessage))  # type: ignore[arg-type]
-            return await self._order(wire.decode(body, MoveOrder))
+                return await self._handle_message(wire.decode(body, SharingMessage))  # type: ignore[arg-type]
+            return await self._handle_order(wire.decode(body, MoveOrder))
         except wire.WireError as error:
             self.malformed += 1
-            log.info("malformed message about shares: %s", error)
+            log.info("malformed sharing message or move request: %s", error)
             return Answer.error(400, str(error))
 
-    async def _answer(self, message: SharingMessage) -> Answer:
-        """Answer another controller."""
+    async def _handle_message(self, message: SharingMessage) -> Answer:
+        """Answer a message of another controller."""
         host = self._host
-        if isinstance(message, Status):
-            return Answer(200, wire.encode(host.duties.take_status(message)))
-        if isinstance(message, LetGo):
-            return Answer(200, wire.encode(await host.transfers.let_go(message)))
+        if isinstance(message, ControllerStatus):
+            return Answer(200, wire.encode(host.coordinator_loops.handle_status(message)))
+        if isinstance(message, ReleaseRequest):
+            return Answer(200, wire.encode(await host.handoffs.release(message)))
         if isinstance(message, MoveRequest):
-            return Answer(200, wire.encode(await host.duties.move(message)))
-        return Answer.error(400, "not a question")
+            return Answer(200, wire.encode(await host.coordinator_loops.move(message)))
+        return Answer.error(400, "not a request")
 
-    async def _order(self, order: MoveOrder) -> Answer:
-        """Carry out an operator's order, or pass it on to the coordinator."""
+    async def _handle_order(self, order: MoveOrder) -> Answer:
+        """Carry out an operator's request, or forward it to the coordinator."""
         host = self._host
         request = MoveRequest(order.share, order.receiver)
         coordinator = host.coordinator
         if host.may_decide:
-            answer: SharingMessage = await host.duties.move(request)
+            response: SharingMessage = await host.coordinator_loops.move(request)
         elif coordinator is None or coordinator == host.platform.label:
             return Answer.error(503, "there is no coordinator now", retry_after_s=1)
         else:
             try:
-                answer = await self._client.send(coordinator, request, host.platform.report_s)
+                response = await self._client.send(coordinator, request, host.platform.report_s)
             except PeerError as error:
                 return Answer.error(503, f"the coordinator {coordinator}: {error}", retry_after_s=1)
-        if not isinstance(answer, MoveAnswer):
-            return Answer.error(503, "the coordinator's answer is not one", retry_after_s=1)
-        return Answer(200, b"{}") if answer.begun else Answer.error(409, answer.why)
+        if not isinstance(response, MoveResponse):
+            return Answer.error(503, "malformed response of the coordinator", retry_after_s=1)
+        return Answer(200, b"{}") if response.accepted else Answer.error(409, response.reason)
 
-    def view(self) -> SharesView:
-        """Return all shares as this controller sees them."""
+    def view(self) -> ShardsView:
+        """Return all shards as this controller sees them."""
         host = self._host
-        return SharesView(
+        return ShardsView(
             host.platform.label,
             host.coordinator,
             host.view.assignment is not None,
             host.view.refusal,
-            host.transfers.received,
-            host.transfers.last_took_s,
+            host.handoffs.acquired_count,
+            host.handoffs.last_move_s,
             host.process_lease.requests,
-            [self._row(share) for share in sorted(host.engines) if host.is_set_up(share)],
+            [self._row(shard) for shard in sorted(host.engines) if host.is_serving(shard)],
         )
 
-    def _row(self, share: int) -> ShareRow:
+    def _row(self, shard: int) -> ShardRow:
         host = self._host
-        engine, assignment = host.engines[share], host.view.assignment
+        engine, assignment = host.engines[shard], host.view.assignment
         scheduler = engine.active_term.scheduler
-        move = assignment.move_of(share) if assignment is not None else None
-        return ShareRow(
-            share,
-            assignment.owner(share) if assignment is not None else None,
+        move = assignment.move_of(shard) if assignment is not None else None
+        return ShardRow(
+            shard,
+            assignment.owner(shard) if assignment is not None else None,
             engine.leader,
             engine.election.leader_fencing_token,
-            host.transfers.state(share).value,
+            host.handoffs.state(shard).value,
             len(scheduler.cluster.machines) if scheduler is not None else None,
-            move.receiver if move is not None else None,
-            host.duties.coordinator.refusals.get(share),
+            move.target if move is not None else None,
+            host.coordinator_loops.coordinator.refusals.get(shard),
         )
--- a/tests/sharing_simulation.py
+++ b/tests/sharing_simulation.py
@@ -9,9 +9,9 @@
 from driftcleat import wire
 from driftcleat.net import SocketBudget
 from driftcleat.settings import Platform, Tuning
-from driftcleat.sharing.allotments import Allotment, limit_of
-from driftcleat.sharing.host import SharingHost
-from driftcleat.sharing.keys import ALLOTMENTS, ASSIGNMENT, MACHINES, share_root
+from driftcleat.sharing.host import ShardHost
+from driftcleat.sharing.keys import ALLOCATIONS_PREFIX, ASSIGNMENT_KEY, MACHINE_SHARDS_PREFIX, shard_prefix
+from driftcleat.sharing.quota import QuotaAllocation, team_limit
 from driftcleat.sharing.settings import SharingSettings
 from driftcleat.store.keys import LEADER_KEY, ROOT_PREFIX
 
@@ -29,7 +29,7 @@
 SHARD_COUNT = 3
 
 
-class SimulatedShardHost(SharingHost):
+class SimulatedShardHost(ShardHost):
     """A real shard host whose clients and listeners use no sockets."""
 
     def __init__(self, simulation: "ShardedSimulation", platform: Platform, rng: random.Random) -> None:
@@ -83,7 +83,7 @@
         super().crash(*labels)
 
     def is_up(self, label: str) -> bool:
-        return label in self.processes and self.controllers[label].is_set_up(0)
+        return label in self.processes and self.controllers[label].is_serving(0)
 
     def leader_label(self) -> str | None:
         return next((label for label in sorted(self.processes) if self.controllers[label].may_decide), None)
@@ -96,7 +96,9 @@
 
     def all_shards_led(self) -> bool:
         """Return whether shards are assigned and each has a leader."""
-        return ASSIGNMENT in self.store.data and all(self.shard_leader(shard) for shard in range(self.sharing.shares))
+        return ASSIGNMENT_KEY in self.store.data and all(
+            self.shard_leader(shard) for shard in range(self.sharing.shares)
+        )
 
     async def wait_until_ready(self) -> None:
         """Wait until shards are assigned and each has a leader."""
@@ -121,7 +123,7 @@
 
     def assignment(self) -> Any:
         """Return the shard assignment in the store as decoded JSON."""
-        return self.store.data[ASSIGNMENT][0]
+        return self.store.data[ASSIGNMENT_KEY][0]
 
     # Invariants
 
@@ -130,18 +132,18 @@
         for shard in range(self.sharing.shares):
             self.shard_leader(shard)
         for key, (value, _) in self.store.data.items():
-            if key.startswith(MACHINES):
-                name = key[len(MACHINES) :]
+            if key.startswith(MACHINE_SHARDS_PREFIX):
+                name = key[len(MACHINE_SHARDS_PREFIX) :]
                 if self.machine_shards.setdefault(name, value) != value:
                     raise InvariantViolationError(
                         f"two owners: {name} moved from shard {self.machine_shards[name]} to {value}"
                     )
-            elif key.startswith(ALLOTMENTS):
-                self._check_quota_allocation(key[len(ALLOTMENTS) :], value)
+            elif key.startswith(ALLOCATIONS_PREFIX):
+                self._check_quota_allocation(key[len(ALLOCATIONS_PREFIX) :], value)
 
     def _check_quota_allocation(self, team: str, value: Any) -> None:
-        total = wire.convert(value, Allotment).total()
-        if not limit_of(self.platform.teams[team]).covers(total):
+        total = wire.convert(value, QuotaAllocation).total()
+        if not team_limit(self.platform.teams[team]).covers(total):
             raise InvariantViolationError(f"quota: allocations of {team} add up to {total}")
 
     def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
@@ -151,11 +153,11 @@
             (
                 shard
                 for shard in range(self.sharing.shares)
-                if f"{share_root(shard)}jobs/{task.job.id}" in self.store.data
+                if f"{shard_prefix(shard)}jobs/{task.job.id}" in self.store.data
             ),
             None,
         )
-        machine_shard = self.store.data.get(MACHINES + worker.name, (None, 0))[0]
+        machine_shard = self.store.data.get(MACHINE_SHARDS_PREFIX + worker.name, (None, 0))[0]
         if home_shard is not None and machine_shard is not None and machine_shard != home_shard:
             self.failure = InvariantViolationError(
                 f"two owners: {worker.name} of shard {machine_shard} runs {task.job.id} of shard {home_shard}"
@@ -169,4 +171,4 @@
 
 def leader_key(shard: int) -> str:
     """Return the store key of a shard's leader."""
-    return LEADER_KEY if shard == 0 else share_root(shard) + LEADER_KEY[len(ROOT_PREFIX) :]
+    return LEADER_KEY if shard == 0 else shard_prefix(shard) + LEADER_KEY[len(ROOT_PREFIX) :]
