--- a/driftcleat/capacity/candidate_pool.py
+++ b/driftcleat/capacity/candidate_pool.py
@@ -5,11 +5,11 @@
 from typing import NamedTuple
 
 from driftcleat.capacity.demand import Demand
-from driftcleat.placement.candidates import Candidate, allowed
+from driftcleat.placement.candidates import Candidate, satisfies_constraints
 from driftcleat.wire.users import JobSpec
 
 # Free amounts that are equal to so many decimal places are alike.
-ALIKE_DIGITS = 4
+FREE_RESOURCE_DECIMALS = 4
 
 # Machine type, zone, spot, busy, free processors, GPUs and memory; and the name of a machine on which tasks failed,
 # which is alike to no other. A plain tuple, since a named one takes longer to create: one for each machine in a plan.
@@ -50,9 +50,9 @@
             candidate.zone,
             candidate.spot,
             candidate.busy,
-            round(candidate.cpus, ALIKE_DIGITS),
-            round(candidate.gpus, ALIKE_DIGITS),
-            round(candidate.memory_gb, ALIKE_DIGITS),
+            round(candidate.cpus, FREE_RESOURCE_DECIMALS),
+            round(candidate.gpus, FREE_RESOURCE_DECIMALS),
+            round(candidate.memory_gb, FREE_RESOURCE_DECIMALS),
             candidate.name if candidate.failed_jobs else "",
         )
         group = self.groups.get(key)
@@ -61,17 +61,17 @@
         else:
             group.names.extend(names)
 
-    def capacity(self, spec: JobSpec, zone: str, max_tasks: int) -> int:
+    def task_capacity(self, spec: JobSpec, zone: str, max_tasks: int) -> int:
         """Return how many tasks of this shape fit into the candidates of a zone, up to `max_tasks`."""
         count = 0
         for candidate, names in self.groups.values():
-            if candidate.zone == zone and allowed(spec, candidate.machine_type, zone, candidate.spot):
-                count += len(names) * candidate.capacity(spec, max_tasks)
+            if candidate.zone == zone and satisfies_constraints(spec, candidate.machine_type, zone, candidate.spot):
+                count += len(names) * candidate.task_capacity(spec, max_tasks)
                 if count >= max_tasks:
                     return max_tasks
         return count
 
-    def fill(self, demand: Demand, used: set[str]) -> None:
+    def pack(self, demand: Demand, used: set[str]) -> None:
         """Pack a demand into the candidates, and add the names of those that it uses to `used`.
 
         Machines in use come first, then those where a task costs least, then the tightest: what stays empty can be
@@ -83,7 +83,7 @@
                 return
             candidate, names = self.groups[key]
             max_tasks = min(demand.tasks, demand.room_in_zone(candidate.zone))
-            per_machine = candidate.capacity(spec, max_tasks) if max_tasks > 0 else 0
+            per_machine = candidate.task_capacity(spec, max_tasks) if max_tasks > 0 else 0
             if per_machine <= 0:
                 continue
             filled = min(len(names), max_tasks // per_machine)
--- a/driftcleat/capacity/demand.py
+++ b/driftcleat/capacity/demand.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from driftcleat.placement.candidates import Candidate, share
+from driftcleat.placement.candidates import Candidate, dominant_share
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.users import JobSpec
 
@@ -38,7 +38,8 @@
             spec = self.spec
             self._cost = min(
                 (
-                    machine_type.price * share(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+                    machine_type.price
+                    * dominant_share(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
                     for machine_type in machine_types.values()
                     if spec.machine_types is None or machine_type.name in spec.machine_types
                 ),
@@ -50,7 +51,7 @@
         """Tell whether the tasks may use a candidate, if they fit there."""
         spec = self.spec
         return (
-            candidate.allows(spec)
+            candidate.satisfies_constraints(spec)
             and spec.id not in candidate.failed_jobs
             and (self.required_zone is None or candidate.zone == self.required_zone)
         )
@@ -67,7 +68,7 @@
         if not self.may_use(candidate):
             return 0
         max_tasks = min(self.tasks, self.room_in_zone(candidate.zone))
-        packed = candidate.capacity(spec, max_tasks) if max_tasks > 0 else 0
+        packed = candidate.task_capacity(spec, max_tasks) if max_tasks > 0 else 0
         if packed <= 0:
             return 0
         candidate.allocate(spec, packed)
--- a/driftcleat/capacity/sizing.py
+++ b/driftcleat/capacity/sizing.py
@@ -7,11 +7,11 @@
 from driftcleat.capacity.candidate_pool import CandidatePool
 from driftcleat.capacity.demand import Demand
 from driftcleat.placement.candidates import (
-    FETCH_SPEED_WEIGHT,
+    FETCH_RATE_EXPONENT,
     Candidate,
-    allowed,
-    capacity,
     latency_sensitive,
+    satisfies_constraints,
+    task_capacity,
 )
 from driftcleat.wire.cloud import MachineType
 
@@ -66,8 +66,8 @@
         spec = demand.spec
         return any(
             zone in machine_type.zones
-            and allowed(spec, machine_type.name, zone, spot)
-            and capacity(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb, 1)
+            and satisfies_constraints(spec, machine_type.name, zone, spot)
+            and task_capacity(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb, 1)
             and not self.is_refused(MachineOffer(machine_type.name, zone, spot))
             for machine_type in self.machine_types.values()
             for spot in (True, False)
@@ -90,7 +90,7 @@
     for demand in demands:
         if demand.spec.single_zone:
             demand.required_zone = _choose_zone(demand, pool, offers)
-        pool.fill(demand, plan.machines_in_use)
+        pool.pack(demand, plan.machines_in_use)
         if demand.tasks > 0:
             unmet.append(demand)
     rented = 0
@@ -132,7 +132,7 @@
     best: str | None = None
     best_rank = (0, 0)
     for zone in zones:
-        lacking = demand.tasks - pool.capacity(demand.spec, zone, demand.tasks)
+        lacking = demand.tasks - pool.task_capacity(demand.spec, zone, demand.tasks)
         if lacking > 0 and not offers.can_hold(demand, zone):
             continue
         rank = (lacking, offers.controllers_elsewhere(zone))
@@ -175,7 +175,7 @@
         if (candidate.gpus > 0 or candidate.cpus > 0) and (tasks := demand.pack_into(candidate, dry_run=True)):
             packed += tasks
             speed = (
-                (machine_type.fetch_gb_per_s / fastest_gb_per_s) ** FETCH_SPEED_WEIGHT
+                (machine_type.fetch_gb_per_s / fastest_gb_per_s) ** FETCH_RATE_EXPONENT
                 if latency_sensitive(demand.spec)
                 else 1.0
             )
--- a/driftcleat/cluster/batch.py
+++ b/driftcleat/cluster/batch.py
@@ -7,9 +7,9 @@
 from driftcleat.cluster.jobs import Job, JobState, TaskPlacement, TaskState, transition_job, transition_task
 
 # Upper bounds of what is written, in bytes: a record's head, each range or placement in it, and a deleted key.
-HEAD_BYTES = 2600
-ENTRY_BYTES = 110
-DELETE_BYTES = 256
+MAX_HEAD_BYTES = 2600
+MAX_ENTRY_BYTES = 110
+MAX_DELETE_BYTES = 256
 # A head's size is estimated with at most this many placements.
 MAX_PLACEMENTS_IN_ESTIMATE = 64
 
@@ -104,28 +104,28 @@
             operations = max(operations, 2)
         return self._budget.fits_job(job.id, operations, self._change_bytes(job, 1))
 
-    def has_room(self, job: Job, entries: int = 1, chunks: int = 0, ends: bool = False) -> bool:
-        """Whether a change of a job's head and of that many tasks still fits; `ends` if it may end the job.
+    def has_room(self, job: Job, entries: int = 1, chunks: int = 0, may_end_job: bool = False) -> bool:
+        """Whether a change of a job's head and of that many tasks still fits; `may_end_job` if it may end the job.
 
         `chunks` counts the records beside the head that it opens or has opened in this batch.
         """
         if self.must_migrate_first(job):
             return False
-        operations = max(1 + max(chunks, len(self.changed_chunks.get(job.id, ()))), 2 if ends else 0)
+        operations = max(1 + max(chunks, len(self.changed_chunks.get(job.id, ()))), 2 if may_end_job else 0)
         return self._budget.fits_job(job.id, operations, self._change_bytes(job, entries))
 
     def has_room_for_keys(self, count: int = 1) -> bool:
         """Whether that many small keys still fit."""
-        return self._budget.fits(count, count * HEAD_BYTES)
+        return self._budget.fits(count, count * MAX_HEAD_BYTES)
 
     def _change_bytes(self, job: Job, entries: int) -> int:
         """Return the bytes that a change of that many tasks may add."""
         head = (
             0
             if job.id in self.changed_jobs
-            else HEAD_BYTES + ENTRY_BYTES * min(len(job.placements), MAX_PLACEMENTS_IN_ESTIMATE)
+            else MAX_HEAD_BYTES + MAX_ENTRY_BYTES * min(len(job.placements), MAX_PLACEMENTS_IN_ESTIMATE)
         )
-        return head + entries * ENTRY_BYTES
+        return head + entries * MAX_ENTRY_BYTES
 
     def _charge(self, job_id: str) -> None:
         """Charge the operations of a job as it stands: its records, or its final state and their removal."""
@@ -180,7 +180,7 @@
         transition_task(job, index, to, placement)
         after = placement if to is TaskState.PLACED else None
         self.task_transitions.append(TaskTransition(job_id, index, before, after))
-        self._budget.charge_bytes(ENTRY_BYTES)
+        self._budget.charge_bytes(MAX_ENTRY_BYTES)
 
     def migrate_job(self, job_id: str, split: int, versions: dict[int, int]) -> None:
         """Write a job's head with `split` tasks per record; its chunks are written already, or in this batch."""
@@ -215,9 +215,9 @@
     def put(self, key: str, value: object) -> None:
         """Write a small key that is not a job's."""
         self.puts[key] = value
-        self._budget.charge(1, HEAD_BYTES)
+        self._budget.charge(1, MAX_HEAD_BYTES)
 
     def delete(self, key: str) -> None:
         """Remove a key that is not a job's record."""
         self.deletes.append(key)
-        self._budget.charge(1, DELETE_BYTES)
+        self._budget.charge(1, MAX_DELETE_BYTES)
--- a/driftcleat/cluster/dependencies.py
+++ b/driftcleat/cluster/dependencies.py
@@ -19,7 +19,7 @@
 
     level: int = LOWEST_LEVEL
     deadline: float = NO_DEADLINE
-    run_s: float = 0.0
+    estimated_run_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,5 +137,7 @@
             if inherited is not None:
                 dependent_own = self._own[dependent]
                 level = min(level, inherited.level)
-                deadline = min(deadline, min(dependent_own.deadline, inherited.deadline) - dependent_own.run_s)
+                deadline = min(
+                    deadline, min(dependent_own.deadline, inherited.deadline) - dependent_own.estimated_run_s
+                )
         return InheritedPriority(level, deadline)
--- a/driftcleat/placement/candidates.py
+++ b/driftcleat/placement/candidates.py
@@ -9,7 +9,7 @@
 # Sums of decimal amounts differ in their last digits; no real request is this small.
 ROUNDING_TOLERANCE = 1e-6
 # The power of the fetch rate by which the cost of a latency-sensitive replica is divided.
-FETCH_SPEED_WEIGHT = 2
+FETCH_RATE_EXPONENT = 2
 
 
 class Resources(NamedTuple):
@@ -54,24 +54,26 @@
         """Tell whether a task fits into the free resources."""
         return fits(spec, self.cpus, self.gpus, self.memory_gb)
 
-    def allows(self, spec: JobSpec) -> bool:
+    def satisfies_constraints(self, spec: JobSpec) -> bool:
         """Tell whether a job allows this machine's type, its zone, and spot if it is one."""
-        return allowed(spec, self.machine_type, self.zone, self.spot)
+        return satisfies_constraints(spec, self.machine_type, self.zone, self.spot)
 
-    def capacity(self, spec: JobSpec, max_tasks: int) -> int:
+    def task_capacity(self, spec: JobSpec, max_tasks: int) -> int:
         """Return how many tasks fit into the free resources, up to `max_tasks`."""
-        return capacity(spec, self.cpus, self.gpus, self.memory_gb, max_tasks)
+        return task_capacity(spec, self.cpus, self.gpus, self.memory_gb, max_tasks)
 
-    def share_cost(self, spec: JobSpec) -> float:
+    def dominant_share_cost(self, spec: JobSpec) -> float:
         """Return the part of the machine's price that a task's dominant resource takes, per hour."""
-        return self.price * share(spec, self.total_cpus, self.total_gpus, self.total_memory_gb)
+        return self.price * dominant_share(spec, self.total_cpus, self.total_gpus, self.total_memory_gb)
 
     def fetch_weighted_cost(self, spec: JobSpec) -> float:
-        """Return `share_cost`; for a latency-sensitive replica, the higher the slower this machine fetches images.
+        """Return `dominant_share_cost`; for a latency-sensitive replica, the higher the slower this machine fetches.
 
         Guards against replicas whose start was delayed by half as much again, to save a fifth of the price.
         """
-        return self.share_cost(spec) / (self.fetch_gb_per_s**FETCH_SPEED_WEIGHT if latency_sensitive(spec) else 1.0)
+        return self.dominant_share_cost(spec) / (
+            self.fetch_gb_per_s**FETCH_RATE_EXPONENT if latency_sensitive(spec) else 1.0
+        )
 
     def allocate(self, spec: JobSpec, tasks: int = 1) -> None:
         """Take the resources of that many tasks; the image counts as being fetched unless it is cached."""
@@ -100,7 +102,7 @@
     return spec.kind is JobKind.SERVICE and spec.priority is Priority.CRITICAL
 
 
-def allowed(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
+def satisfies_constraints(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
     """Tell whether a job allows machines of this type in this zone, spot or on-demand."""
     return (
         (spec.machine_types is None or type_name in spec.machine_types)
@@ -118,7 +120,7 @@
     )
 
 
-def share(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> float:
+def dominant_share(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> float:
     """Return the part of these resources that a task takes, by its dominant resource."""
     return max(
         (
@@ -130,7 +132,7 @@
     )
 
 
-def capacity(spec: JobSpec, cpus: float, gpus: float, memory_gb: float, max_tasks: int) -> int:
+def task_capacity(spec: JobSpec, cpus: float, gpus: float, memory_gb: float, max_tasks: int) -> int:
     """Return how many tasks fit into these resources, up to `max_tasks`."""
     count = max_tasks
     for needed, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
--- a/driftcleat/placement/placement_round.py
+++ b/driftcleat/placement/placement_round.py
@@ -9,7 +9,7 @@
 from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.wire.users import JobSpec
 
-UNBOUNDED = 1_000_000
+ANY_FETCH_RANK = 1_000_000
 
 # The cost of one task by machine type, spot or on-demand, and whether its image must be fetched. The keys are plain
 # tuples: one is made for each scored candidate, and a named tuple takes several times as long to create.
@@ -57,7 +57,7 @@
         self.unplaceable: set[TaskShape] = set()
 
     def place(
-        self, job: Job, quota: QuotaHeadroom, max_tasks: int, max_fetch_rank: int = UNBOUNDED
+        self, job: Job, quota: QuotaHeadroom, max_tasks: int, max_fetch_rank: int = ANY_FETCH_RANK
     ) -> list[TaskAssignment]:
         """Return assignments for queued tasks of a job; candidates and quota are used up by them.
 
@@ -125,8 +125,12 @@
         """Return the zones with room for all tasks: most controllers first, then most room, then by name."""
         room: dict[str, int] = {}
         for candidate in self.candidates:
-            if candidate.fits(spec) and candidate.reserved_for in (None, spec.id) and candidate.allows(spec):
-                room[candidate.zone] = room.get(candidate.zone, 0) + candidate.capacity(spec, tasks)
+            if (
+                candidate.fits(spec)
+                and candidate.reserved_for in (None, spec.id)
+                and candidate.satisfies_constraints(spec)
+            ):
+                room[candidate.zone] = room.get(candidate.zone, 0) + candidate.task_capacity(spec, tasks)
         controllers_elsewhere = {candidate.zone: candidate.controllers_elsewhere for candidate in self.candidates}
         sufficient = (zone for zone, count in room.items() if count >= tasks)
         return [*sorted(sufficient, key=lambda zone: (controllers_elsewhere[zone], -room[zone], zone))]
@@ -158,7 +162,7 @@
         spec: JobSpec,
         zone: str | None,
         spread_permits: Callable[[Candidate], bool],
-        max_fetch_rank: int = UNBOUNDED,
+        max_fetch_rank: int = ANY_FETCH_RANK,
     ) -> Candidate | None:
         """Return the best fit among the first sample of feasible candidates, from a random start on.
 
@@ -210,7 +214,7 @@
 
 def _filter(spec: JobSpec, zone: str | None, candidate: Candidate) -> bool:
     """Tell whether the constraints on machine type, zone and spot permit a candidate: part of the task's shape."""
-    return candidate.allows(spec) and (zone is None or candidate.zone == zone)
+    return candidate.satisfies_constraints(spec) and (zone is None or candidate.zone == zone)
 
 
 def _filter_for_job(spec: JobSpec, candidate: Candidate, max_fetch_rank: int) -> bool:
@@ -232,7 +236,9 @@
     kind = (candidate.machine_type, candidate.spot, fetch_rank > 0)
     cost = costs.get(kind)
     if cost is None:
-        cost = costs[kind] = candidate.fetch_weighted_cost(spec) if fetch_rank else candidate.share_cost(spec)
+        cost = costs[kind] = (
+            candidate.fetch_weighted_cost(spec) if fetch_rank else candidate.dominant_share_cost(spec)
+        )
     return (
         float(fetch_rank),
         cost,
--- a/driftcleat/placement/preemption_plan.py
+++ b/driftcleat/placement/preemption_plan.py
@@ -24,7 +24,7 @@
     if (
         spec.id in candidate.failed_jobs
         or candidate.reserved_for not in (None, spec.id)
-        or not candidate.allows(spec)
+        or not candidate.satisfies_constraints(spec)
     ):
         return None
     cpus = candidate.cpus
--- a/driftcleat/scheduler/admission.py
+++ b/driftcleat/scheduler/admission.py
@@ -101,7 +101,7 @@
                 if batch.must_migrate_first(job):
                     postponed.append(self._cancellations.popleft())
                     continue
-                if not batch.has_room(job, ends=True):
+                if not batch.has_room(job, may_end_job=True):
                     break
                 batch.cancel_job(request.job_id, self._wall())
             self._take_first(self._cancellations, batch, request.job_id)
@@ -113,7 +113,7 @@
             job = batch.job(job_id)
             if job is None or job.state is not JobState.ACTIVE or batch.must_migrate_first(job):
                 continue
-            if not batch.has_room(job, ends=True):
+            if not batch.has_room(job, may_end_job=True):
                 return
             batch.cancel_job(job_id, self._wall())
 
--- a/driftcleat/scheduler/consolidation.py
+++ b/driftcleat/scheduler/consolidation.py
@@ -115,7 +115,7 @@
             candidate
             for candidate in candidates
             if candidate.fits(spec)
-            and candidate.allows(spec)
+            and candidate.satisfies_constraints(spec)
             and candidate.fetch_rank(spec.image) == 0
             and counts.get(candidate.zone, 0) < spread_limit(spec)
         ),
--- a/driftcleat/scheduler/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -44,7 +44,7 @@
         if log.isEnabledFor(logging.DEBUG):
             log.debug("demand by class: %s", [(demand.spec.job_class, demand.tasks) for demand in demands])
         zones = {zone for machine_type in self._cluster.machine_types.values() for zone in machine_type.zones}
-        partitioned = {zone for zone in zones if failures.partitioned_now(zone)}
+        partitioned = {zone for zone in zones if failures.is_partitioned_now(zone)}
 
         def is_refused(offer: MachineOffer) -> bool:
             return self._scale_out.is_refused(offer, now) or offer.zone in partitioned
--- a/driftcleat/scheduler/eligibility.py
+++ b/driftcleat/scheduler/eligibility.py
@@ -1,6 +1,6 @@
 """Eligibility: whether a job could ever run on the machine types that the cloud offers."""
 
-from driftcleat.placement.candidates import ROUNDING_TOLERANCE, allowed, fits, spread_limit
+from driftcleat.placement.candidates import ROUNDING_TOLERANCE, fits, satisfies_constraints, spread_limit
 from driftcleat.settings import Platform, Team
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.users import JobKind, JobSpec
@@ -21,7 +21,7 @@
     ]
     if not any(
         fits(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-        and any(allowed(spec, machine_type.name, zone, False) for zone in machine_type.zones)
+        and any(satisfies_constraints(spec, machine_type.name, zone, False) for zone in machine_type.zones)
         for machine_type in allowed_types
     ):
         return "cores: a task fits no allowed machine type"
@@ -36,7 +36,7 @@
         zone
         for machine_type in allowed_types
         for zone in machine_type.zones
-        if allowed(spec, machine_type.name, zone, False)
+        if satisfies_constraints(spec, machine_type.name, zone, False)
     }
     if spec.tasks > spread_limit(spec) * (1 if spec.single_zone else len(zones)):
         return "spread: the tasks may not all be in the zones that are allowed"
--- a/driftcleat/scheduler/free_capacity.py
+++ b/driftcleat/scheduler/free_capacity.py
@@ -1,6 +1,6 @@
 """Free capacity: what the machines have free that are there, boot, or were requested."""
 
-from driftcleat.capacity.candidate_pool import ALIKE_DIGITS, CandidatePool
+from driftcleat.capacity.candidate_pool import FREE_RESOURCE_DECIMALS, CandidatePool
 from driftcleat.cluster import MachineState
 from driftcleat.placement.candidates import ROUNDING_TOLERANCE, Candidate
 from driftcleat.scheduler.context import SchedulerContext
@@ -32,9 +32,9 @@
                 machine.zone,
                 machine.spot,
                 bool(machine.tasks),
-                round(cpus, ALIKE_DIGITS),
-                round(gpus, ALIKE_DIGITS),
-                round(machine_type.memory_gb - machine.used_memory_gb, ALIKE_DIGITS),
+                round(cpus, FREE_RESOURCE_DECIMALS),
+                round(gpus, FREE_RESOURCE_DECIMALS),
+                round(machine_type.memory_gb - machine.used_memory_gb, FREE_RESOURCE_DECIMALS),
                 machine.name if machine.failed_jobs else "",
             )
             if not pool.add_to_group(key, machine.name):
--- a/driftcleat/scheduler/gang_preemption.py
+++ b/driftcleat/scheduler/gang_preemption.py
@@ -1,7 +1,7 @@
 """Gang preemption: room for all tasks of a gang at once, in the zone where that costs least."""
 
 from driftcleat.cluster import Batch, Job, Machine
-from driftcleat.placement.candidates import allowed, fits
+from driftcleat.placement.candidates import fits, satisfies_constraints
 from driftcleat.placement.preemption_plan import PreemptionPlan
 from driftcleat.scheduler.context import SchedulerContext
 from driftcleat.scheduler.machine_candidates import MachineCandidates
@@ -73,7 +73,7 @@
             if (
                 machine_type is not None
                 and fits(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-                and allowed(spec, machine_type.name, machine.zone, machine.spot)
+                and satisfies_constraints(spec, machine_type.name, machine.zone, machine.spot)
                 and self._candidates.takes_tasks(machine, now)
             ):
                 by_zone.setdefault(machine.zone if spec.single_zone else "", []).append(machine)
--- a/driftcleat/scheduler/placement_pass.py
+++ b/driftcleat/scheduler/placement_pass.py
@@ -4,8 +4,8 @@
 
 from driftcleat.capacity.sizing import MachineOffer
 from driftcleat.cluster import Batch, Job, JobState, MachineState, TaskPlacement, TaskState
-from driftcleat.placement.candidates import Resources, allowed, fits
-from driftcleat.placement.placement_round import UNBOUNDED, PlacementRound, TaskAssignment
+from driftcleat.placement.candidates import Resources, fits, satisfies_constraints
+from driftcleat.placement.placement_round import ANY_FETCH_RANK, PlacementRound, TaskAssignment
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.machine_candidates import MachineCandidates
 from driftcleat.scheduler.pacing import RoundPacing
@@ -204,7 +204,7 @@
         """Return the highest fetch rank at which a job's tasks are placed: see `PlacementRound.place`."""
         if self._preemption.waits_for_image(job, now):
             return RANK_CACHED
-        return RANK_ALONE if self._should_await_booting(job) else UNBOUNDED
+        return RANK_ALONE if self._should_await_booting(job) else ANY_FETCH_RANK
 
     def _should_await_booting(self, job: Job) -> bool:
         """Tell whether a booting machine is likely better than one that fetches another image.
@@ -215,7 +215,7 @@
             machine_type = self._cluster.machine_types.get(offer.machine_type)
             if (
                 machine_type is not None
-                and allowed(job.spec, offer.machine_type, offer.zone, offer.spot)
+                and satisfies_constraints(job.spec, offer.machine_type, offer.zone, offer.spot)
                 and fits(job.spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
             ):
                 return self._queued_s(job) < machine_type.boot_s * self._tuning.image_wait_boot_times
--- a/driftcleat/scheduler/preemption.py
+++ b/driftcleat/scheduler/preemption.py
@@ -145,8 +145,8 @@
     spec = job.spec
     counts = job.placements_by_zone()
     for candidate in state.placement_round.candidates:
-        if candidate.fetch_rank(spec.image) == 0 and candidate.allows(spec):
+        if candidate.fetch_rank(spec.image) == 0 and candidate.satisfies_constraints(spec):
             in_zone = counts.get(candidate.zone, 0)
-            more = candidate.capacity(spec, spread_limit(spec) - in_zone)
+            more = candidate.task_capacity(spec, spread_limit(spec) - in_zone)
             counts[candidate.zone] = in_zone + more
     return counts
--- a/driftcleat/scheduler/presumed_lost_demand.py
+++ b/driftcleat/scheduler/presumed_lost_demand.py
@@ -27,8 +27,8 @@
         lost_tasks: dict[str, int] = {}
         for machine in self._cluster.machines.values():
             if (
-                failures.correlated(machine.zone)
-                and not failures.partitioned(machine.zone)
+                failures.is_correlated(machine.zone)
+                and not failures.is_partitioned(machine.zone)
                 and self._reachability.is_running(machine)
                 and self._reachability.silent_s(machine, now) > self._platform.lease_s
             ):
--- a/driftcleat/scheduler/queued_demand.py
+++ b/driftcleat/scheduler/queued_demand.py
@@ -2,7 +2,7 @@
 
 from driftcleat.capacity.demand import Demand
 from driftcleat.cluster import Job
-from driftcleat.placement.candidates import capacity, latency_sensitive
+from driftcleat.placement.candidates import latency_sensitive, task_capacity
 from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.queue import JobQueue
@@ -78,4 +78,4 @@
     """Return for how many of a job's queued tasks its team's quota leaves headroom; a gang gets all or none."""
     if job.is_gang:
         return job.tasks_queued if quota.fits(job.spec, job.tasks_queued) else 0
-    return capacity(job.spec, quota.cpus, quota.gpus, INFINITE, job.tasks_queued)
+    return task_capacity(job.spec, quota.cpus, quota.gpus, INFINITE, job.tasks_queued)
--- a/driftcleat/scheduler/reachability.py
+++ b/driftcleat/scheduler/reachability.py
@@ -60,7 +60,7 @@
             tuning.correlated_failure_share,
         )
         # A machine heard since then is not silent: a cheap test first, since by far the most are like that.
-        heard_since = now - failures.counted_s
+        heard_since = now - failures.suspicion_timeout_s
         silent: dict[str, int] = {}
         known: dict[str, int] = {}
         for machine in self._cluster.machines.values():
@@ -68,16 +68,16 @@
                 continue
             known[machine.zone] = known.get(machine.zone, 0) + 1
             heard = machine.last_heartbeat is not None and machine.last_heartbeat_at >= heard_since
-            if not heard and self.silent_s(machine, now) > failures.counted_s:
+            if not heard and self.silent_s(machine, now) > failures.suspicion_timeout_s:
                 silent[machine.zone] = silent.get(machine.zone, 0) + 1
         for zone, count in known.items():
-            failures.count_all(zone, silent.get(zone, 0), count)
+            failures.add_machines(zone, silent.get(zone, 0), count)
         # A machine that only records know counts once, in the zone of its first placement.
         for placements in self._cluster.unconfirmed_placements.values():
             for placement in placements.values():
-                failures.count(placement.zone, now - self._cluster.started_at)
+                failures.add_machine(placement.zone, now - self._cluster.started_at)
                 break
-        failures.remember(self._failures_until, now)
+        failures.retain_recent_failures(self._failures_until, now)
         return failures
 
     def likely_unreachable(self, machine: Machine, now: float) -> bool:
@@ -106,7 +106,7 @@
         return {
             name
             for name, placements in self._cluster.unconfirmed_placements.items()
-            if silent_s > max(failures.tolerated_s(placement.zone) for placement in placements.values())
+            if silent_s > max(failures.heartbeat_timeout_s(placement.zone) for placement in placements.values())
             or (self._listed is not None and name not in self._listed and silent_s > self._listed_after_s)
         }
 
--- a/driftcleat/scheduler/scale_in.py
+++ b/driftcleat/scheduler/scale_in.py
@@ -73,7 +73,7 @@
             and bool(machine.tasks)
             and not machine.unacknowledged_responses
             and machine.last_heartbeat is not None
-            and now - machine.last_heartbeat_at <= failures.alone_s
+            and now - machine.last_heartbeat_at <= failures.isolated_timeout_s
         )
 
     def _is_surplus(self, machine: Machine, view: FleetView) -> bool:
@@ -84,8 +84,8 @@
                 and now - machine.created_at > self._boot_s(machine) * self._tuning.boot_timeout_boot_times
             )
         silent_s = self._reachability.silent_s(machine, now)
-        if silent_s > view.failures.alone_s:
-            given_up = silent_s > view.failures.tolerated_s(machine.zone) or machine.name in view.replaceable
+        if silent_s > view.failures.isolated_timeout_s:
+            given_up = silent_s > view.failures.heartbeat_timeout_s(machine.zone) or machine.name in view.replaceable
             return view.settled and given_up
         if machine.state is MachineState.BOOTING:
             return False
@@ -129,9 +129,11 @@
             machine
             for machine in self._cluster.machines.values()
             if self._reachability.is_running(machine)
-            and failures.correlated(machine.zone)
-            and not (failures.partitioned(machine.zone) and self._platform.controllers_in(machine.zone))
-            and failures.alone_s < self._reachability.silent_s(machine, now) <= failures.correlated_s
+            and failures.is_correlated(machine.zone)
+            and not (failures.is_partitioned(machine.zone) and self._platform.controllers_in(machine.zone))
+            and failures.isolated_timeout_s
+            < self._reachability.silent_s(machine, now)
+            <= failures.correlated_timeout_s
         ]
         if not silent:
             return set()
@@ -148,7 +150,7 @@
                 (
                     candidate
                     for candidate in by_image.get(spec.image, ())
-                    if candidate.fits(spec) and candidate.allows(spec)
+                    if candidate.fits(spec) and candidate.satisfies_constraints(spec)
                 ),
                 None,
             )
--- a/driftcleat/store/layout.py
+++ b/driftcleat/store/layout.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from driftcleat import wire
-from driftcleat.cluster.batch import ENTRY_BYTES, HEAD_BYTES
+from driftcleat.cluster.batch import MAX_ENTRY_BYTES, MAX_HEAD_BYTES
 from driftcleat.cluster.jobs import Job, TaskPlacement, TaskState
 from driftcleat.store.index_ranges import format_ranges
 from driftcleat.store.records import ChunkRecord, JobRecord, PlacementRow
@@ -42,7 +42,7 @@
         self.first_value_bytes = first_value_bytes if first_value_bytes is not None else value_bytes
         self.first_txn_ops = first_txn_ops if first_txn_ops is not None else txn_ops
         self.version_2_active = False
-        self._version_1_tasks_per_record = max(1, (self.first_value_bytes - HEAD_BYTES) // ENTRY_BYTES)
+        self._version_1_tasks_per_record = max(1, (self.first_value_bytes - MAX_HEAD_BYTES) // MAX_ENTRY_BYTES)
         zone_bytes = max((len(wire.encode(zone)) for zone in zones), default=DEFAULT_ZONE_BYTES)
         self._row_bytes = ROW_BYTES_WITHOUT_ZONE + zone_bytes
 
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -22,7 +22,7 @@
 from driftcleat.leadership import Role
 from driftcleat.net import ConnectionLimiter, HttpAnswer, HttpError
 from driftcleat.peers import PeerClient
-from driftcleat.placement.candidates import allowed, fits
+from driftcleat.placement.candidates import fits, satisfies_constraints
 from driftcleat.settings import Tuning
 from driftcleat.settings.platform import Platform, parse_platform
 from driftcleat.store.client import StoreClient
@@ -637,7 +637,7 @@
     def _has_room(self, worker: PlainWorker, spec: JobSpec) -> bool:
         """Whether a machine fits a task and has room for it."""
         tasks = [task.job for task in worker.tasks.values() if task.state != "exited"]
-        return allowed(spec, worker.kind.name, worker.zone, worker.spot) and fits(
+        return satisfies_constraints(spec, worker.kind.name, worker.zone, worker.spot) and fits(
             spec,
             worker.kind.cpus - sum(job.cpus for job in tasks),
             worker.kind.gpus - sum(job.gpus for job in tasks),
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -9,7 +9,7 @@
 from driftcleat.capacity.demand import Demand
 from driftcleat.capacity.sizing import plan_fleet
 from driftcleat.cluster import ClusterState, Job, MachineState, apply_heartbeat, commands_for_heartbeat
-from driftcleat.placement.candidates import Candidate, allowed, capacity, fits, spread_limit
+from driftcleat.placement.candidates import Candidate, fits, satisfies_constraints, spread_limit, task_capacity
 from driftcleat.placement.placement_round import PlacementRound
 from driftcleat.placement.quota import QuotaHeadroom
 from driftcleat.scheduler import PendingRequest
@@ -311,7 +311,7 @@
     plan = plan_fleet([Demand(job(1, hands=4), 40, {})], [], {"dear": dear, "cheap": cheap}, lambda offer: False, 64)
     assert plan.scale_out == {("cheap", "north", False): 10}
     expected = Demand(job(1, hands=4), 40, {})
-    CandidatePool(Candidate(f"vm-{number}", "big", "north", False, 16.0, 4.0, 64.0) for number in range(10)).fill(
+    CandidatePool(Candidate(f"vm-{number}", "big", "north", False, 16.0, 4.0, 64.0) for number in range(10)).pack(
         expected, set()
     )
     assert expected.tasks == 0, "one zone may hold them all"
@@ -324,11 +324,11 @@
         zone_left = demand.tasks - taken
         if demand.max_per_zone is not None:
             zone_left = min(zone_left, demand.max_per_zone - demand.tasks_by_zone.get(room.zone, 0))
-        if not allowed(spec, room.machine_type, room.zone, room.spot) or not fits(
+        if not satisfies_constraints(spec, room.machine_type, room.zone, room.spot) or not fits(
             spec, room.cpus, room.gpus, room.memory_gb
         ):
             continue
-        count = capacity(spec, room.cpus, room.gpus, room.memory_gb, zone_left) if zone_left > 0 else 0
+        count = task_capacity(spec, room.cpus, room.gpus, room.memory_gb, zone_left) if zone_left > 0 else 0
         if count > 0:
             room.allocate(spec, count)
             demand.tasks_by_zone[room.zone] = demand.tasks_by_zone.get(room.zone, 0) + count
@@ -387,7 +387,7 @@
     grouped, single = Demand(spec, spec.tasks, {}), Demand(spec, spec.tasks, {})
     used: set[str] = set()
     stock = CandidatePool(rooms)
-    stock.fill(grouped, used)
+    stock.pack(grouped, used)
     taken = plain_fill(single, plain)
     assert spec.tasks - grouped.tasks == taken == sum(grouped.tasks_by_zone.values())
     assert all(count <= spread_limit(spec) for count in grouped.tasks_by_zone.values())
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -23,7 +23,7 @@
     transition_task,
 )
 from driftcleat.leadership.lease import LeaseClock
-from driftcleat.placement.candidates import Candidate, allowed, fits
+from driftcleat.placement.candidates import Candidate, fits, satisfies_constraints
 from driftcleat.placement.fair_share import FairShareOrder
 from driftcleat.placement.placement_round import PlacementRound
 from driftcleat.placement.quota import QuotaHeadroom
@@ -281,7 +281,7 @@
 def slow_fits(spec: JobSpec, candidates: list[Candidate]) -> bool:
     """The plain model of `find`: does any candidate take a task?"""
     return any(
-        allowed(spec, candidate.machine_type, candidate.zone, candidate.spot)
+        satisfies_constraints(spec, candidate.machine_type, candidate.zone, candidate.spot)
         and fits(spec, candidate.cpus, candidate.gpus, candidate.memory_gb)
         for candidate in candidates
     )
@@ -325,7 +325,7 @@
     for room in rooms:
         assert room.cpus >= 0 and room.gpus >= 0
     for _, room in got:
-        assert allowed(spec, room.machine_type, room.zone, room.spot)
+        assert satisfies_constraints(spec, room.machine_type, room.zone, room.spot)
     if spec.kind.value == "array" and not got and most >= 1:
         assert not slow_fits(spec, before)
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -93,9 +93,9 @@
     found, plain = scheduler.reachability.detect_failures(now[0]), FailureDetector(13.5, 45.0, 0.05)
     for machine in scheduler.cluster.machines.values():
         if scheduler.reachability.is_running(machine):
-            plain.count(machine.zone, scheduler.reachability.silent_s(machine, now[0]))
-    assert (found.zones, found.silent, found.known) == (plain.zones, plain.silent, plain.known)
-    assert found.alone_s == plain.alone_s
+            plain.add_machine(machine.zone, scheduler.reachability.silent_s(machine, now[0]))
+    assert (found.zones, found.suspected, found.total) == (plain.zones, plain.suspected, plain.total)
+    assert found.isolated_timeout_s == plain.isolated_timeout_s
 
 
 def test_a_report_without_news_is_answered_without_a_task() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -199,36 +199,40 @@
     failures = FailureDetector(10.0, 40.0, 0.05)
     for zone, (silent, known) in zones.items():
         for number in range(known):
-            failures.count(zone, 8.0 if number < silent else 0.0)
+            failures.add_machine(zone, 8.0 if number < silent else 0.0)
     return failures
 
 
 def test_silence_is_borne_longer_the_more_share_it() -> None:
     alone = counted({"north": (1, 60), "south": (2, 60)})
-    assert alone.tolerated_s("north") == 10.0 and not alone.partitioned("south")
+    assert alone.heartbeat_timeout_s("north") == 10.0 and not alone.is_partitioned("south")
     many = counted({"north": (4, 60), "south": (4, 60)})
-    assert many.tolerated_s("north") == 40.0 and not many.partitioned("north")
+    assert many.heartbeat_timeout_s("north") == 40.0 and not many.is_partitioned("north")
     zone = counted({"north": (60, 60), "south": (0, 60)})
-    assert zone.partitioned("north") and not zone.partitioned("south")
+    assert zone.is_partitioned("north") and not zone.is_partitioned("south")
     ours = counted({"north": (60, 60), "south": (60, 60)})
-    assert not ours.partitioned("north") and ours.tolerated_s("north") == 40.0, "it is us who hear nothing"
+    assert not ours.is_partitioned("north") and ours.heartbeat_timeout_s("north") == 40.0, "it is us who hear nothing"
 
 
 def test_a_zone_that_comes_back_is_waited_for_until_its_last_machine_had_its_turn() -> None:
     """Guards against returning the rest of a zone, its work still running, when the first of it was heard again."""
     until_when: dict[str | None, float] = {}
-    counted({"north": (60, 60), "south": (0, 60)}).remember(until_when, 100.0)
+    counted({"north": (60, 60), "south": (0, 60)}).retain_recent_failures(until_when, 100.0)
     back = counted({"north": (2, 60), "south": (0, 60)})
-    back.remember(until_when, 105.0)
-    assert back.partitioned("north") and not back.partitioned_now("north") and back.tolerated_s("north") == 40.0
+    back.retain_recent_failures(until_when, 105.0)
+    assert (
+        back.is_partitioned("north")
+        and not back.is_partitioned_now("north")
+        and back.heartbeat_timeout_s("north") == 40.0
+    )
     many: dict[str | None, float] = {}
-    counted({"north": (8, 60), "south": (0, 60)}).remember(many, 100.0)
+    counted({"north": (8, 60), "south": (0, 60)}).retain_recent_failures(many, 100.0)
     few = counted({"north": (2, 60), "south": (0, 60)})
-    few.remember(many, 105.0)
-    assert few.tolerated_s("north") == 40.0, "the same for many that hang"
+    few.retain_recent_failures(many, 105.0)
+    assert few.heartbeat_timeout_s("north") == 40.0, "the same for many that hang"
     later = counted({"north": (2, 60), "south": (0, 60)})
-    later.remember(until_when, 120.0)
-    assert later.tolerated_s("north") == 10.0
+    later.retain_recent_failures(until_when, 120.0)
+    assert later.heartbeat_timeout_s("north") == 10.0
 
 
 def fleet_term(now: list[float], count: int, zones: tuple[str, ...] = ("north", "south")) -> Scheduler:
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -42,7 +42,7 @@
         """Return when a job should be done for the deadlines of those that need it."""
         others = self._dependents(job_id)
         return min(
-            (min(self.own[other].deadline, self.due(other)) - self.own[other].run_s for other in others),
+            (min(self.own[other].deadline, self.due(other)) - self.own[other].estimated_run_s for other in others),
             default=NO_DEADLINE,
         )
 
