--- a/driftcleat/__init__.py
+++ b/driftcleat/__init__.py
@@ -1,3 +1,3 @@
-"""driftcleat: a cluster scheduler whose controllers keep their only lasting state in a small store."""
+"""driftcleat: a cluster scheduler whose controllers keep all persistent state in a small key-value store."""
 
 __version__ = "0.7.0"
--- a/driftcleat/cluster/batch.py
+++ b/driftcleat/cluster/batch.py
@@ -6,16 +6,17 @@
 from driftcleat.cluster.batch_budget import BatchBudget
 from driftcleat.cluster.jobs import Job, JobState, TaskPlacement, TaskState, transition_job, transition_task
 
-# Upper bounds of what is written, in bytes: a record's head, each range or placement in it, and a deleted key.
+# Upper bounds of what a transaction writes, in bytes: the head of a record or another small value, each task range or
+# placement in a record, and a deleted key.
 MAX_HEAD_BYTES = 2600
 MAX_ENTRY_BYTES = 110
 MAX_DELETE_BYTES = 256
-# A head's size is estimated with at most this many placements.
+# The estimate of a head's size counts at most this many placements.
 MAX_PLACEMENTS_IN_ESTIMATE = 64
 
 
 class TaskTransition(NamedTuple):
-    """A task's placement before and after its change; None where it has none."""
+    """A task's placement before and after a change of its state; None if the task is not placed."""
 
     job_id: str
     task_index: int
@@ -24,7 +25,7 @@
 
 
 class Batch:
-    """Collects changes until the store's limits are reached. Nothing in it is visible before the commit."""
+    """Collects changes up to the store's limits for one transaction. Nothing in it is visible before the commit."""
 
     def __init__(
         self,
@@ -37,7 +38,7 @@
         """Begin an empty batch.
 
         `chunk_of` returns the chunk record of a task, 0 for the head; `operations` and `size_bytes` are the limits;
-        `awaits_migration` tells whether a job's records must be migrated before they can change.
+        `awaits_migration` returns whether a job's records must be migrated before they can change.
         """
         self.committed_jobs = committed
         self.chunk_of = chunk_of
@@ -45,9 +46,9 @@
         self._budget = BatchBudget(operations, size_bytes)
         self.jobs: dict[str, Job] = {}
         self.created: set[str] = set()
-        # Dependencies of the jobs created here that are not done yet.
+        # By job created in this batch: its dependencies that are not done yet.
         self.unmet_dependencies: dict[str, set[str]] = {}
-        # Every job that changes, and those of them whose head is written: a task's change may lie in a chunk alone.
+        # All jobs that change, and those whose head is written: a change of a task may need to write only a chunk.
         self.changed_jobs: set[str] = set()
         self.changed_heads: set[str] = set()
         self.changed_chunks: dict[str, set[int]] = {}
@@ -55,16 +56,16 @@
         self.puts: dict[str, object] = {}
         self.deletes: list[str] = []
         self.on_commit: list[Callable[[], None]] = []
-        # Put requests back into their queues, should this batch not be written; called in reverse order.
+        # Callbacks that requeue requests if this batch is not written; called in reverse order.
         self.on_discard: list[Callable[[], None]] = []
-        # Jobs that a change was refused for, since their records must be migrated first.
+        # Jobs whose change was rejected because their records must be migrated first.
         self.awaiting_migration: set[str] = set()
-        # Jobs whose records this batch migrates: it has written their tasks already.
+        # Jobs whose records this batch migrates: it contains their tasks already and takes no change of them.
         self.migrated: set[str] = set()
 
     @property
     def operations_left(self) -> int:
-        """Operations that the transaction may still take."""
+        """The number of operations that the transaction may still take."""
         return self._budget.operations_left
 
     @operations_left.setter
@@ -73,7 +74,7 @@
 
     @property
     def bytes_left(self) -> int:
-        """Bytes that the transaction may still take."""
+        """The number of bytes that the transaction may still take."""
         return self._budget.bytes_left
 
     @property
@@ -82,18 +83,18 @@
         return not (self.changed_jobs or self.puts or self.deletes)
 
     def must_migrate_first(self, job: Job) -> bool:
-        """Whether a job's records must be migrated before they change; that is recorded in `awaiting_migration`."""
+        """Return whether a job must be migrated before it changes; if so, add it to `awaiting_migration`."""
         if not self._awaits_migration(job) and job.id not in self.migrated:
             return False
         self.awaiting_migration.add(job.id)
         return True
 
     def job(self, job_id: str) -> Job | None:
-        """Return a job as this batch leaves it."""
+        """Return a job with the changes of this batch; None if there is no such job."""
         return self.jobs.get(job_id) or self.committed_jobs.get(job_id)
 
     def has_room_for_exit(self, job: Job, index: int) -> bool:
-        """Whether a task's leaving its machine still fits, and the stops of its gang, which may have to follow."""
+        """Return whether the exit of a task fits, with the stops that it may cause for the rest of its gang."""
         if self.must_migrate_first(job):
             return False
         indices = [index, *job.placements] if job.is_gang else [index]
@@ -105,9 +106,10 @@
         return self._budget.fits_job(job.id, operations, self._change_bytes(job, 1))
 
     def has_room(self, job: Job, entries: int = 1, chunks: int = 0, may_end_job: bool = False) -> bool:
-        """Whether a change of a job's head and of that many tasks still fits; `may_end_job` if it may end the job.
+        """Return whether a change of a job's head and of `entries` of its tasks fits.
 
-        `chunks` counts the records beside the head that it opens or has opened in this batch.
+        `chunks` is the number of the job's chunk records that this batch writes after the change. `may_end_job` tells
+        whether the change may end the job, which takes up to two operations.
         """
         if self.must_migrate_first(job):
             return False
@@ -115,11 +117,11 @@
         return self._budget.fits_job(job.id, operations, self._change_bytes(job, entries))
 
     def has_room_for_keys(self, count: int = 1) -> bool:
-        """Whether that many small keys still fit."""
+        """Return whether puts of `count` small values that belong to no job fit."""
         return self._budget.fits(count, count * MAX_HEAD_BYTES)
 
     def _change_bytes(self, job: Job, entries: int) -> int:
-        """Return the bytes that a change of that many tasks may add."""
+        """Return the most bytes that a change of `entries` tasks of a job may add."""
         head = (
             0
             if job.id in self.changed_jobs
@@ -128,7 +130,7 @@
         return head + entries * MAX_ENTRY_BYTES
 
     def _charge(self, job_id: str) -> None:
-        """Charge the operations of a job as it stands: its records, or its final state and their removal."""
+        """Charge a job's operations as of now: its changed records, or its final state and their removal."""
         job = self.jobs[job_id]
         if job.state in (JobState.DONE, JobState.TERMINATED):
             operations = 1 if job_id in self.created else 2
@@ -136,8 +138,8 @@
             operations = (job_id in self.changed_heads) + len(self.changed_chunks.get(job_id, ()))
         self._budget.charge_job(job_id, operations)
 
-    def _open(self, job_id: str, head: bool = True) -> Job:
-        """Return a job's copy, to be changed; `head` if its head must be written for that."""
+    def _open_for_change(self, job_id: str, head: bool = True) -> Job:
+        """Return this batch's copy of a job for a change; `head` tells whether the change writes the job's head."""
         job = self.jobs.get(job_id)
         if job is None:
             job = self.committed_jobs[job_id].copy()
@@ -151,46 +153,46 @@
         return job
 
     def create_job(self, job: Job, unmet: set[str] | None = None) -> None:
-        """Add a job that was accepted; `unmet` are its dependencies that are not done yet."""
+        """Add an accepted job; `unmet` are its dependencies that are not done yet."""
         self.jobs[job.id] = job
         self.created.add(job.id)
         self.unmet_dependencies[job.id] = unmet or set()
-        self._open(job.id)
+        self._open_for_change(job.id)
 
-    def cancel_job(self, job_id: str, wall: float) -> None:
-        """Cancel a job; `wall` is the time of day in seconds."""
-        job = self._open(job_id)
-        job.cancelled_at = wall
+    def cancel_job(self, job_id: str, wall_s: float) -> None:
+        """Cancel a job; `wall_s` is the wall-clock time in seconds."""
+        job = self._open_for_change(job_id)
+        job.cancelled_at = wall_s
         transition_job(job, JobState.CANCELLED)
         self.finish_job_if_complete(job_id)
 
     def next_attempt(self, job_id: str) -> int:
-        """Return a new attempt number of a job."""
-        job = self._open(job_id)
+        """Allocate the next attempt number of a job and return it."""
+        job = self._open_for_change(job_id)
         job.last_attempt += 1
         return job.last_attempt
 
     def transition_task(self, job_id: str, index: int, to: TaskState, placement: TaskPlacement | None = None) -> None:
-        """Change a task's state."""
+        """Change a task's state; `placement` is required if the new state is PLACED."""
         chunk = self.chunk_of(self.jobs.get(job_id) or self.committed_jobs[job_id], index)
         if chunk > 0:
             self.changed_chunks.setdefault(job_id, set()).add(chunk)
-        job = self._open(job_id, head=chunk == 0)
+        job = self._open_for_change(job_id, head=chunk == 0)
         before = job.placements.get(index)
         transition_task(job, index, to, placement)
         after = placement if to is TaskState.PLACED else None
         self.task_transitions.append(TaskTransition(job_id, index, before, after))
         self._budget.charge_bytes(MAX_ENTRY_BYTES)
 
-    def migrate_job(self, job_id: str, split: int, versions: dict[int, int]) -> None:
-        """Write a job's head with `split` tasks per record; its chunks are written already, or in this batch."""
-        job = self._open(job_id)
-        job.tasks_per_record = split
-        job.chunk_mod_revisions = versions
+    def migrate_job(self, job_id: str, tasks_per_record: int, mod_revisions: dict[int, int]) -> None:
+        """Rewrite a job's head for `tasks_per_record`; its chunks are committed already or in this batch."""
+        job = self._open_for_change(job_id)
+        job.tasks_per_record = tasks_per_record
+        job.chunk_mod_revisions = mod_revisions
         self.migrated.add(job_id)
 
-    def stop_task(self, job_id: str, index: int, grace: float) -> None:
-        """Stop a placed task with a grace period in seconds; one that is being stopped keeps its own."""
+    def stop_task(self, job_id: str, index: int, grace_s: float) -> None:
+        """Stop a placed task with a grace period in seconds; a task that is already being stopped keeps its own."""
         job = self.job(job_id)
         if job is None:
             return
@@ -200,11 +202,11 @@
                 job_id,
                 index,
                 TaskState.PLACED,
-                TaskPlacement(placement.machine, placement.zone, placement.attempt, grace),
+                TaskPlacement(placement.machine, placement.zone, placement.attempt, grace_s),
             )
 
     def finish_job_if_complete(self, job_id: str) -> None:
-        """End a job whose tasks are all done, or all proven off their machines after a cancellation."""
+        """End a job if all its tasks are done or if it is cancelled and none of its tasks is placed any more."""
         job = self.jobs[job_id]
         if job.state is JobState.ACTIVE and job.tasks_done == job.spec.tasks:
             transition_job(job, JobState.DONE)
@@ -213,7 +215,7 @@
         self._charge(job_id)
 
     def put(self, key: str, value: object) -> None:
-        """Write a small key that is not a job's."""
+        """Write a small value under a key that is not a job's record."""
         self.puts[key] = value
         self._budget.charge(1, MAX_HEAD_BYTES)
 
--- a/driftcleat/cluster/batch_budget.py
+++ b/driftcleat/cluster/batch_budget.py
@@ -1,10 +1,10 @@
-"""What a batch may still take of the store's limits for one transaction."""
+"""The operations and bytes that a batch may still take within the store's limits for one transaction."""
 
 
 class BatchBudget:
-    """Counts operations and bytes down.
+    """Counts down the operations and bytes that are left.
 
-    A job's records are charged by their number as it stands: a later charge of the same job replaces the one before.
+    The operations of a job are charged as a total: a later charge of the same job replaces the earlier one.
     """
 
     def __init__(self, operations: int, size_bytes: int) -> None:
@@ -14,23 +14,23 @@
         self._charged_operations: dict[str, int] = {}
 
     def fits_job(self, job_id: str, operations: int, size_bytes: int) -> bool:
-        """Whether a job may take that many operations in all, and so many bytes more."""
+        """Return whether a job may take `operations` in total and `size_bytes` more bytes."""
         return (
             operations - self._charged_operations.get(job_id, 0) <= self.operations_left
             and size_bytes <= self.bytes_left
         )
 
     def fits(self, operations: int, size_bytes: int) -> bool:
-        """Whether so many operations and bytes fit that belong to no job."""
+        """Return whether operations and bytes that belong to no job fit."""
         return operations <= self.operations_left and size_bytes <= self.bytes_left
 
     def charge_job(self, job_id: str, operations: int) -> None:
-        """Charge the operations that a job takes in all."""
+        """Charge the operations that a job takes in total, in place of an earlier charge."""
         self.operations_left -= operations - self._charged_operations.get(job_id, 0)
         self._charged_operations[job_id] = operations
 
     def charge_bytes(self, size_bytes: int) -> None:
-        """Charge bytes."""
+        """Charge further bytes; unlike the operations of a job, bytes add up."""
         self.bytes_left -= size_bytes
 
     def charge(self, operations: int, size_bytes: int) -> None:
--- a/driftcleat/cluster/commands.py
+++ b/driftcleat/cluster/commands.py
@@ -1,11 +1,11 @@
-"""The commands for a worker, from the committed state and the worker's last heartbeat."""
+"""Derives the commands for a worker from the committed state and the worker's last heartbeat."""
 
 from driftcleat.cluster.machines import Machine, MachineState
 from driftcleat.cluster.state import ClusterState
 from driftcleat.wire import workers as wire_workers
 from driftcleat.wire.workers import Command, CommandAction, Heartbeat, TaskPhase
 
-# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+# Enum members bound to module names: looking one up costs several times a comparison, and is done for every task.
 EXITED = TaskPhase.EXITED
 START = CommandAction.START
 STOP = CommandAction.STOP
@@ -15,23 +15,24 @@
 def commands_for_heartbeat(
     cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, send_starts: bool = True
 ) -> list[Command]:
-    """Return the commands of a heartbeat response; start commands are recorded as sent.
+    """Return the commands of a heartbeat response, and record its start commands as sent.
 
-    Without `send_starts` only those that end tasks: for a leader that cannot rule out another leader.
+    If `send_starts` is false, only commands that end tasks are returned: a leader that cannot rule out another leader
+    must start none.
     """
     if machine.last_heartbeat is not heartbeat:
         return []
-    machine.last_answered = (heartbeat.worker_epoch, heartbeat.sequence)
+    machine.last_responded = (heartbeat.worker_epoch, heartbeat.sequence)
     if machine.in_sync:
         return []
-    commands = _stops_and_forgets(cluster, machine, heartbeat)
+    commands = _stop_and_forget_commands(cluster, machine, heartbeat)
     if machine.state is MachineState.UP and send_starts:
         commands.extend(_start_commands(cluster, machine, heartbeat))
         machine.in_sync = not commands and _shows_committed_state(machine, heartbeat)
     return commands
 
 
-def _stops_and_forgets(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
+def _stop_and_forget_commands(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
     """Return stop commands for tasks that must not run, and forget commands for exits that are committed."""
     commands: list[Command] = []
     for task in heartbeat.tasks:
@@ -39,7 +40,7 @@
         placement = machine.tasks.get(key) if key is not None else None
         expected = placement is not None and placement.attempt == task.attempt
         if task.phase == EXITED:
-            # The worker forgets an exit only once it is committed: the record has no such placement then.
+            # A worker may forget an exit only once it is committed: the job's record has no such placement then.
             if not expected:
                 commands.append(Command(FORGET, task.task, task.attempt))
         elif not expected:
@@ -57,8 +58,8 @@
         if job is None or cluster.must_not_run(job) or placement.stop_grace_s is not None:
             continue
         if attempt in cluster.attempts_being_released:
-            # Guards against a task that ran twice, seen in the random walk: its machine was back at once, the batch
-            # that released its placement was in flight, and the next heartbeat response started it again.
+            # Guards against running a task twice: its machine reconnects while the batch that releases the placement
+            # is in flight, and the next heartbeat response would start the released attempt again.
             continue
         if attempt in machine.reported_phases or (job.is_gang and attempt in machine.observed_attempts):
             continue
@@ -70,7 +71,7 @@
 
 
 def _shows_committed_state(machine: Machine, heartbeat: Heartbeat) -> bool:
-    """Whether a heartbeat lists every committed task as live and reconciled, and nothing else."""
+    """Return whether a heartbeat lists every committed task as live and reconciled, and no other task."""
     if (
         not machine.fence_acknowledged
         or machine.unacknowledged_responses
@@ -88,7 +89,7 @@
 
 
 def stop_commands(cluster: ClusterState, machine: Machine) -> list[Command]:
-    """Return the stop commands for a machine's placed tasks."""
+    """Return stop commands for those of a machine's placed tasks that must stop."""
     commands = []
     for key, placement in machine.tasks.items():
         job = cluster.jobs.get(key[0])
--- a/driftcleat/cluster/commit.py
+++ b/driftcleat/cluster/commit.py
@@ -1,4 +1,4 @@
-"""Makes a committed batch visible in the cluster state."""
+"""Applies a committed batch to the cluster state."""
 
 from driftcleat.cluster.batch import Batch
 from driftcleat.cluster.jobs import Job, JobState
@@ -8,7 +8,7 @@
 
 
 def apply_batch(cluster: ClusterState, batch: Batch, revision: int, now: float) -> None:
-    """Apply a batch that the store has committed at a revision."""
+    """Apply a batch that the store has committed at `revision`."""
     for job_id in batch.changed_jobs:
         job = batch.jobs[job_id]
         if job_id in batch.changed_heads:
@@ -24,7 +24,7 @@
 
 
 def _forget_terminated_machines(cluster: ClusterState, batch: Batch) -> None:
-    """Drop terminated machines whose last task the batch released."""
+    """Remove terminated machines whose last task the batch released."""
     changed = {
         placement.machine
         for transition in batch.task_transitions
@@ -38,7 +38,7 @@
 
 
 def _apply_job_state(cluster: ClusterState, job: Job) -> None:
-    """Follow a job's state: stop the tasks of a cancelled job, forget one that has ended."""
+    """Have the tasks of a cancelled job stopped; remove a job that has ended."""
     if job.state is JobState.CANCELLED:
         cluster.cancelled_jobs.add(job.id)
         cluster.mark_out_of_sync(job)
@@ -50,7 +50,7 @@
 
 
 def _apply_task_transitions(cluster: ClusterState, batch: Batch, now: float) -> None:
-    """Move placements to their machines, and account for them in the usage of their teams."""
+    """Apply changed placements to their machines and to the resource usage of their teams."""
     for transition in batch.task_transitions:
         before, after = transition.before, transition.after
         job = batch.jobs[transition.job_id]
--- a/driftcleat/cluster/dependencies.py
+++ b/driftcleat/cluster/dependencies.py
@@ -1,21 +1,21 @@
-"""The DAG of job dependencies of a term, kept up to date with each commit. Pure, and never recursive.
+"""The DAG of job dependencies in one leader term, updated with each commit. It does no I/O and never recurses.
 
 A job is ready once all its dependencies are committed as done. The cancellation of a job cascades to all its
-dependents: they are shown as cancelled from that moment, their own records follow in batches of their own. None of
-their tasks has ever started.
+dependents: users see these as cancelled from that moment, and later batches write their records. None of their tasks
+can have started, since a dependency of each was not done.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Above all levels that exist: no priority is lower.
+# Higher than every level in use, and thus the lowest priority.
 LOWEST_LEVEL = 1 << 30
 NO_DEADLINE = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class OwnPriority:
-    """A job's own priority level (lower is more urgent), deadline (time of day) and estimated run time in seconds."""
+    """A job's own priority level (lower is more urgent), deadline (wall clock) and run time, both in seconds."""
 
     level: int = LOWEST_LEVEL
     deadline: float = NO_DEADLINE
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InheritedPriority:
-    """The most urgent level of a job and all its dependents, and when it must be done for their deadlines.
+    """The most urgent level among a job and its dependents, and when it must be done for their deadlines.
 
-    A job's own deadline is not in it: ordering jobs of one priority by it would serve those first that are late
-    already, and in trials fewer jobs met theirs (`docs/limits.md`).
+    A job's own deadline is not included: ordering jobs of one priority by their own deadlines serves late jobs first,
+    and fewer jobs meet their deadlines (`docs/limits.md`).
     """
 
     level: int = LOWEST_LEVEL
@@ -38,7 +38,7 @@
     """Dependencies among the jobs that have not ended."""
 
     def __init__(self) -> None:
-        # By job: all its dependencies, and those that are not done; by dependency: its dependents.
+        # By job: all its dependencies, those that are not done, and its dependents.
         self.dependencies: dict[str, frozenset[str]] = {}
         self.unmet_dependencies: dict[str, set[str]] = {}
         self.dependents: dict[str, set[str]] = {}
@@ -48,11 +48,11 @@
         self._inherited: dict[str, InheritedPriority] = {}
 
     def dependencies_met(self, job_id: str) -> bool:
-        """Whether all dependencies of a job are done."""
+        """Return whether all dependencies of a job are done."""
         return not self.unmet_dependencies.get(job_id)
 
     def inherited_priority(self, job_id: str) -> InheritedPriority:
-        """Return the priority that a job has from itself and from its direct and indirect dependents."""
+        """Return a job's inherited priority, which takes in its direct and indirect dependents."""
         return self._inherited.get(job_id, InheritedPriority())
 
     def add(
@@ -63,7 +63,10 @@
         own: OwnPriority,
         cancelled: bool = False,
     ) -> set[str]:
-        """Add a job, `cancelled` if one of its dependencies is; return the jobs whose inherited priority changed."""
+        """Add a job; return the jobs whose inherited priority changed.
+
+        `unmet` are the dependencies that are not done; `cancelled` tells whether one dependency is cancelled.
+        """
         self._own[job_id] = own
         self.dependencies[job_id] = frozenset(dependencies)
         remaining = set(unmet)
@@ -76,7 +79,7 @@
         return self._propagate([job_id])
 
     def record_done(self, job_id: str) -> list[str]:
-        """Record that a job is done; return the dependents that became ready by it."""
+        """Record that a job is done; return the dependents that thereby become ready."""
         ready = []
         for dependent in sorted(self.dependents.get(job_id, ())):
             remaining = self.unmet_dependencies.get(dependent)
@@ -88,7 +91,7 @@
         return ready
 
     def record_cancelled(self, job_id: str) -> None:
-        """Record that a job is cancelled, and cascade it to its dependents."""
+        """Record that a job is cancelled, and cascade the cancellation to its dependents."""
         self.pending_cancellations.pop(job_id, None)
         self._cascade(sorted(self.dependents.get(job_id, ())))
 
--- a/driftcleat/cluster/heartbeat_intake.py
+++ b/driftcleat/cluster/heartbeat_intake.py
@@ -1,4 +1,4 @@
-"""Takes a worker's heartbeat into the cluster state: liveness, task phases, orphaned tasks, what to reconcile."""
+"""Applies a worker's heartbeat to the cluster state: liveness, task phases, orphaned tasks, what to reconcile."""
 
 import logging
 
@@ -9,13 +9,13 @@
 
 log = logging.getLogger(__name__)
 
-# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+# Enum members bound to module names: looking one up costs several times a comparison, and is done for every task.
 EXITED = TaskPhase.EXITED
 FETCHING = TaskPhase.FETCHING
 
 
 def apply_heartbeat(cluster: ClusterState, heartbeat: Heartbeat, now: float) -> Machine | None:
-    """Apply a heartbeat and return its machine; None if it is out of date or the machine is terminated."""
+    """Apply a heartbeat and return its machine; None if the heartbeat is out of date or the machine is terminated."""
     if heartbeat.machine in cluster.terminated_machines:
         return None
     known = cluster.machines.get(heartbeat.machine)
@@ -24,7 +24,7 @@
         if (heartbeat.worker_epoch, heartbeat.sequence) <= last:
             # A heartbeat delayed by the network: its list of tasks is out of date.
             return None
-    if known is not None and known.in_sync and _repeats(heartbeat, known.last_heartbeat):
+    if known is not None and known.in_sync and _is_unchanged(heartbeat, known.last_heartbeat):
         known.last_heartbeat = heartbeat
         known.last_heartbeat_at = now
         return known
@@ -54,10 +54,10 @@
 ) -> None:
     """Count heartbeats that do not show the effect of earlier heartbeat responses.
 
-    Guards against a machine whose heartbeats arrive while our responses are lost: it looks alive, its tasks ended
-    when its lease expired, and start commands were sent to it for ever.
+    Guards against a machine whose heartbeats arrive while the responses to them are lost: it looks alive although its
+    tasks end when its lease expires, and start commands would be sent to it for ever.
     """
-    if machine.last_answered is None:
+    if machine.last_responded is None:
         return
     lease_expired = (
         machine.last_heartbeat is not None
@@ -86,7 +86,7 @@
 
 
 def _apply_tasks(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat, previous: Heartbeat | None) -> None:
-    """Apply a heartbeat's list of tasks, and queue the machine for reconciliation if it may prove something."""
+    """Apply a heartbeat's tasks, and queue the machine for reconciliation if they may prove that one has left it."""
     new_epoch = previous is None or previous.worker_epoch != heartbeat.worker_epoch
     if previous is not None and not new_epoch and previous.tasks == heartbeat.tasks:
         newly_acknowledged = previous.fencing_token != heartbeat.fencing_token
@@ -100,7 +100,7 @@
 
 
 def _apply_phases(cluster: ClusterState, machine: Machine, heartbeat: Heartbeat) -> None:
-    """Apply the phases of a heartbeat's tasks: orphaned ones, changed ones, and images that are cached by now."""
+    """Apply the phases of a heartbeat's tasks: record orphaned tasks, changed phases and fetched images."""
     phases: dict[AttemptKey, str] = {}
     live: set[TaskKey] = set()
     for task in heartbeat.tasks:
@@ -125,14 +125,14 @@
 
 
 def needs_reconciliation(cluster: ClusterState, machine: Machine) -> bool:
-    """Whether the last heartbeat, although it lists the same tasks as before, may release or end a task."""
+    """Return whether the last heartbeat may release or end a task although it lists the same tasks as before."""
     return any(
         (key[0], key[1], placement.attempt) not in machine.reported_phases for key, placement in machine.tasks.items()
     ) or cluster.has_uncommitted_exits(machine)
 
 
-def _repeats(heartbeat: Heartbeat, previous: Heartbeat | None) -> bool:
-    """Whether a heartbeat holds nothing new beside its sequence number."""
+def _is_unchanged(heartbeat: Heartbeat, previous: Heartbeat | None) -> bool:
+    """Return whether a heartbeat differs from the previous one only in its sequence number."""
     return (
         previous is not None
         and heartbeat.termination_notice_s is None
--- a/driftcleat/cluster/job_dependencies.py
+++ b/driftcleat/cluster/job_dependencies.py
@@ -8,10 +8,10 @@
 
 
 class JobDependencies:
-    """Applies changes of jobs to the dependency graph, and the priorities that it works out to the jobs."""
+    """Applies changes of jobs to the dependency graph, and the inherited priorities of the graph to the jobs."""
 
     def __init__(self, jobs: dict[str, Job], graph: DependencyGraph, ready_at: dict[str, float]) -> None:
-        """`ready_at`: when the last dependency of a job was done, on this controller's clock, in seconds."""
+        """`ready_at` maps a job to the time when its last dependency was done, in seconds of the monotonic clock."""
         self._jobs = jobs
         self._graph = graph
         self._ready_at = ready_at
@@ -35,7 +35,7 @@
                 job.start_deadline = inherited.deadline - job.spec.estimated_run_s
 
     def record_external_end(self, job_id: str, state: JobState, now: float) -> None:
-        """Apply the end, or the certain cancellation, of a job of another scheduler that jobs here depend on."""
+        """Apply the end or the irrevocable cancellation of another scheduler's job that jobs here depend on."""
         self._apply_end(job_id, state, now)
 
     def apply_batch(self, batch: Batch, now: float) -> None:
--- a/driftcleat/cluster/job_status.py
+++ b/driftcleat/cluster/job_status.py
@@ -1,16 +1,16 @@
-"""A job's status as its user sees it."""
+"""The status of a job that is shown to users."""
 
 from driftcleat.cluster.jobs import Job, JobState
 from driftcleat.cluster.state import ClusterState
 from driftcleat.wire.users import JobStatus
 from driftcleat.wire.workers import TaskPhase
 
-# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+# Enum members bound to module names: looking one up costs several times a comparison, and is done for every task.
 RUNNING = TaskPhase.RUNNING
 
 
 def user_job_status(cluster: ClusterState, job: Job) -> JobStatus:
-    """Return a job's status for its user; a job whose cancellation is certain is shown as cancelled."""
+    """Return a job's status for users; a job whose dependency was cancelled is shown as cancelled at once."""
     if job.state is not JobState.ACTIVE:
         state = JobState.DONE if job.state is JobState.DONE else JobState.CANCELLED
         return JobStatus(job.id, state.value, job.tasks_done, 0)
--- a/driftcleat/cluster/jobs.py
+++ b/driftcleat/cluster/jobs.py
@@ -9,7 +9,7 @@
 
 
 class IllegalTransitionError(DriftcleatError):
-    """A transition that the state machine of a job, a task or a machine does not have."""
+    """Raised for a state transition that a job, a task or a machine must not make."""
 
 
 class JobState(StrEnum):
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskPlacement:
-    """The machine of a task's attempt; `stop_grace_s` is the grace period in seconds once it is to stop."""
+    """The machine of a task's attempt; `stop_grace_s` is its grace period in seconds, None unless it must stop."""
 
     machine: str
     zone: str
@@ -82,11 +82,11 @@
         self.tasks_done = 0
         self.mod_revision = 0
         self.chunk_mod_revisions: dict[int, int] = {}
-        # How many tasks each of its records holds; 0: the split of data version 1, which follows from the limits.
+        # Tasks per record; 0 in data version 1, where the number follows from the store's limits.
         self.tasks_per_record = 0
-        # The level of its priority, or that of a more urgent dependent.
+        # The level of the job's own priority, or that of a more urgent dependent.
         self.priority_level = spec.priority.level
-        # When it has to start (time of day) for the deadlines of its dependents.
+        # The wall-clock time in seconds by which the job must start for its dependents to meet their deadlines.
         self.start_deadline = NO_DEADLINE
 
     def copy(self) -> "Job":
@@ -109,17 +109,17 @@
 
     @property
     def id(self) -> str:
-        """The job's id."""
+        """The job's id, from its spec."""
         return self.spec.id
 
     @property
     def is_gang(self) -> bool:
-        """Whether the tasks run all at once or not at all."""
+        """Whether the tasks must run all at once or not at all."""
         return self.spec.kind is JobKind.GANG
 
     @property
     def tasks_queued(self) -> int:
-        """How many tasks have no placement and are not done."""
+        """The number of tasks that have no placement and are not done."""
         return self.spec.tasks - self.tasks_done - len(self.placements)
 
     def next_queued_task(self, after: int) -> int:
@@ -135,7 +135,7 @@
 
 
 def transition_job(job: Job, to: JobState) -> None:
-    """Change a job's state; nothing else does."""
+    """Change a job's state. No other code may change it."""
     if (job.state, to) not in _JOB_TRANSITIONS:
         raise IllegalTransitionError(f"job {job.id}: no transition from {job.state.value} to {to.value}")
     if to is JobState.DONE and job.tasks_done != job.spec.tasks:
@@ -146,7 +146,7 @@
 
 
 def transition_task(job: Job, index: int, to: TaskState, placement: TaskPlacement | None = None) -> None:
-    """Change a task's state; nothing else does. PLACED to PLACED only adds a grace period."""
+    """Change a task's state. No other code may change it. PLACED to PLACED only adds a grace period."""
     state = TaskState(job.task_states[index])
     if (state, to) not in _TASK_TRANSITIONS:
         raise IllegalTransitionError(f"task {job.id}/{index}: no transition from {state.name} to {to.name}")
@@ -158,7 +158,7 @@
             raise IllegalTransitionError(f"task {job.id}/{index}: placed although the job is {job.state.value}")
         if before is not None and (before.machine, before.attempt) != (placement.machine, placement.attempt):
             raise IllegalTransitionError(
-                f"task {job.id}/{index}: placed anew without leaving machine {before.machine}"
+                f"task {job.id}/{index}: placed again before it left machine {before.machine}"
             )
         job.placements[index] = placement
     else:
--- a/driftcleat/cluster/listener.py
+++ b/driftcleat/cluster/listener.py
@@ -1,4 +1,4 @@
-"""What other parts of the leader learn from the cluster state as it changes."""
+"""The interface through which other parts of the leader receive events of the cluster state."""
 
 from typing import Protocol
 
@@ -7,32 +7,32 @@
 
 
 class ClusterListener(Protocol):
-    """Receives events of the cluster state, in the call that causes them; it must not block."""
+    """Receives events of the cluster state within the calls that cause them, and must not block."""
 
     def task_exited(self, machine: Machine, job: Job, reason: str) -> None:
-        """A task's exit was put into a batch; `reason` as on the wire (`ExitReason`, or one that is unknown here)."""
+        """Handle a task's exit that was added to a batch; `reason` is an `ExitReason` or an unknown value."""
 
     def machine_up(self) -> None:
-        """A machine sent its first heartbeat."""
+        """Handle the first heartbeat of a machine."""
 
     def images_changed(self, machine: Machine) -> None:
-        """A machine has fetched an image that it did not have."""
+        """Handle the completed fetch of an image on a machine."""
 
     def termination_noticed(self, machine: Machine, notice_s: float) -> None:
-        """The cloud will take a machine away in `notice_s` seconds."""
+        """Handle a termination notice: the cloud will reclaim the machine in `notice_s` seconds."""
 
 
 class NullListener:
     """Ignores all events."""
 
     def task_exited(self, machine: Machine, job: Job, reason: str) -> None:
-        """Ignore it."""
+        """Ignore the exit."""
 
     def machine_up(self) -> None:
-        """Ignore it."""
+        """Ignore the heartbeat."""
 
     def images_changed(self, machine: Machine) -> None:
-        """Ignore it."""
+        """Ignore the fetch."""
 
     def termination_noticed(self, machine: Machine, notice_s: float) -> None:
-        """Ignore it."""
+        """Ignore the notice."""
--- a/driftcleat/cluster/machines.py
+++ b/driftcleat/cluster/machines.py
@@ -1,4 +1,4 @@
-"""Machines as the leader knows them, with the one function for their state transitions."""
+"""Machines as the leader sees them, and the one function that changes their state."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -29,8 +29,8 @@
     (MachineState.TERMINATING, MachineState.TERMINATED),
 }
 
-# Plain tuples, since every heartbeat builds several: with NamedTuples a heartbeat that repeats the one before it took
-# twice the processor time in `tests.costs`.
+# Plain tuples, since every heartbeat builds several: with NamedTuples, handling an unchanged heartbeat takes twice
+# the CPU time in `tests.costs`.
 # (job id, task index)
 TaskKey = tuple[str, int]
 # (job id, task index, attempt)
@@ -40,7 +40,7 @@
 
 
 class Machine:
-    """One machine. Of it, `tasks` is committed; all else comes from heartbeats and the cloud's lists."""
+    """A machine. Its `tasks` are committed state; all other fields come from heartbeats and the cloud's lists."""
 
     __slots__ = (
         "address",
@@ -51,9 +51,9 @@
         "fetched_images",
         "idle_since",
         "in_sync",
-        "last_answered",
         "last_heartbeat",
         "last_heartbeat_at",
+        "last_responded",
         "listed_running_since",
         "name",
         "no_placement_until",
@@ -85,35 +85,36 @@
         self.state = MachineState.BOOTING
         self.created_at = now
         self.last_heartbeat_at = now
-        # Since when the cloud lists it as running; None: not yet in this term.
+        # Since when the cloud lists the machine as running; None if it has not done so in this term.
         self.listed_running_since: float | None = None
         self.idle_since = now
         self.tasks_changed_at = now
         self.used_cpus = self.used_gpus = self.used_memory_gb = 0.0
         self.tasks: dict[TaskKey, TaskPlacement] = {}
         self.cached_images: OrderedDict[str, float] = OrderedDict()
-        # Cached images that some task has certainly fetched; the fetch of the others may yet be abandoned.
+        # Cached images whose fetch is known to be complete; the fetch of the others may still be abandoned.
         self.fetched_images: set[str] = set()
         self.last_heartbeat: Heartbeat | None = None
         self.fence_acknowledged = False
-        # Whether its last heartbeat shows all that is committed and nothing else, so that it needs no command: an
-        # equal heartbeat need not be examined until something changes.
+        # Whether the last heartbeat shows exactly the committed state, so that the worker needs no command. Until
+        # something changes, an unchanged heartbeat is then not examined.
         self.in_sync = False
         # Task phases of the last heartbeat, as on the wire: an unknown phase is accepted.
         self.reported_phases: dict[AttemptKey, str] = {}
-        # The heartbeat whose response carried the start command last.
+        # By attempt: the last heartbeat whose response carried the start command.
         self.starts_sent: dict[AttemptKey, HeartbeatOrder] = {}
         self.observed_attempts: set[AttemptKey] = set()
         self.task_phases: dict[TaskKey, str] = {}
         self.failed_jobs: set[str] = set()
         self.no_placement_until = 0.0
-        # The last heartbeat that got a response, and how many later ones do not show the effect of their responses.
-        self.last_answered: HeartbeatOrder | None = None
+        # The last heartbeat that got a response; how many heartbeats in a row do not show the effect of earlier
+        # responses (one after an expired lease counts twice), and when the first of them arrived.
+        self.last_responded: HeartbeatOrder | None = None
         self.unacknowledged_responses = 0
         self.unacknowledged_since = now
 
     def add_task(self, key: TaskKey, placement: TaskPlacement, spec: JobSpec) -> None:
-        """Add a committed task, and what it uses."""
+        """Add a committed task and the resources that it uses."""
         self.in_sync = False
         if key not in self.tasks:
             self.used_cpus += spec.cpus
@@ -125,8 +126,8 @@
     def remove_task(self, key: TaskKey, spec: JobSpec, now: float, image_of: Callable[[TaskKey], str | None]) -> None:
         """Remove a task that is proven to have left; `image_of` returns the image of another task by its key.
 
-        A worker abandons a fetch when no task needs it any more: such an image is not cached. Guards against
-        taking it for cached, seen in an incident: tasks were preempted for a machine that lacked the image.
+        A worker abandons the fetch of an image that no task needs any more, so that such an image is not cached.
+        Guards against preempting tasks on a machine for an image that it is wrongly believed to have.
         """
         placement = self.tasks.pop(key, None)
         if placement is None:
@@ -143,12 +144,12 @@
         self.observed_attempts.discard(attempt)
         self.task_phases.pop(key, None)
         if not self.tasks:
-            # Sums of decimal amounts drift; an empty machine is exactly empty.
+            # Floating-point sums accumulate rounding errors: an empty machine uses exactly zero.
             self.used_cpus = self.used_gpus = self.used_memory_gb = 0.0
             self.idle_since = now
 
     def record_image(self, image: str, size_gb: float) -> None:
-        """Add an image that is (or will be) cached here, and drop those that it evicts."""
+        """Record an image that is cached or being fetched, and drop the least recently used ones that it evicts."""
         self.cached_images[image] = size_gb
         self.cached_images.move_to_end(image)
         if self.type is not None:
@@ -157,7 +158,7 @@
 
 
 def transition_machine(machine: Machine, to: MachineState) -> None:
-    """Change a machine's state; nothing else does."""
+    """Change a machine's state. No other code may change it."""
     if machine.state is to:
         return
     if (machine.state, to) not in _TRANSITIONS:
--- a/driftcleat/cluster/orphaned_tasks.py
+++ b/driftcleat/cluster/orphaned_tasks.py
@@ -1,21 +1,24 @@
-"""Orphaned tasks: attempts on machines that no record knows. While one runs, its task must not start elsewhere."""
+"""Orphaned tasks: attempts that run on a machine although no job's record places them there.
+
+While such an attempt runs, its task must not start elsewhere.
+"""
 
 from driftcleat.cluster.machines import TaskKey
 
 
 class OrphanedTasks:
-    """Orphaned tasks by the machine whose heartbeat listed them last."""
+    """The orphaned tasks, each with the machine whose heartbeat listed it last."""
 
     def __init__(self) -> None:
         self._machine_of: dict[TaskKey, str] = {}
-        # The same by machine, so that a heartbeat examines those of its own machine alone.
+        # The same by machine, so that a heartbeat only examines the orphaned tasks of its own machine.
         self._tasks_on: dict[str, set[TaskKey]] = {}
 
     def __contains__(self, key: TaskKey) -> bool:
         return key in self._machine_of
 
     def record(self, key: TaskKey, machine: str) -> None:
-        """Record that a machine's heartbeat lists an attempt that no record knows."""
+        """Record that a machine's heartbeat lists an attempt that no job's record places there."""
         before = self._machine_of.get(key)
         if before is not None and before != machine:
             self._discard(key, before)
--- a/driftcleat/cluster/reconciliation.py
+++ b/driftcleat/cluster/reconciliation.py
@@ -11,22 +11,22 @@
 
 log = logging.getLogger(__name__)
 
-# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+# Enum members bound to module names: looking one up costs several times a comparison, and is done for every task.
 EXITED = TaskPhase.EXITED
 
-# Exponential back-off of a job whose tasks fail, in seconds.
+# Exponential backoff of a job whose tasks fail: base and maximum delay in seconds, and the largest exponent of two.
 BASE_RETRY_S = 0.5
 MAX_RETRY_S = 60.0
 MAX_RETRY_EXPONENT = 10
-# A machine that had less room than its accounted usage says gets no further placement for so long.
+# Pause of placements, in seconds, on a machine that had fewer free resources than its accounted usage says.
 INSUFFICIENT_RESOURCES_PAUSE_S = 2.0
 
 
 def reconcile(cluster: ClusterState, machine: Machine, batch: Batch, now: float) -> bool:
-    """Append to a batch what a machine's last heartbeat proves; False if the batch had no room for some of it.
+    """Append to a batch what a machine's last heartbeat proves; return False if some of it did not fit.
 
-    Changes in records that the batch writes anyway still fit: under low limits, where a batch holds two records,
-    these are most of a burst of exits.
+    After a change that does not fit, the others are still tried: changes of records that the batch writes already
+    fit. Under low limits, where a batch holds two records, these are most of a burst of exits.
     """
     if machine.state is MachineState.TERMINATED:
         return _release_all(machine, batch)
@@ -57,7 +57,7 @@
 
 
 def _release_all(machine: Machine, batch: Batch) -> bool:
-    """Release the tasks of a terminated machine; False if the batch had no room for some."""
+    """Release the tasks of a terminated machine; return False if some did not fit into the batch."""
     complete = True
     for key in list(machine.tasks):
         job = batch.job(key[0])
@@ -80,7 +80,7 @@
 ) -> bool:
     """Release a task that its machine does not list, if no start command for it can still arrive.
 
-    Returns False if the batch had no room.
+    Returns False if the release did not fit into the batch.
     """
     attempt = (key[0], key[1], placement.attempt)
     start_sent = machine.starts_sent.get(attempt)
@@ -88,7 +88,7 @@
         return True
     unwanted = job.state is not JobState.ACTIVE or job.placements[key[1]].stop_grace_s is not None
     draining = machine.state is not MachineState.UP
-    # A gang cannot take a lost task back under the same attempt once it has started.
+    # Once a gang has started, a lost task cannot rejoin it under the same attempt.
     lost = job.is_gang and attempt in machine.observed_attempts
     unresponsive = machine.unacknowledged_responses > 1
     if not (unwanted or draining or lost or unresponsive):
@@ -102,7 +102,7 @@
 def _apply_exit(
     cluster: ClusterState, machine: Machine, job: Job, index: int, reason: str, batch: Batch, now: float
 ) -> None:
-    """Append a task's exit to the batch, and account for its failure."""
+    """Append a task's exit to the batch, and count a failure against its job."""
     if reason == wire_workers.ExitReason.DONE:
         batch.transition_task(job.id, index, TaskState.DONE)
         batch.finish_job_if_complete(job.id)
@@ -117,14 +117,14 @@
         ):
             _record_failure(cluster, machine, job, now, reason == wire_workers.ExitReason.ERROR)
         elif reason == wire_workers.ExitReason.INSUFFICIENT_RESOURCES:
-            # Our accounting and the worker's differ: wait for further heartbeats before placing more.
+            # The leader's accounting and the worker's differ: wait for further heartbeats before placing more.
             machine.no_placement_until = max(machine.no_placement_until, now + INSUFFICIENT_RESOURCES_PAUSE_S)
     log.debug("task %s/%d left machine %s: %s", job.id, index, machine.name, reason)
     cluster.listener.task_exited(machine, job, reason)
 
 
 def _record_failure(cluster: ClusterState, machine: Machine, job: Job, now: float, blame_machine: bool) -> None:
-    """Delay the next attempt of a job that failed; `blame_machine` counts it against the machine too."""
+    """Delay the next attempt of a failed job; `blame_machine` counts the failure against the machine too."""
     count = cluster.failure_counts.get(job.id, 0) + 1
     cluster.failure_counts[job.id] = count
     # A faulty job fails on every machine: it must not cycle through all of them at full speed.
@@ -134,7 +134,7 @@
 
 
 def _release(batch: Batch, job: Job, index: int) -> None:
-    """Queue a task again that has left its machine without being done; the rest of its gang is stopped."""
+    """Requeue a task that left its machine without being done, and stop the rest of its gang."""
     batch.transition_task(job.id, index, TaskState.QUEUED)
     changed = batch.jobs[job.id]
     if changed.is_gang and changed.state is JobState.ACTIVE:
--- a/driftcleat/cluster/state.py
+++ b/driftcleat/cluster/state.py
@@ -14,12 +14,15 @@
 from driftcleat.wire.cloud import MachineType
 from driftcleat.wire.workers import TaskPhase
 
-# Bound once: a member's look-up in its class costs several times a comparison, and these run for every task.
+# Enum members bound to module names: looking one up costs several times a comparison, and is done for every task.
 EXITED = TaskPhase.EXITED
 
 
 class ClusterState:
-    """What the leader of one term knows; changed by the functions of this package alone."""
+    """The leader's view of the cluster in one term. Only the functions of this package change it.
+
+    `lease_s` is the duration of a worker's lease in seconds.
+    """
 
     def __init__(
         self,
@@ -30,19 +33,19 @@
         lease_s: float = 0.0,
         ended: dict[str, str] | None = None,
     ) -> None:
-        """Begin with the committed jobs; `ended` holds the final states of ended jobs that these depend on."""
+        """Start with the committed jobs; `ended` holds the final states of ended jobs that these depend on."""
         self.fencing_token = fencing_token
         self.lease_s = lease_s
         self.jobs = jobs
         self.dependencies = DependencyGraph()
-        # When the last dependency of a job was done, on this controller's clock, in seconds.
+        # By job: when its last dependency was done, in seconds of the monotonic clock.
         self.ready_at: dict[str, float] = {}
         self.job_dependencies = JobDependencies(jobs, self.dependencies, self.ready_at)
         # Cancelled jobs that still have placements.
         self.cancelled_jobs: set[str] = set()
         self.machine_types = machine_types
         self.machines: dict[str, Machine] = {}
-        # When the termination of a machine was confirmed, in seconds.
+        # By machine: when the cloud confirmed its termination, in seconds of the monotonic clock.
         self.terminated_machines: dict[str, float] = {}
         self.team_usage: dict[str, ResourceUsage] = {}
         self.machines_to_reconcile: set[str] = set()
@@ -52,12 +55,12 @@
         self.failure_counts: dict[str, int] = {}
         # Placements on machines that have sent no heartbeat in this term, by machine name.
         self.unconfirmed_placements: dict[str, dict[TaskKey, TaskPlacement]] = {}
-        # Images (name, GB) that machines had in earlier terms, until their first heartbeat.
+        # Images (name, size in GB) that machines had in earlier terms; kept until a machine's first heartbeat.
         self.image_hints: dict[str, list[tuple[str, float]]] = {}
         self.listener: ClusterListener = NullListener()
         # Attempts whose placement the batch in flight releases.
         self.attempts_being_released: set[AttemptKey] = set()
-        # Jobs whose cancellation may or may not be committed: the outcome of its batch is unknown.
+        # Jobs whose cancellation may or may not be committed, since the outcome of the batch is unknown.
         self.unconfirmed_cancellations: set[str] = set()
         self.started_at = now
         self._add_committed_jobs(ended or {})
@@ -77,15 +80,15 @@
                 self.cancelled_jobs.add(job.id)
 
     def subscribe(self, listener: ClusterListener) -> None:
-        """Send all further events to a listener; it replaces the one before."""
+        """Send all further events to a listener, which replaces the previous one."""
         self.listener = listener
 
     def record_external_end(self, job_id: str, state: JobState, now: float) -> None:
-        """Apply the end, or the certain cancellation, of a job of another scheduler that jobs here depend on."""
+        """Apply the end or the irrevocable cancellation of another scheduler's job that jobs here depend on."""
         self.job_dependencies.record_external_end(job_id, state, now)
 
     def dependencies_met(self, job: Job) -> bool:
-        """Whether all dependencies of a job are done."""
+        """Return whether all dependencies of a job are done."""
         return self.dependencies.dependencies_met(job.id)
 
     def register_machine(self, name: str, type_name: str, zone: str, spot: bool, address: str, now: float) -> Machine:
@@ -126,10 +129,10 @@
             del self.machines[machine.name]
 
     def may_be_on_machine(self, key: TaskKey, placement: TaskPlacement) -> bool:
-        """Whether a placed task may be on its machine, by the machine's last heartbeat.
+        """Return whether a placed task may be on its machine, by the machine's last heartbeat.
 
-        Guards against machines terminated for cancelled tasks that have long ended, while the batch that releases
-        them waits for the store.
+        Guards against terminating machines for cancelled tasks that have ended, while the batch that releases them
+        waits for the store.
         """
         machine = self.machines.get(placement.machine)
         if machine is None or machine.last_heartbeat is None or not machine.fence_acknowledged:
@@ -145,19 +148,19 @@
         return phase != EXITED
 
     def has_uncommitted_exits(self, machine: Machine) -> bool:
-        """Whether a machine's last heartbeat lists exits that are not committed yet."""
+        """Return whether a machine's last heartbeat lists exits that are not committed yet."""
         return not machine.in_sync and any(
             phase == EXITED and attempt[:2] in machine.tasks and machine.tasks[attempt[:2]].attempt == attempt[2]
             for attempt, phase in machine.reported_phases.items()
         )
 
     def mark_out_of_sync(self, job: Job) -> None:
-        """Have the machines of a job get their commands anew, although their heartbeats may stay the same."""
+        """Make the machines of a job get commands with their next heartbeat, even if that is unchanged."""
         for placement in job.placements.values():
             machine = self.machines.get(placement.machine)
             if machine is not None:
                 machine.in_sync = False
 
     def must_not_run(self, job: Job) -> bool:
-        """Whether the tasks of a job must be stopped."""
+        """Return whether the tasks of a job must be stopped."""
         return job.state is not JobState.ACTIVE or job.id in self.unconfirmed_cancellations
--- a/driftcleat/cluster/usage.py
+++ b/driftcleat/cluster/usage.py
@@ -4,7 +4,7 @@
 
 
 class ResourceUsage:
-    """CPUs, GPUs and number of a team's placed tasks, also of those that may have ended already."""
+    """CPUs, GPUs and number of a team's placed tasks; a task counts until its release is committed."""
 
     __slots__ = ("cpus", "gpus", "tasks")
 
@@ -19,6 +19,6 @@
         self.cpus += sign * spec.cpus
         self.gpus += sign * spec.gpus
         if self.tasks == 0:
-            # Sums of decimal amounts drift; no task uses exactly nothing.
+            # Floating-point sums accumulate rounding errors: without a task, the usage is exactly zero.
             self.cpus = 0.0
             self.gpus = 0.0
--- a/driftcleat/errors.py
+++ b/driftcleat/errors.py
@@ -1,5 +1,5 @@
-"""The error from which all of this package derive."""
+"""The base class of all errors of this package."""
 
 
 class DriftcleatError(Exception):
-    """Something that this package reports to its callers."""
+    """Base class of the errors that this package raises to its callers."""
