--- a/driftcleat/capacity/__init__.py
+++ b/driftcleat/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity planning: which machines the queue needs, arrival rates, and telling failed machines from partitions."""
+"""Capacity planning: which machines the queue needs, arrival rates, and the failure detector for machines."""
--- a/driftcleat/capacity/candidate_pool.py
+++ b/driftcleat/capacity/candidate_pool.py
@@ -1,4 +1,4 @@
-"""Candidates for sizing, in groups of machines that are alike."""
+"""Candidates for sizing, in groups of interchangeable machines."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -8,23 +8,24 @@
 from driftcleat.placement.candidates import Candidate, satisfies_constraints
 from driftcleat.wire.users import JobSpec
 
-# Free amounts that are equal to so many decimal places are alike.
+# Decimal places to which the free resources of machines in one group are equal.
 FREE_RESOURCE_DECIMALS = 4
 
-# Machine type, zone, spot, busy, free processors, GPUs and memory; and the name of a machine on which tasks failed,
-# which is alike to no other. A plain tuple, since a named one takes longer to create: one for each machine in a plan.
+# (machine type, zone, spot, busy, free CPUs, free GPUs, free memory, name). The name is set only for a machine on
+# which tasks failed, so that it forms a group of its own. A plain tuple, since a named tuple takes longer to create,
+# and each plan creates one for each machine.
 GroupKey = tuple[str, str, bool, bool, float, float, float, str]
 
 
 class CandidateGroup(NamedTuple):
-    """Machines that are alike: one of them as a candidate, and the names of all."""
+    """Interchangeable machines: one of them as a candidate, and the names of all."""
 
     candidate: Candidate
     names: list[str]
 
 
 class CandidatePool:
-    """Groups of candidates: a fleet of hundreds of machines has a few dozen."""
+    """Candidates in groups; a fleet of hundreds of machines forms a few dozen groups."""
 
     def __init__(self, candidates: Iterable[Candidate] = ()) -> None:
         self.groups: dict[GroupKey, CandidateGroup] = {}
@@ -32,7 +33,7 @@
             self.add(candidate, [candidate.name])
 
     def add_to_group(self, key: GroupKey, name: str) -> bool:
-        """Add a machine to its group; return False if there is none yet, so that a candidate has to be made."""
+        """Add a machine to its group; return False if there is no such group: the caller then opens it."""
         group = self.groups.get(key)
         if group is None:
             return False
@@ -40,11 +41,11 @@
         return True
 
     def open_group(self, key: GroupKey, candidate: Candidate) -> None:
-        """Open a group with its first machine."""
+        """Create a group with its first machine."""
         self.groups[key] = CandidateGroup(candidate, [candidate.name])
 
     def add(self, candidate: Candidate, names: list[str]) -> None:
-        """Add machines that are like a candidate; the list of names may become the group's own."""
+        """Add machines that are interchangeable with a candidate; the pool may keep and change the list of names."""
         key = (
             candidate.machine_type,
             candidate.zone,
@@ -62,7 +63,7 @@
             group.names.extend(names)
 
     def task_capacity(self, spec: JobSpec, zone: str, max_tasks: int) -> int:
-        """Return how many tasks of this shape fit into the candidates of a zone, up to `max_tasks`."""
+        """Return how many tasks of a shape fit into the candidates of a zone, up to `max_tasks`."""
         count = 0
         for candidate, names in self.groups.values():
             if candidate.zone == zone and satisfies_constraints(spec, candidate.machine_type, zone, candidate.spot):
@@ -72,13 +73,13 @@
         return count
 
     def pack(self, demand: Demand, used: set[str]) -> None:
-        """Pack a demand into the candidates, and add the names of those that it uses to `used`.
+        """Pack a demand into the candidates, and add the names of the machines that it uses to `used`.
 
-        Machines in use come first, then those where a task costs least, then the tightest: what stays empty can be
-        scaled in.
+        Busy machines come first, then those where a task costs least, then those with the least free resources:
+        machines that stay empty can be scaled in.
         """
         spec = demand.spec
-        for key in self._preferred(demand):
+        for key in self._ranked_groups(demand):
             if demand.tasks <= 0:
                 return
             candidate, names = self.groups[key]
@@ -93,13 +94,13 @@
                     taken = names[:count]
                     del names[:count]
                     used.update(taken)
-                    smaller = replace(candidate, name=taken[0], fetching_images=set())
-                    smaller.allocate(spec, tasks)
-                    self.add(smaller, taken)
+                    remaining = replace(candidate, name=taken[0], fetching_images=set())
+                    remaining.allocate(spec, tasks)
+                    self.add(remaining, taken)
             demand.record_packed(candidate.zone, filled * per_machine + rest)
 
-    def _preferred(self, demand: Demand) -> list[GroupKey]:
-        """Return the groups that a demand may use and fits into, the best first."""
+    def _ranked_groups(self, demand: Demand) -> list[GroupKey]:
+        """Return the keys of the groups that a demand may use and fits into, best first."""
         spec = demand.spec
         # A task costs the same on all machines of one type, spot or on-demand.
         costs: dict[tuple[str, bool], float] = {}
--- a/driftcleat/capacity/demand.py
+++ b/driftcleat/capacity/demand.py
@@ -1,4 +1,4 @@
-"""Demand for capacity: tasks of one shape that need room."""
+"""Demand for capacity: tasks of one shape that need resources."""
 
 from dataclasses import dataclass
 
@@ -9,34 +9,34 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Tasks of one shape that need room now, or are expected to; sizing counts them down."""
+    """Tasks of one shape that need resources now or are expected to; sizing counts `tasks` down as it packs them."""
 
     spec: JobSpec
     tasks: int
     tasks_by_zone: dict[str, int]
-    # Set once it is decided in which zone a job that needs a single one is to run.
+    # The zone of a job whose tasks must all be in one zone; None until it is chosen.
     required_zone: str | None = None
-    # The number of tasks that one zone may hold; None: all.
+    # The number of tasks that one zone may hold; None: no limit.
     max_per_zone: int | None = None
-    # What a task costs an hour, once it was worked out.
-    _cost: float | None = None
+    # The result of `hourly_cost_per_task`, once computed.
+    _hourly_cost: float | None = None
 
     def __post_init__(self) -> None:
-        # Guards against taking the size of one job as the limit for all that are expected of its class: the rest
-        # was then rented in another zone, at any price.
+        # Counts the tasks of all jobs that are expected of a class: a limit by the size of one job would force the
+        # rest into machines in another zone, at any price.
         if self.spec.spread:
             self.max_per_zone = -(-max(self.spec.tasks, self.tasks + sum(self.tasks_by_zone.values())) // 2)
 
     def record_packed(self, zone: str, tasks: int) -> None:
-        """Count tasks that were packed in a zone."""
+        """Record that tasks were packed into machines of a zone."""
         self.tasks -= tasks
         self.tasks_by_zone[zone] = self.tasks_by_zone.get(zone, 0) + tasks
 
-    def cost(self, machine_types: dict[str, MachineType]) -> float:
-        """Return what a task costs an hour on the type that suits it best, if that is filled up."""
-        if self._cost is None:
+    def hourly_cost_per_task(self, machine_types: dict[str, MachineType]) -> float:
+        """Return the hourly cost of a task on the machine type where it is lowest, if that machine is filled."""
+        if self._hourly_cost is None:
             spec = self.spec
-            self._cost = min(
+            self._hourly_cost = min(
                 (
                     machine_type.price
                     * dominant_share(spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
@@ -45,10 +45,10 @@
                 ),
                 default=0.0,
             )
-        return self._cost
+        return self._hourly_cost
 
     def may_use(self, candidate: Candidate) -> bool:
-        """Tell whether the tasks may use a candidate, if they fit there."""
+        """Return whether the tasks may be placed on a candidate, whether they fit or not."""
         spec = self.spec
         return (
             candidate.satisfies_constraints(spec)
@@ -63,7 +63,7 @@
         return self.max_per_zone - self.tasks_by_zone.get(zone, 0)
 
     def pack_into(self, candidate: Candidate, dry_run: bool = False) -> int:
-        """Pack as many tasks into a candidate as fit, and return how many; `dry_run` leaves the demand as it is."""
+        """Pack as many tasks into a candidate as fit, and return how many; `dry_run` changes only the candidate."""
         spec = self.spec
         if not self.may_use(candidate):
             return 0
--- a/driftcleat/placement/__init__.py
+++ b/driftcleat/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: assigns tasks to candidate machines within quotas. Pure: it does no I/O and changes no cluster state."""
+"""Assigns tasks to candidate machines within quotas. Placement does no I/O and changes no cluster state."""
 
 from driftcleat.placement.candidates import Candidate, fits, satisfies_constraints
 from driftcleat.placement.placement_round import PlacementRound
--- a/driftcleat/placement/candidates.py
+++ b/driftcleat/placement/candidates.py
@@ -1,4 +1,4 @@
-"""Candidates: the free resources of a machine, and whether a task may be placed there and fits."""
+"""Candidates: machines with their free resources, and whether a task may be placed on one and fits."""
 
 from collections.abc import Container
 from dataclasses import dataclass, field
@@ -6,14 +6,14 @@
 
 from driftcleat.wire.users import JobKind, JobSpec, Priority
 
-# Sums of decimal amounts differ in their last digits; no real request is this small.
+# Absorbs the rounding errors of floating-point sums; no real request is this small.
 ROUNDING_TOLERANCE = 1e-6
-# The power of the fetch rate by which the cost of a latency-sensitive replica is divided.
+# The cost of a latency-sensitive replica is divided by the machine's image fetch rate to this power.
 FETCH_RATE_EXPONENT = 2
 
 
 class Resources(NamedTuple):
-    """Amounts of processors, GPUs and memory."""
+    """Amounts of CPUs, GPUs and memory in GB."""
 
     cpus: float
     gpus: float
@@ -22,9 +22,10 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """One machine as placement sees it: `cpus`, `gpus` and `memory_gb` are free.
+    """A machine with its free resources, in `cpus`, `gpus` and `memory_gb`.
 
-    Resources are plain fields, not a `Resources` each: one candidate is made for each machine in each round.
+    Resources are plain fields instead of `Resources` objects, since a candidate is created for each machine in each
+    round.
     """
 
     name: str
@@ -35,27 +36,28 @@
     gpus: float
     memory_gb: float
     cached_images: Container[str] = field(default_factory=frozenset)
-    # Images being fetched, or to be fetched for what this round places here: fetches share the rate.
+    # Images being fetched, or to be fetched for tasks that this round places here. Fetches share the machine's rate.
     fetching_images: set[str] = field(default_factory=set)
     failed_jobs: Container[str] = field(default_factory=frozenset)
     busy: bool = False
-    # Per hour.
+    # The machine's price per hour.
     price: float = 0.0
     total_cpus: float = 0.0
     total_gpus: float = 0.0
     total_memory_gb: float = 0.0
     fetch_gb_per_s: float = 1.0
-    # The number of controllers in other zones: a partitioned zone keeps its work if the leader is inside.
+    # The number of controllers in other zones. Fewer is better: a partitioned zone keeps its tasks running if the
+    # leader is inside the zone.
     controllers_elsewhere: int = 0
     # The only job that may use the free resources, while resources for its other tasks are being freed.
     reserved_for: str | None = None
 
     def fits(self, spec: JobSpec) -> bool:
-        """Tell whether a task fits into the free resources."""
+        """Return whether a task fits into the free resources."""
         return fits(spec, self.cpus, self.gpus, self.memory_gb)
 
     def satisfies_constraints(self, spec: JobSpec) -> bool:
-        """Tell whether a job allows this machine's type, its zone, and spot if it is one."""
+        """Return whether the machine satisfies a job's constraints on type, zone and spot."""
         return satisfies_constraints(spec, self.machine_type, self.zone, self.spot)
 
     def task_capacity(self, spec: JobSpec, max_tasks: int) -> int:
@@ -63,20 +65,20 @@
         return task_capacity(spec, self.cpus, self.gpus, self.memory_gb, max_tasks)
 
     def dominant_share_cost(self, spec: JobSpec) -> float:
-        """Return the part of the machine's price that a task's dominant resource takes, per hour."""
+        """Return a task's dominant share of the machine times the machine's price per hour."""
         return self.price * dominant_share(spec, self.total_cpus, self.total_gpus, self.total_memory_gb)
 
     def fetch_weighted_cost(self, spec: JobSpec) -> float:
-        """Return `dominant_share_cost`; for a latency-sensitive replica, the higher the slower this machine fetches.
+        """Return `dominant_share_cost`, which for a latency-sensitive replica rises as the image fetch rate falls.
 
-        Guards against replicas whose start was delayed by half as much again, to save a fifth of the price.
+        Guards against saving a fifth of the price on a machine where a replica takes half as long again to start.
         """
         return self.dominant_share_cost(spec) / (
             self.fetch_gb_per_s**FETCH_RATE_EXPONENT if latency_sensitive(spec) else 1.0
         )
 
     def allocate(self, spec: JobSpec, tasks: int = 1) -> None:
-        """Take the resources of that many tasks; the image counts as being fetched unless it is cached."""
+        """Allocate the resources of `tasks` tasks; their image counts as being fetched unless it is cached."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
         self.memory_gb -= spec.memory_gb * tasks
@@ -85,25 +87,25 @@
             self.fetching_images.add(spec.image)
 
     def fetch_rank(self, image: str) -> int:
-        """Return 0 if the image is cached or on its way, else one more than the fetches it would share with."""
+        """Return 0 if the image is cached or being fetched, else 1 plus the number of fetches on the machine."""
         if image in self.fetching_images or image in self.cached_images:
             return 0
         return 1 + len(self.fetching_images)
 
     def release(self, spec: JobSpec, tasks: int = 1) -> None:
-        """Give the resources of that many tasks back; the machine still counts as busy, and as fetching."""
+        """Release the resources of `tasks` tasks; the machine still counts as busy and as fetching their image."""
         self.cpus += spec.cpus * tasks
         self.gpus += spec.gpus * tasks
         self.memory_gb += spec.memory_gb * tasks
 
 
 def latency_sensitive(spec: JobSpec) -> bool:
-    """Tell whether a job's start is urgent to its users: a service of the highest priority."""
+    """Return whether a job's start is urgent to its users: it is a service of the highest priority."""
     return spec.kind is JobKind.SERVICE and spec.priority is Priority.CRITICAL
 
 
 def satisfies_constraints(spec: JobSpec, type_name: str, zone: str, spot: bool) -> bool:
-    """Tell whether a job allows machines of this type in this zone, spot or on-demand."""
+    """Return whether machines of a type in a zone, spot or on-demand, satisfy a job's constraints."""
     return (
         (spec.machine_types is None or type_name in spec.machine_types)
         and (spec.zone is None or zone == spec.zone)
@@ -112,7 +114,7 @@
 
 
 def fits(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> bool:
-    """Tell whether a task fits into these resources."""
+    """Return whether a task fits into the given resources."""
     return (
         spec.cpus <= cpus + ROUNDING_TOLERANCE
         and spec.gpus <= gpus + ROUNDING_TOLERANCE
@@ -121,7 +123,7 @@
 
 
 def dominant_share(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> float:
-    """Return the part of these resources that a task takes, by its dominant resource."""
+    """Return the fraction of the given resources that a task takes of its dominant resource."""
     return max(
         (
             needed / whole
@@ -133,7 +135,7 @@
 
 
 def task_capacity(spec: JobSpec, cpus: float, gpus: float, memory_gb: float, max_tasks: int) -> int:
-    """Return how many tasks fit into these resources, up to `max_tasks`."""
+    """Return how many tasks fit into the given resources, up to `max_tasks`."""
     count = max_tasks
     for needed, free in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
         if needed > 0:
--- a/driftcleat/placement/fair_share.py
+++ b/driftcleat/placement/fair_share.py
@@ -5,8 +5,8 @@
 
 from driftcleat.cluster.jobs import Job
 
-# Beyond the guarantee, priority level, queued since, job id. A plain tuple, since a named one takes longer to create:
-# one is made for each queued job after each commit, and two for each task that might be preempted.
+# (beyond the team's guarantee, priority level, queued since, job id). A plain tuple, since a named tuple takes longer
+# to create: each commit creates one for each queued job and two for each task that might be preempted.
 SortKey = tuple[bool, int, float, str]
 
 
@@ -15,22 +15,22 @@
     """Guaranteed jobs first, then by priority (which may be inherited from a dependent job), then by age.
 
     A job that must start by a deadline, because another job depends on it, counts as submitted no later than
-    `allowance_s` seconds before that deadline.
+    `lead_time_s` seconds before that deadline.
     """
 
     guaranteed: AbstractSet[str] = field(default_factory=frozenset)
-    allowance_s: float = 0.0
+    lead_time_s: float = 0.0
 
     def sort_key(self, job: Job) -> SortKey:
         """Return a job's position in the queue: the lower, the earlier."""
-        since = min(job.submitted_at, job.start_deadline - self.allowance_s)
+        since = min(job.submitted_at, job.start_deadline - self.lead_time_s)
         return (job.id not in self.guaranteed, job.priority_level, since, job.id)
 
     def may_preempt(self, job: Job, other: Job) -> bool:
-        """Tell whether the protocol lets a job preempt tasks of another.
+        """Return whether the protocol lets a job preempt tasks of another.
 
-        The victim must also come later in the queue. Guards against a cycle seen in an incident: a job was preempted
-        by one behind it in the queue, was placed there again at once, and was preempted again.
+        The victim must also come later in the queue. Guards against a cycle in which a job is preempted by one behind
+        it in the queue, is placed again at once on the same machine, and is preempted again.
         """
         lower_priority = other.priority_level > job.priority_level
         reclaims_guarantee = (
--- a/driftcleat/placement/placement_round.py
+++ b/driftcleat/placement/placement_round.py
@@ -1,4 +1,4 @@
-"""One placement round: each task goes to the best fit among a sample of candidates, which widens until one fits."""
+"""One placement round: each task is assigned to the best of a sample of feasible candidates."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -12,14 +12,14 @@
 ANY_FETCH_RANK = 1_000_000
 
 # The cost of one task by machine type, spot or on-demand, and whether its image must be fetched. The keys are plain
-# tuples: one is made for each scored candidate, and a named tuple takes several times as long to create.
+# tuples: one is created for each scored candidate, and a named tuple takes several times as long to create.
 CostsByMachineKind = dict[tuple[str, bool, bool], float]
-# A plain tuple for the same reason; `PlacementRound._score` names its parts.
+# A plain tuple for the same reason; `_score` names its parts.
 Score = tuple[float, ...]
 
 
 class TaskShape(NamedTuple):
-    """What decides whether any candidate can take a task: tasks of one shape fit alike."""
+    """The properties of a task that decide which candidates can take it: tasks of one shape fit the same ones."""
 
     cpus: float
     gpus: float
@@ -39,30 +39,30 @@
 
 
 class PlacementRound:
-    """Assigns tasks to candidates, and uses the candidates' free resources up."""
+    """Assigns tasks to candidates, and allocates the candidates' free resources to them."""
 
     def __init__(
         self,
         candidates: Iterable[Candidate],
-        sample: int,
+        sample_size: int,
         rng: random.Random,
         is_blocked: Callable[[str, int], bool] = lambda job_id, index: False,
     ) -> None:
-        """Shuffle the candidates; `is_blocked` tells for a job id and a task index that the task must not start."""
+        """Shuffle the candidates; `is_blocked` returns whether a task (job id, task index) must not start."""
         self.candidates = list(candidates)
         rng.shuffle(self.candidates)
-        self.sample = max(1, sample)
+        self.sample_size = max(1, sample_size)
         self.rng = rng
         self.is_blocked = is_blocked
-        self.unplaceable: set[TaskShape] = set()
+        self.unplaceable_shapes: set[TaskShape] = set()
 
     def place(
         self, job: Job, quota: QuotaHeadroom, max_tasks: int, max_fetch_rank: int = ANY_FETCH_RANK
     ) -> list[TaskAssignment]:
-        """Return assignments for queued tasks of a job; candidates and quota are used up by them.
+        """Return assignments for queued tasks of a job, and allocate candidates and quota to them.
 
         `max_fetch_rank` is the highest `Candidate.fetch_rank` that is acceptable: 0 requires the image to be cached
-        or on its way, 1 requires that no other fetch shares the rate.
+        or being fetched, 1 requires that no other fetch shares the machine's fetch rate.
         """
         if job.is_gang:
             return self._place_gang(job, quota, max_fetch_rank)
@@ -86,7 +86,7 @@
             if self.is_blocked(job.id, index):
                 continue
             if candidate is None or not candidate.fits(spec) or counts.get(candidate.zone, 0) >= max_per_zone:
-                # The candidate found last is filled up first: it was the best, and is better now that it fetches.
+                # Search only once the last candidate is full: it was the best, and is better now that it fetches.
                 candidate = self.find_best(
                     spec, zone, lambda candidate: counts.get(candidate.zone, 0) < max_per_zone, max_fetch_rank
                 )
@@ -101,7 +101,7 @@
         return assignments
 
     def _place_gang(self, job: Job, quota: QuotaHeadroom, max_fetch_rank: int) -> list[TaskAssignment]:
-        """Assign all queued tasks at once or none; only when no task of an older attempt is left anywhere."""
+        """Assign all queued tasks of a gang or none; none while a task of an earlier attempt is still placed."""
         spec = job.spec
         tasks = job.tasks_queued
         if job.placements or not quota.fits(spec, tasks):
@@ -138,7 +138,10 @@
     def _place_gang_in_zone(
         self, spec: JobSpec, zone: str | None, tasks: int, max_fetch_rank: int
     ) -> list[Candidate] | None:
-        """Return a candidate for each task, in one zone or in any (None); None, and nothing used up, if one lacks."""
+        """Return a candidate for each task, all in `zone` unless that is None.
+
+        If there are not enough candidates, nothing is allocated and None is returned.
+        """
         chosen: list[Candidate] = []
         counts: dict[str, int] = {}
         max_per_zone = spread_limit(spec)
@@ -150,7 +153,7 @@
                 for used in chosen:
                     used.release(spec)
                 return None
-            # Fill the machine before looking further: consecutive tasks make short records.
+            # Fill the machine before the next search: consecutive tasks on one machine make short records.
             while len(chosen) < tasks and candidate.fits(spec) and counts.get(candidate.zone, 0) < max_per_zone:
                 candidate.allocate(spec)
                 counts[candidate.zone] = counts.get(candidate.zone, 0) + 1
@@ -164,12 +167,12 @@
         spread_permits: Callable[[Candidate], bool],
         max_fetch_rank: int = ANY_FETCH_RANK,
     ) -> Candidate | None:
-        """Return the best fit among the first sample of feasible candidates, from a random start on.
+        """Return the best of the first `sample_size` feasible candidates after a random start; it is not allocated.
 
-        The caller allocates. A shape that no candidate can take is not looked for again in this round.
+        A shape that no candidate can take is not searched for again in this round.
         """
         shape = _task_shape(spec, zone)
-        if shape in self.unplaceable:
+        if shape in self.unplaceable_shapes:
             return None
         candidates = self.candidates
         count = len(candidates)
@@ -181,7 +184,7 @@
         rejected_for_job = False
         for offset in range(count):
             candidate = candidates[(start + offset) % count]
-            # Resources first, and not in `_filter`: in a full cluster most of thousands of candidates end here.
+            # Resources are checked first, outside `_filter`: in a full cluster they rule out most candidates.
             if not candidate.fits(spec) or not _filter(spec, zone, candidate):
                 continue
             if not _filter_for_job(spec, candidate, max_fetch_rank) or not spread_permits(candidate):
@@ -192,10 +195,10 @@
                 best = candidate
                 best_score = score
             scored += 1
-            if scored >= self.sample:
+            if scored >= self.sample_size:
                 break
         if best is None and not rejected_for_job:
-            self.unplaceable.add(shape)
+            self.unplaceable_shapes.add(shape)
         return best
 
 
@@ -213,12 +216,12 @@
 
 
 def _filter(spec: JobSpec, zone: str | None, candidate: Candidate) -> bool:
-    """Tell whether the constraints on machine type, zone and spot permit a candidate: part of the task's shape."""
+    """Return whether a candidate satisfies the constraints of the task's shape on machine type, zone and spot."""
     return candidate.satisfies_constraints(spec) and (zone is None or candidate.zone == zone)
 
 
 def _filter_for_job(spec: JobSpec, candidate: Candidate, max_fetch_rank: int) -> bool:
-    """Tell whether a candidate that can take the shape may take it for this job: others of the shape may differ."""
+    """Return whether a candidate for the shape may take tasks of this job; other jobs of the shape may differ."""
     return (
         spec.id not in candidate.failed_jobs
         and candidate.reserved_for in (None, spec.id)
@@ -227,10 +230,10 @@
 
 
 def _score(spec: JobSpec, candidate: Candidate, costs: CostsByMachineKind) -> Score:
-    """Return a candidate's score, lower is better.
+    """Return a candidate's score; lower is better.
 
     In order: fetch rank, cost of the resources, controllers in other zones, whether the machine is idle, GPUs left
-    over, processors left over. `costs` keeps the cost on each kind of machine: worked out once for hundreds alike.
+    over, CPUs left over. `costs` caches the cost by kind of machine, since hundreds of machines are of one kind.
     """
     fetch_rank = candidate.fetch_rank(spec.image)
     kind = (candidate.machine_type, candidate.spot, fetch_rank > 0)
--- a/driftcleat/placement/preemption_plan.py
+++ b/driftcleat/placement/preemption_plan.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreemptionPlan:
-    """The tasks (maybe none) to preempt on one machine so that another task fits there, and what that loses."""
+    """The tasks (possibly none) to preempt on one machine so that another task fits, and the estimated cost."""
 
     candidate: Candidate
     victims: tuple[Victim, ...]
@@ -19,7 +19,8 @@
 def plan_preemption(spec: JobSpec, candidate: Candidate, victims: list[Victim]) -> PreemptionPlan | None:
     """Return a plan for one task of a job that preempts victims, cheapest first, until the task fits.
 
-    It has no victims if the task fits already; None if it does not fit with all of them gone, or may not go there.
+    The plan has no victims if the task fits already. Returns None if the task must not be placed on the machine, or
+    does not fit even without all of `victims`.
     """
     if (
         spec.id in candidate.failed_jobs
--- a/driftcleat/placement/quota.py
+++ b/driftcleat/placement/quota.py
@@ -8,19 +8,19 @@
 
 @dataclass(slots=True)
 class QuotaHeadroom:
-    """What a team may still use; infinite where it has no upper limit."""
+    """The resources that a team may still use; infinite if the team has no upper limit."""
 
     cpus: float
     gpus: float
 
     def fits(self, spec: JobSpec, tasks: int) -> bool:
-        """Tell whether that many tasks stay within the limit."""
+        """Return whether `tasks` more tasks stay within the team's limit."""
         return (
             spec.cpus * tasks <= self.cpus + ROUNDING_TOLERANCE
             and spec.gpus * tasks <= self.gpus + ROUNDING_TOLERANCE
         )
 
     def consume(self, spec: JobSpec, tasks: int) -> None:
-        """Use up the resources of that many tasks."""
+        """Subtract the resources of `tasks` tasks."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
--- a/driftcleat/placement/victims.py
+++ b/driftcleat/placement/victims.py
@@ -1,4 +1,4 @@
-"""Preemptible tasks: found once in a round, and only if some job finds no room."""
+"""Preemptible tasks: collected once per round, and only if some job does not fit."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -19,17 +19,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineTasks:
-    """The preemptible tasks of one machine, with what rules out most preemptors without a look at each task."""
+    """The preemptible tasks of one machine, with summaries that rule out most preemptors without examining each."""
 
     machine: Machine
     tasks: list[tuple[Job, int]]
-    # The level of the least urgent priority among them: a higher level is less urgent.
+    # The highest level among the tasks; a higher level is a lower priority.
     lowest_priority_level: int
     any_beyond_guarantee: bool
 
 
 class PreemptibleTasks:
-    """The tasks on one round's machines that could be preempted at all, and who may preempt them."""
+    """The preemptible tasks on the machines of one round, and which jobs may preempt them."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
                 self._by_machine[machine.name] = found
 
     def machines(self, job: Job) -> list[Machine]:
-        """Return the machines on which this job may preempt something."""
+        """Return the machines on which a job may be able to preempt tasks."""
         level = job.priority_level
         guaranteed = job.id in self.order.guaranteed
         return [
@@ -57,7 +57,7 @@
         ]
 
     def victims(self, machine: Machine, job: Job) -> list[Victim]:
-        """Return the tasks on a machine that this job may preempt."""
+        """Return the tasks on a machine that a job may preempt, with their costs."""
         found = self._by_machine.get(machine.name)
         if found is None:
             return []
@@ -68,7 +68,7 @@
         ]
 
     def exclude(self, machine: Machine) -> None:
-        """Protect a machine, on which tasks were preempted for a job, from further preemption in this round."""
+        """Exclude a machine from further preemption in this round."""
         self._by_machine.pop(machine.name, None)
 
 
