--- a/driftcleat/scheduler/consolidation.py
+++ b/driftcleat/scheduler/consolidation.py
@@ -116,7 +116,7 @@
             candidate
             for candidate in candidates
             if candidate.fits(spec)
-            and candidate.allows(spec)
+            and candidate.satisfies_constraints(spec)
             and candidate.fetch_rank(spec.image) == 0
             and counts.get(candidate.zone, 0) < spread_limit(spec)
         ),
--- a/driftcleat/scheduler/placement_pass.py
+++ b/driftcleat/scheduler/placement_pass.py
@@ -4,8 +4,8 @@
 
 from driftcleat.capacity.sizing import MachineOffer
 from driftcleat.cluster import Batch, Job, JobState, MachineState, TaskPlacement, TaskState
-from driftcleat.placement.candidates import Resources, allowed, fits
-from driftcleat.placement.placement_round import UNBOUNDED, PlacementRound, TaskAssignment
+from driftcleat.placement.candidates import Resources, fits, satisfies_constraints
+from driftcleat.placement.placement_round import ANY_FETCH_RANK, PlacementRound, TaskAssignment
 from driftcleat.scheduler.context import INFINITE, SchedulerContext
 from driftcleat.scheduler.machine_candidates import MachineCandidates
 from driftcleat.scheduler.pacing import RoundPacing
@@ -204,7 +204,7 @@
         """Return the highest acceptable fetch rank for a job's tasks; `PlacementRound.place` defines the ranks."""
         if self._preemption.waits_for_image(job, now):
             return FETCH_RANK_CACHED
-        return FETCH_RANK_NO_OTHER_FETCH if self._should_await_booting(job) else UNBOUNDED
+        return FETCH_RANK_NO_OTHER_FETCH if self._should_await_booting(job) else ANY_FETCH_RANK
 
     def _should_await_booting(self, job: Job) -> bool:
         """Return whether to wait for a booting machine rather than use one that is fetching another image.
@@ -215,7 +215,7 @@
             machine_type = self._cluster.machine_types.get(offer.machine_type)
             if (
                 machine_type is not None
-                and allowed(job.spec, offer.machine_type, offer.zone, offer.spot)
+                and satisfies_constraints(job.spec, offer.machine_type, offer.zone, offer.spot)
                 and fits(job.spec, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
             ):
                 return self._queued_s(job) < machine_type.boot_s * self._tuning.image_wait_boot_times
--- a/driftcleat/scheduler/reachability.py
+++ b/driftcleat/scheduler/reachability.py
@@ -61,7 +61,7 @@
             tuning.correlated_failure_share,
         )
         # A machine with a heartbeat since then misses none; this cheap check comes first, as it covers most machines.
-        not_missing_since = now - failures.counted_s
+        not_missing_since = now - failures.suspicion_timeout_s
         missing: dict[str, int] = {}
         known: dict[str, int] = {}
         for machine in self._cluster.machines.values():
@@ -69,16 +69,16 @@
                 continue
             known[machine.zone] = known.get(machine.zone, 0) + 1
             is_recent = machine.last_heartbeat is not None and machine.last_heartbeat_at >= not_missing_since
-            if not is_recent and self.heartbeat_age_s(machine, now) > failures.counted_s:
+            if not is_recent and self.heartbeat_age_s(machine, now) > failures.suspicion_timeout_s:
                 missing[machine.zone] = missing.get(machine.zone, 0) + 1
         for zone, count in known.items():
-            failures.count_all(zone, missing.get(zone, 0), count)
+            failures.add_machines(zone, missing.get(zone, 0), count)
         # A machine that is known only from stored records counts once, in the zone of its first placement.
         for placements in self._cluster.unconfirmed_placements.values():
             for placement in placements.values():
-                failures.count(placement.zone, now - self._cluster.started_at)
+                failures.add_machine(placement.zone, now - self._cluster.started_at)
                 break
-        failures.remember(self._failures_until, now)
+        failures.retain_recent_failures(self._failures_until, now)
         return failures
 
     def likely_unreachable(self, machine: Machine, now: float) -> bool:
@@ -107,7 +107,7 @@
         return {
             name
             for name, placements in self._cluster.unconfirmed_placements.items()
-            if term_age_s > max(failures.tolerated_s(placement.zone) for placement in placements.values())
+            if term_age_s > max(failures.heartbeat_timeout_s(placement.zone) for placement in placements.values())
             or (self._listed is not None and name not in self._listed and term_age_s > self._always_listed_age_s)
         }
 
--- a/driftcleat/scheduler/scale_in.py
+++ b/driftcleat/scheduler/scale_in.py
@@ -74,7 +74,7 @@
             and bool(machine.tasks)
             and not machine.unacknowledged_responses
             and machine.last_heartbeat is not None
-            and now - machine.last_heartbeat_at <= failures.alone_s
+            and now - machine.last_heartbeat_at <= failures.isolated_timeout_s
         )
 
     def _is_surplus(self, machine: Machine, view: FleetView) -> bool:
@@ -85,9 +85,9 @@
                 and now - machine.created_at > self._boot_s(machine) * self._tuning.boot_timeout_boot_times
             )
         heartbeat_age_s = self._reachability.heartbeat_age_s(machine, now)
-        if heartbeat_age_s > view.failures.alone_s:
+        if heartbeat_age_s > view.failures.isolated_timeout_s:
             presumed_lost = (
-                heartbeat_age_s > view.failures.tolerated_s(machine.zone) or machine.name in view.replaceable
+                heartbeat_age_s > view.failures.heartbeat_timeout_s(machine.zone) or machine.name in view.replaceable
             )
             return view.term_older_than_lease and presumed_lost
         if machine.state is MachineState.BOOTING:
@@ -132,9 +132,11 @@
             machine
             for machine in self._cluster.machines.values()
             if self._reachability.is_running(machine)
-            and failures.correlated(machine.zone)
-            and not (failures.partitioned(machine.zone) and self._platform.controllers_in(machine.zone))
-            and failures.alone_s < self._reachability.heartbeat_age_s(machine, now) <= failures.correlated_s
+            and failures.is_correlated(machine.zone)
+            and not (failures.is_partitioned(machine.zone) and self._platform.controllers_in(machine.zone))
+            and failures.isolated_timeout_s
+            < self._reachability.heartbeat_age_s(machine, now)
+            <= failures.correlated_timeout_s
         ]
         if not missing:
             return set()
@@ -151,7 +153,7 @@
                 (
                     candidate
                     for candidate in by_image.get(spec.image, ())
-                    if candidate.fits(spec) and candidate.allows(spec)
+                    if candidate.fits(spec) and candidate.satisfies_constraints(spec)
                 ),
                 None,
             )
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -22,7 +22,7 @@
 from driftcleat.leadership import Role
 from driftcleat.net import ConnectionLimiter, HttpAnswer, HttpError
 from driftcleat.peers import PeerClient
-from driftcleat.placement.candidates import allowed, fits
+from driftcleat.placement.candidates import fits, satisfies_constraints
 from driftcleat.settings import Tuning
 from driftcleat.settings.platform import Platform, parse_platform
 from driftcleat.store.client import StoreClient
@@ -664,7 +664,7 @@
     def _has_room(self, worker: ReferenceWorker, spec: JobSpec) -> bool:
         """Return whether a machine meets a job's constraints and has room for one of its tasks."""
         tasks = [task.job for task in worker.tasks.values() if task.state != "exited"]
-        return allowed(spec, worker.machine_type.name, worker.zone, worker.spot) and fits(
+        return satisfies_constraints(spec, worker.machine_type.name, worker.zone, worker.spot) and fits(
             spec,
             worker.machine_type.cpus - sum(job.cpus for job in tasks),
             worker.machine_type.gpus - sum(job.gpus for job in tasks),
