--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -85,7 +85,7 @@
         if has_exits or scheduler.has_work:
             self._active_term.wake_committer()
             # A response that waits keeps its connection: with too many of them, all are answered at once.
-            if has_exits and not self._connections.crowded:
+            if has_exits and not self._connections.over_soft_limit:
                 return self._answer_after_commit(scheduler, machine, heartbeat, received_at)
         return self._answer(scheduler, machine, heartbeat, received_at)
 
--- a/driftcleat/api/server.py
+++ b/driftcleat/api/server.py
@@ -178,7 +178,7 @@
             raise
         # All that we could serve may come at once, and as many again that are told to wait by the kernel.
         self._server = await loop.create_server(
-            lambda: Connection(self, loop), sock=listening, backlog=self.limiter.most * 2
+            lambda: Connection(self, loop), sock=listening, backlog=self.limiter.max_connections * 2
         )
         self._sweeper = asyncio.ensure_future(self._sweep())
 
@@ -212,20 +212,20 @@
 
     def opened(self, connection: Connection) -> bool:
         """Take in a connection; False if there is no room for it."""
-        return self.limiter.opened(connection)
+        return self.limiter.admit(connection)
 
     def began(self, connection: Connection, path: str) -> None:
         """A request has come in."""
         kind = ClientKind.WORKER if path == self._workers_path else ClientKind.USER
-        self.limiter.began(connection, kind)
+        self.limiter.request_started(connection, kind)
 
     def ended(self, connection: Connection) -> bool:
         """A request is answered; True if the connection has to be closed after it."""
-        return self.limiter.ended(connection)
+        return self.limiter.request_finished(connection)
 
     def gone(self, connection: Connection) -> None:
         """A connection is closed."""
-        self.limiter.gone(connection)
+        self.limiter.remove(connection)
 
 
 async def serve(
--- a/driftcleat/cloud/client.py
+++ b/driftcleat/cloud/client.py
@@ -6,7 +6,7 @@
 
 from driftcleat import wire
 from driftcleat.errors import DriftcleatError
-from driftcleat.net import HttpAnswer, HttpClient, HttpError
+from driftcleat.net import HttpClient, HttpError, HttpResponse
 from driftcleat.store.rate_limit import TokenBucket
 from driftcleat.wire import cloud as messages
 
@@ -66,7 +66,7 @@
             log.warning("cloud: %s %s: malformed response: %s", method, path, error)
             raise CloudError(f"{method} {path}: malformed response: {error}") from None
 
-    async def exchange(self, method: str, path: str, body: bytes | None) -> HttpAnswer:
+    async def exchange(self, method: str, path: str, body: bytes | None) -> HttpResponse:
         """Send one request and return its response, whatever its status; `HttpError` if there is none."""
         return await self.client.request(method, self.address, path, body, self.timeout_s)
 
--- a/driftcleat/cloud/manager.py
+++ b/driftcleat/cloud/manager.py
@@ -11,7 +11,7 @@
 from driftcleat.cloud.terminator import Terminator
 from driftcleat.cloud.token_announcer import FencingTokenAnnouncer
 from driftcleat.leadership import ActiveTerm
-from driftcleat.runtime.background import Background
+from driftcleat.runtime.background import BackgroundTasks
 from driftcleat.runtime.metrics import Metrics
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
@@ -29,7 +29,7 @@
         active_term: ActiveTerm[Scheduler],
         heartbeats: HeartbeatApi,
         dispatcher: StopDispatcher,
-        background: Background,
+        background: BackgroundTasks,
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
--- a/driftcleat/cloud/token_announcer.py
+++ b/driftcleat/cloud/token_announcer.py
@@ -5,7 +5,7 @@
 
 from driftcleat.cluster import Machine, MachineState
 from driftcleat.leadership import ActiveTerm
-from driftcleat.runtime.background import Background
+from driftcleat.runtime.background import BackgroundTasks
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform
 from driftcleat.workers.dispatch import StopDispatcher
@@ -22,7 +22,7 @@
         platform: Platform,
         active_term: ActiveTerm[Scheduler],
         dispatcher: StopDispatcher,
-        background: Background,
+        background: BackgroundTasks,
         clock: Callable[[], float],
     ) -> None:
         self._platform = platform
--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -18,7 +18,7 @@
 from driftcleat.peers import PeerClient
 from driftcleat.peers.server import PeerApi
 from driftcleat.peers.survey import PeerSurveyor
-from driftcleat.runtime.background import Background
+from driftcleat.runtime.background import BackgroundTasks
 from driftcleat.runtime.metrics import Metrics
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
@@ -96,7 +96,7 @@
     fleet_manager: FleetManager
     overload: OverloadDetector
     loop_delay: LoopDelayMonitor
-    background: Background
+    background: BackgroundTasks
     metrics: Metrics
 
 
@@ -107,7 +107,7 @@
     clock = context.clock
     clients = context.network.clients
     metrics = Metrics()
-    background = Background()
+    background = BackgroundTasks()
     overload = OverloadDetector(platform.report_s)
     active_term: ActiveTerm[Scheduler] = ActiveTerm()
     surveyor = PeerSurveyor(platform, clients.peers, active_term, clock)
@@ -158,8 +158,8 @@
     platform = context.platform
     clients = context.network.clients
     sockets = SocketBudget(platform.fd_limit, len(platform.peers))
-    max_in_progress = sockets.users
-    max_forwarded = sockets.peers.each * FORWARDED_PER_CONNECTION
+    max_in_progress = sockets.max_user_connections
+    max_forwarded = sockets.peers.max_per_address * FORWARDED_PER_CONNECTION
     return make_users(
         platform,
         context.tuning,
--- a/driftcleat/controller/clients.py
+++ b/driftcleat/controller/clients.py
@@ -46,13 +46,13 @@
 def make_clients(platform: Platform, sockets: SocketBudget, clock: Callable[[], float]) -> ProcessClients:
     """Make the clients of a process; nothing is connected before the first request."""
     store, lease, cloud, peers, workers = connections = [
-        allowance.client(platform.lease_s)
+        allowance.make_client(platform.lease_s)
         for allowance in (sockets.store, sockets.lease, sockets.cloud, sockets.peers, sockets.workers)
     ]
     return ProcessClients(
         store=StoreClient(store, lease, platform.state, store_limits(platform), clock),
         cloud=CloudClient(cloud, platform.cloud, platform.cloud_rps, platform.report_s, clock),
-        workers=WorkerClient(workers, platform.report_s, sockets.workers.total),
+        workers=WorkerClient(workers, platform.report_s, sockets.workers.max_total),
         peers=peers,
         connections=connections,
     )
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -12,7 +12,7 @@
 from driftcleat.controller.recovery import recover
 from driftcleat.controller.routes import Routes
 from driftcleat.leadership import PeerSurvey
-from driftcleat.runtime.background import run_for_ever
+from driftcleat.runtime.background import run_forever
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.store.records import DATA_VERSION
@@ -81,7 +81,7 @@
             log.info("controller %s: listening on %s and %s", platform.label, platform.bind, platform.back)
             pause_s = platform.report_s * LOOP_RESTART_PAUSE
             # Not a TaskGroup: a loop that is cancelled ends the process here, a group would go on without it.
-            await asyncio.gather(*(run_for_ever(loop, pause_s) for loop in self._loops()))
+            await asyncio.gather(*(run_forever(loop, pause_s) for loop in self._loops()))
 
     @property
     def is_serving(self) -> bool:
--- a/driftcleat/controller/network.py
+++ b/driftcleat/controller/network.py
@@ -46,8 +46,8 @@
         sockets = SocketBudget(platform.fd_limit, len(platform.peers))
         process_clients = make_clients(platform, sockets, clock)
         self.clients = process_clients.for_controller(platform)
-        self.front = Listener(front, sockets.front, MAX_BODY, HEARTBEAT_PATH)
-        self._back = Listener(back, sockets.back, MAX_PEER_BODY, None)
+        self.front = Listener(front, sockets.max_front_connections, MAX_BODY, HEARTBEAT_PATH)
+        self._back = Listener(back, sockets.max_back_connections, MAX_PEER_BODY, None)
         self._platform = platform
         self._connections = process_clients.connections
 
--- a/driftcleat/controller/status.py
+++ b/driftcleat/controller/status.py
@@ -50,9 +50,9 @@
 def _connections(limiter: ConnectionLimiter[Any]) -> dict[str, int]:
     return {
         "connections": len(limiter.open),
-        "connections_most": limiter.most,
-        "connections_closed": limiter.last_answers,
-        "connections_refused": limiter.turned_away,
+        "connections_most": limiter.max_connections,
+        "connections_closed": limiter.closed_after_response,
+        "connections_refused": limiter.rejected,
     }
 
 
--- a/driftcleat/net/__init__.py
+++ b/driftcleat/net/__init__.py
@@ -1,16 +1,16 @@
 """Sockets: how many each use may open, which of those that came in are kept, and the HTTP client."""
 
-from driftcleat.net.budget import Allowance, SocketBudget
+from driftcleat.net.budget import ConnectionLimits, SocketBudget
 from driftcleat.net.http_client import HttpClient
-from driftcleat.net.http_connection import ConnectError, HttpAnswer, HttpError
+from driftcleat.net.http_connection import ConnectError, HttpError, HttpResponse
 from driftcleat.net.limiter import ConnectionLimiter
 
 __all__ = [
-    "Allowance",
     "ConnectError",
     "ConnectionLimiter",
-    "HttpAnswer",
+    "ConnectionLimits",
     "HttpClient",
     "HttpError",
+    "HttpResponse",
     "SocketBudget",
 ]
--- a/driftcleat/net/http_client.py
+++ b/driftcleat/net/http_client.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections import deque
 
-from driftcleat.net.http_connection import ConnectError, HttpAnswer, HttpConnection, HttpError
+from driftcleat.net.http_connection import ConnectError, HttpConnection, HttpError, HttpResponse
 
 # Methods that may be carried out twice: sent once more if a kept connection turns out to be closed.
 _REPEATABLE = frozenset(("GET", "DELETE"))
@@ -26,7 +26,9 @@
         self._open: dict[str, int] = {}
         self._waiting: deque[tuple[str, asyncio.Future[None]]] = deque()
 
-    async def request(self, method: str, address: str, path: str, body: bytes | None, timeout_s: float) -> HttpAnswer:
+    async def request(
+        self, method: str, address: str, path: str, body: bytes | None, timeout_s: float
+    ) -> HttpResponse:
         """Send a request to HOST:PORT; `HttpError` or `TimeoutError` if there is no answer in time."""
         request = self._encode(method, address, path, body)
         async with asyncio.timeout(timeout_s):
@@ -36,7 +38,7 @@
                 return await connection.exchange(request)
             except HttpError:
                 # A kept connection may have been closed by the other side just then, without a fault of anybody.
-                if not was_kept or connection.answer_began or method not in _REPEATABLE:
+                if not was_kept or connection.response_started or method not in _REPEATABLE:
                     raise
             finally:
                 self._release(connection)
--- a/driftcleat/net/http_connection.py
+++ b/driftcleat/net/http_connection.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """The answer to a request."""
 
     status: int
@@ -38,10 +38,10 @@
         # When its last answer came; None: it has carried no request yet.
         self.idle_since: float | None = None
         # Whether anything has come back for the newest request.
-        self.answer_began = False
+        self.response_started = False
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._answer: asyncio.Future[HttpAnswer] | None = None
+        self._answer: asyncio.Future[HttpResponse] | None = None
         self._body: list[bytes] = []
         self._has_length = True
 
@@ -50,14 +50,14 @@
         """Whether another request may be sent."""
         return self._transport is not None and not self._transport.is_closing() and self._answer is None
 
-    async def exchange(self, request: bytes) -> HttpAnswer:
+    async def exchange(self, request: bytes) -> HttpResponse:
         """Send a request and wait for its answer; the connection is of no more use if that is given up."""
         if self._transport is None or self._transport.is_closing():
             raise HttpError("the connection is closed")
-        answer: asyncio.Future[HttpAnswer] = self._loop.create_future()
+        answer: asyncio.Future[HttpResponse] = self._loop.create_future()
         self._answer = answer
         self._body = []
-        self.answer_began = False
+        self.response_started = False
         self._transport.write(request)
         try:
             return await answer
@@ -82,7 +82,7 @@
             # Nothing was asked: what follows could not be told from the next answer.
             self.close()
             return
-        self.answer_began = True
+        self.response_started = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -92,7 +92,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the request under way, unless its answer ends with the connection."""
         self._transport = None
-        if exc is None and self.answer_began and not self._has_length:
+        if exc is None and self.response_started and not self._has_length:
             self._finish()
         self._fail(f"the connection was lost: {exc!r}")
 
@@ -122,7 +122,7 @@
         answer, self._answer = self._answer, None
         if answer is not None and not answer.done():
             self.idle_since = self._loop.time()
-            answer.set_result(HttpAnswer(self._parser.get_status_code(), b"".join(self._body)))
+            answer.set_result(HttpResponse(self._parser.get_status_code(), b"".join(self._body)))
 
     def _fail(self, why: str) -> None:
         answer, self._answer = self._answer, None
--- a/driftcleat/net/limiter.py
+++ b/driftcleat/net/limiter.py
@@ -17,8 +17,8 @@
 
 
 # The part of the bound up to which every connection is kept, and the workers' share of it.
-KEPT = 7 / 8
-WORKERS = 3 / 4
+SOFT_LIMIT_SHARE = 7 / 8
+WORKER_SHARE = 3 / 4
 
 
 class ConnectionLimiter(Generic[C]):
@@ -27,27 +27,27 @@
     Up to the bound nothing is closed that could stay. An answer is always given in full, also the last one.
     """
 
-    def __init__(self, most: int, close: Callable[[C], None]) -> None:
-        self.most, self.close = most, close
-        self.kept = max(1, int(most * KEPT))
+    def __init__(self, max_connections: int, close: Callable[[C], None]) -> None:
+        self.max_connections, self.close = max_connections, close
+        self.soft_limit = max(1, int(max_connections * SOFT_LIMIT_SHARE))
         self.open: dict[C, ClientKind] = {}
         self.idle: OrderedDict[C, None] = OrderedDict()
         self.counts = dict.fromkeys(ClientKind, 0)
-        self.turned_away = self.last_answers = 0
+        self.rejected = self.closed_after_response = 0
 
     @property
-    def crowded(self) -> bool:
+    def over_soft_limit(self) -> bool:
         """Whether more connections are open than are kept."""
-        return len(self.open) > self.kept
+        return len(self.open) > self.soft_limit
 
-    def opened(self, connection: C) -> bool:
+    def admit(self, connection: C) -> bool:
         """Take in a connection; False if there is no room even after closing an idle one."""
-        if len(self.open) >= self.most:
+        if len(self.open) >= self.max_connections:
             victim = self._longest_idle()
             if victim is None:
-                self.turned_away += 1
+                self.rejected += 1
                 return False
-            self.gone(victim)
+            self.remove(victim)
             self.close(victim)
         self.open[connection] = ClientKind.UNKNOWN
         self.counts[ClientKind.UNKNOWN] += 1
@@ -65,10 +65,10 @@
         """Whether workers (or users) have more connections than their share."""
         if kind is ClientKind.UNKNOWN:
             return False
-        share = WORKERS if kind is ClientKind.WORKER else 1 - WORKERS
-        return self.counts[kind] > self.kept * share
+        share = WORKER_SHARE if kind is ClientKind.WORKER else 1 - WORKER_SHARE
+        return self.counts[kind] > self.soft_limit * share
 
-    def began(self, connection: C, kind: ClientKind) -> None:
+    def request_started(self, connection: C, kind: ClientKind) -> None:
         """A request has come in."""
         before = self.open.get(connection)
         if before is None:
@@ -79,18 +79,18 @@
             self.counts[kind] += 1
             self.open[connection] = kind
 
-    def ended(self, connection: C) -> bool:
+    def request_finished(self, connection: C) -> bool:
         """A request is answered; True if the connection has to be closed after it."""
         kind = self.open.get(connection)
         if kind is None:
             return True
-        if self.crowded and self._beyond(kind):
-            self.last_answers += 1
+        if self.over_soft_limit and self._beyond(kind):
+            self.closed_after_response += 1
             return True
         self.idle[connection] = None
         return False
 
-    def gone(self, connection: C) -> None:
+    def remove(self, connection: C) -> None:
         """A connection is closed, by whomever."""
         kind = self.open.pop(connection, None)
         if kind is not None:
--- a/driftcleat/peers/client.py
+++ b/driftcleat/peers/client.py
@@ -4,7 +4,7 @@
 
 from driftcleat import wire
 from driftcleat.errors import DriftcleatError
-from driftcleat.net import HttpAnswer, HttpClient, HttpError
+from driftcleat.net import HttpClient, HttpError, HttpResponse
 from driftcleat.settings import Platform
 from driftcleat.store.records import DATA_VERSION
 from driftcleat.wire import peers as messages
@@ -42,7 +42,7 @@
         except wire.WireError as error:
             raise PeerError(f"controller {label}: malformed response: {error}") from None
 
-    async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpAnswer:
+    async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpResponse:
         """Send one request; a subclass may replace the transport."""
         return await self._client.request("POST", address, self.path, body, timeout_s)
 
--- a/driftcleat/runtime/background.py
+++ b/driftcleat/runtime/background.py
@@ -10,7 +10,7 @@
 T = TypeVar("T")
 
 
-class Background:
+class BackgroundTasks:
     """Background tasks, kept until they end."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
             log.exception("background task failed")
 
 
-async def run_for_ever(loop: Callable[[], Awaitable[None]], pause_s: float) -> None:
+async def run_forever(loop: Callable[[], Awaitable[None]], pause_s: float) -> None:
     """Run a loop, and run it again after a pause when it ends or raises; errors are logged, cancellation ends it."""
     while True:
         try:
--- a/driftcleat/scheduler/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -55,5 +55,5 @@
             self._cluster.machine_types,
             is_refused,
             max_machines,
-            self._platform.away,
+            self._platform.controllers_outside,
         )
--- a/driftcleat/scheduler/free_capacity.py
+++ b/driftcleat/scheduler/free_capacity.py
@@ -39,7 +39,7 @@
             )
             if not pool.add_to_group(key, machine.name):
                 # Sizing ignores images.
-                controllers_elsewhere = self._platform.away(machine.zone)
+                controllers_elsewhere = self._platform.controllers_outside(machine.zone)
                 pool.open_group(
                     key, machine_candidate(machine, machine_type, controllers_elsewhere, NO_IMAGES, set())
                 )
@@ -63,6 +63,6 @@
                 machine_type.cpus,
                 machine_type.gpus,
                 machine_type.memory_gb,
-                controllers_elsewhere=self._platform.away(record.zone),
+                controllers_elsewhere=self._platform.controllers_outside(record.zone),
             )
             pool.add(candidate, names)
--- a/driftcleat/scheduler/machine_candidates.py
+++ b/driftcleat/scheduler/machine_candidates.py
@@ -27,7 +27,9 @@
         self._cluster = context.cluster
         self._reservations = reservations
         # By zone; cached because each round needs it for each machine.
-        self._controllers_elsewhere = {zone: self._platform.away(zone) for zone in self._platform.zones}
+        self._controllers_elsewhere = {
+            zone: self._platform.controllers_outside(zone) for zone in self._platform.zones
+        }
 
     def takes_tasks(self, machine: Machine, now: float) -> bool:
         """Return whether a machine is up, has sent a recent heartbeat and acknowledges the controller's responses.
@@ -73,7 +75,7 @@
             }
         controllers_elsewhere = self._controllers_elsewhere.get(machine.zone)
         if controllers_elsewhere is None:
-            controllers_elsewhere = self._platform.away(machine.zone)
+            controllers_elsewhere = self._platform.controllers_outside(machine.zone)
         candidate = machine_candidate(
             machine, machine_type, controllers_elsewhere, machine.cached_images, fetching_images
         )
--- a/driftcleat/settings/platform.py
+++ b/driftcleat/settings/platform.py
@@ -9,7 +9,7 @@
 from driftcleat.errors import DriftcleatError
 
 # With fewer descriptors the parts of the service would have to share them.
-LEAST_DESCRIPTORS = 128
+MIN_DESCRIPTORS = 128
 
 
 class SettingsError(DriftcleatError):
@@ -80,7 +80,7 @@
     memory_mb: float
     fd_limit: int
 
-    def away(self, zone: str) -> int:
+    def controllers_outside(self, zone: str) -> int:
         """Return how many of the controllers are in other zones.
 
         Guards against a zone that is cut off with the leader inside, seen on the bench: work in that zone goes on,
@@ -210,8 +210,8 @@
     if len(set(names)) != len(names):
         raise top.fail("known", "a label appears twice")
     fd_limit = resources.count("fd_limit", 1024)
-    if fd_limit < LEAST_DESCRIPTORS:
-        raise resources.fail("fd_limit", f"must be at least {LEAST_DESCRIPTORS}")
+    if fd_limit < MIN_DESCRIPTORS:
+        raise resources.fail("fd_limit", f"must be at least {MIN_DESCRIPTORS}")
     return Platform(
         label=label,
         zone=top.text("domain"),
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -21,7 +21,7 @@
 from driftcleat.net import HttpClient, SocketBudget
 from driftcleat.peers import PeerClient
 from driftcleat.peers.client import PATH
-from driftcleat.runtime.background import Background, run_for_ever
+from driftcleat.runtime.background import BackgroundTasks, run_forever
 from driftcleat.settings import Platform, Tuning
 from driftcleat.sharing.allotments import Allotment
 from driftcleat.sharing.assignment import Assignment
@@ -68,7 +68,7 @@
         self.clock, self.wall = clock, wall
         self.rng = rng if rng is not None else random.Random()
         self.labels = sorted([platform.label, *(peer.label for peer in platform.peers)])
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.engines: dict[int, ShareEngine] = {}
         self._engine_tasks: dict[int, asyncio.Task[None]] = {}
 
@@ -90,7 +90,7 @@
         ]
         try:
             self._start_engines()
-            await asyncio.gather(*(run_for_ever(loop, pause_s) for loop in loops))
+            await asyncio.gather(*(run_forever(loop, pause_s) for loop in loops))
         finally:
             await self._stop(servers, clients)
 
@@ -231,8 +231,10 @@
 
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
         """Open the addresses that are served."""
-        self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=HEARTBEAT_PATH)
-        back = await serve(self.platform.back, self.handle_back, sockets.back, MAX_PEER_BODY)
+        self.front = await serve(
+            self.platform.bind, self.reply_front, sockets.max_front_connections, workers=HEARTBEAT_PATH
+        )
+        back = await serve(self.platform.back, self.handle_back, sockets.max_back_connections, MAX_PEER_BODY)
         return [back, self.front]
 
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -9,7 +9,7 @@
 from urllib.parse import quote, urlencode
 
 from driftcleat import wire
-from driftcleat.net import ConnectError, HttpAnswer, HttpClient, HttpError
+from driftcleat.net import ConnectError, HttpClient, HttpError, HttpResponse
 from driftcleat.store.errors import (
     CompareFailedError,
     LeaseNotFoundError,
@@ -91,7 +91,7 @@
         urgent: bool = False,
         most_wait_s: float | None = None,
         watching: bool = False,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send one request and return its answer; `StoreError` for 400, 429 and 5xx."""
         if urgent:
             self.request_bucket.consume(1)
@@ -132,7 +132,7 @@
         params: dict[str, str] | None,
         timeout_s: float,
         urgent: bool,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send one request over the connections that it belongs to, and return the answer whatever its status."""
         client = self.lease_client if urgent else self.client
         target = quote(path) + (f"?{urlencode(params)}" if params else "")
@@ -140,7 +140,7 @@
 
     # -- answers ------------------------------------------------------------------------------------------
 
-    def _require_served(self, answer: HttpAnswer) -> None:
+    def _require_served(self, answer: HttpResponse) -> None:
         """Raise `StoreUnavailableError` for a status which says that the request was not carried out."""
         if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
             raise StoreUnavailableError("too many requests")
@@ -148,7 +148,7 @@
             self.last_failure_at = self.clock()
             raise StoreUnavailableError(f"status {answer.status}")
 
-    def _rejection(self, request: str, answer: HttpAnswer) -> StoreError:
+    def _rejection(self, request: str, answer: HttpResponse) -> StoreError:
         """Return the error of a 400."""
         if LEASE_NOT_FOUND_TEXT in answer.body:
             return LeaseNotFoundError("no such lease")
@@ -160,13 +160,13 @@
         log.warning("state service: malformed response: %s", reason)
         return MalformedResponseError(reason)
 
-    def _decode_ok(self, answer: HttpAnswer, kind: type[T]) -> T:
+    def _decode_ok(self, answer: HttpResponse, kind: type[T]) -> T:
         """Return the body of an answer that must have status 200."""
         if answer.status != HTTPStatus.OK:
             raise self._malformed(f"status {answer.status}")
         return self._decode_body(answer, kind)
 
-    def _decode_body(self, answer: HttpAnswer, kind: type[T]) -> T:
+    def _decode_body(self, answer: HttpResponse, kind: type[T]) -> T:
         try:
             return wire.decode(answer.body, kind)
         except wire.WireError as error:
--- a/driftcleat/workers/commands.py
+++ b/driftcleat/workers/commands.py
@@ -7,7 +7,7 @@
 import logging
 
 from driftcleat import wire
-from driftcleat.net import HttpAnswer, HttpClient, HttpError
+from driftcleat.net import HttpClient, HttpError, HttpResponse
 from driftcleat.wire.workers import Command, CommandRequest, Heartbeat
 
 log = logging.getLogger(__name__)
@@ -71,7 +71,7 @@
             log.debug("worker %s: command request failed: %r", address, error)
         return None
 
-    async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpAnswer:
+    async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpResponse:
         """Send one request; a subclass may replace the transport."""
         # Several workers may share a port: the path in the address tells them apart.
         host, slash, path = address.partition("/")
--- a/driftcleat/workers/dispatch.py
+++ b/driftcleat/workers/dispatch.py
@@ -6,7 +6,7 @@
 
 from driftcleat.cluster import stop_commands
 from driftcleat.leadership import ActiveTerm
-from driftcleat.runtime.background import Background, in_slices
+from driftcleat.runtime.background import BackgroundTasks, in_slices
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
 from driftcleat.wire.workers import Command, Heartbeat
@@ -31,7 +31,7 @@
         tuning: Tuning,
         workers: WorkerClient,
         active_term: ActiveTerm[Scheduler],
-        background: Background,
+        background: BackgroundTasks,
         clock: Callable[[], float],
     ) -> None:
         self._platform = platform
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -20,7 +20,7 @@
 from driftcleat.controller.controller import Controller
 from driftcleat.controller.network import SharedNetwork
 from driftcleat.leadership import Role
-from driftcleat.net import ConnectionLimiter, HttpAnswer, HttpError
+from driftcleat.net import ConnectionLimiter, HttpError, HttpResponse
 from driftcleat.peers import PeerClient
 from driftcleat.placement.candidates import allowed, fits
 from driftcleat.settings import Tuning
@@ -91,19 +91,19 @@
         params: dict[str, str] | None,
         timeout_s: float,
         urgent: bool,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         answer = await asyncio.wait_for(
             self.simulation.to_store(self.label, method, path, params or {}, body or b""), timeout_s
         )
-        return HttpAnswer(*answer)
+        return HttpResponse(*answer)
 
 
 class _Cloud(CloudClient):
     simulation: "Simulation"
     label: str
 
-    async def exchange(self, method: str, path: str, body: bytes | None) -> HttpAnswer:
-        return HttpAnswer(
+    async def exchange(self, method: str, path: str, body: bytes | None) -> HttpResponse:
+        return HttpResponse(
             *await asyncio.wait_for(self.simulation.to_cloud(method, path, body or b""), self.timeout_s)
         )
 
@@ -111,8 +111,8 @@
 class _Peers(PeerClient):
     simulation: "Simulation"
 
-    async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpAnswer:
-        return HttpAnswer(
+    async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpResponse:
+        return HttpResponse(
             *await asyncio.wait_for(self.simulation.to_peer(self.label, address, body, self.path), timeout_s)
         )
 
@@ -121,8 +121,8 @@
     simulation: "Simulation"
     label: str
 
-    async def exchange(self, addr: str, body: bytes, timeout_s: float) -> HttpAnswer:
-        return HttpAnswer(*await asyncio.wait_for(self.simulation.to_worker(self.label, addr, body), timeout_s))
+    async def exchange(self, addr: str, body: bytes, timeout_s: float) -> HttpResponse:
+        return HttpResponse(*await asyncio.wait_for(self.simulation.to_worker(self.label, addr, body), timeout_s))
 
 
 def simulated_clients(simulation: "Simulation", platform: Platform, clock: Callable[[], float]) -> ControllerClients:
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -425,7 +425,11 @@
 def test_at_one_price_work_goes_where_controllers_are() -> None:
     """Seen on the bench: a zone cut off with all controllers inside kept only a fifth of the replicas."""
     site = platform()
-    assert (site.away("north"), site.away("south"), site.away("elsewhere")) == (1, 1, 2)
+    assert (
+        site.controllers_outside("north"),
+        site.controllers_outside("south"),
+        site.controllers_outside("elsewhere"),
+    ) == (1, 1, 2)
     plan = plan_fleet(
         [Demand(job(1, hands=4), 4, {})], [], {"big": BIG}, lambda offer: False, 9, lambda zone: int(zone == "north")
     )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from driftcleat.cluster import MachineState, apply_heartbeat
 from driftcleat.leadership import PeerSurvey
 from driftcleat.net import ConnectionLimiter, HttpClient, SocketBudget
-from driftcleat.net.budget import OWN
+from driftcleat.net.budget import PROCESS_DESCRIPTORS
 from driftcleat.net.limiter import ClientKind
 from driftcleat.scheduler import PendingRequest, Scheduler
 from driftcleat.wire.workers import Heartbeat, TaskStatus
@@ -39,9 +39,15 @@
     """Guards against users and reports that take the descriptor which the lease's renewal needs."""
     budget = SocketBudget(limit, peers)
     out = [budget.lease, budget.store, budget.cloud, budget.peers, budget.workers]
-    assert all(0 < part.each <= part.total for part in out)
-    assert OWN + sum(part.total for part in out) + budget.back + budget.front <= limit
-    assert budget.front >= limit // 8, "most of what there is serves workers and users"
+    assert all(0 < part.max_per_address <= part.max_total for part in out)
+    assert (
+        PROCESS_DESCRIPTORS
+        + sum(part.max_total for part in out)
+        + budget.max_back_connections
+        + budget.max_front_connections
+        <= limit
+    )
+    assert budget.max_front_connections >= limit // 8, "most of what there is serves workers and users"
 
 
 def limiter(most: int) -> tuple[ConnectionLimiter[int], list[int]]:
@@ -53,38 +59,40 @@
 def test_beyond_the_bound_those_with_more_than_their_share_get_a_last_answer() -> None:
     limited, _ = limiter(16)
     for guest in range(16):
-        assert limited.opened(guest)
-        limited.began(guest, ClientKind.USER if guest < 2 else ClientKind.WORKER)
-    assert limited.crowded
-    last = {guest for guest in range(16) if limited.ended(guest)}
+        assert limited.admit(guest)
+        limited.request_started(guest, ClientKind.USER if guest < 2 else ClientKind.WORKER)
+    assert limited.over_soft_limit
+    last = {guest for guest in range(16) if limited.request_finished(guest)}
     assert last and all(guest >= 2 for guest in last), "users below their share keep theirs"
     # As many as are beyond the bound are given up, no more.
     for guest in last:
-        limited.gone(guest)
-    assert not limited.crowded and not any(limited.ended(guest) for guest in range(16) if guest not in last)
+        limited.remove(guest)
+    assert not limited.over_soft_limit and not any(
+        limited.request_finished(guest) for guest in range(16) if guest not in last
+    )
 
 
 def test_idle_users_make_room_for_reports() -> None:
     limited, closed = limiter(16)
     for guest in range(16):
-        limited.opened(guest)
-        limited.began(guest, ClientKind.USER)
+        limited.admit(guest)
+        limited.request_started(guest, ClientKind.USER)
         if guest < 12:
             limited.idle[guest] = None
-    assert limited.opened(99) and closed == [0], "the one idle for longest"
+    assert limited.admit(99) and closed == [0], "the one idle for longest"
     # Of the idle ones it is a user's that goes, though a worker's has been idle for longer.
-    limited.began(1, ClientKind.WORKER)
+    limited.request_started(1, ClientKind.WORKER)
     limited.idle.clear()
     limited.idle[1] = limited.idle[2] = None
-    limited.gone(15)
-    limited.opened(15)
-    limited.began(15, ClientKind.USER)
-    assert limited.opened(98) and closed == [0, 2]
-    limited.began(98, ClientKind.USER)
+    limited.remove(15)
+    limited.admit(15)
+    limited.request_started(15, ClientKind.USER)
+    assert limited.admit(98) and closed == [0, 2]
+    limited.request_started(98, ClientKind.USER)
     for guest in range(1, 12):
-        limited.began(guest, ClientKind.USER)
-    limited.began(99, ClientKind.WORKER)
-    assert not limited.opened(100) and limited.turned_away == 1, "all are busy"
+        limited.request_started(guest, ClientKind.USER)
+    limited.request_started(99, ClientKind.WORKER)
+    assert not limited.admit(100) and limited.rejected == 1, "all are busy"
     assert len(limited.open) == 16
 
 
@@ -97,24 +105,24 @@
         kind = ClientKind.WORKER if worker else ClientKind.USER
         if move == 0 and guest not in plain:
             before = len(closed)
-            taken = limited.opened(guest)
+            taken = limited.admit(guest)
             for victim in closed[before:]:
                 assert not plain.pop(victim)[1], "only an idle one is closed"
             assert taken == (len(plain) < 8)
             if taken:
                 plain[guest] = (ClientKind.UNKNOWN, False)
         elif move == 1 and guest in plain:
-            limited.began(guest, kind)
+            limited.request_started(guest, kind)
             plain[guest] = (kind, True)
         elif move == 2 and guest in plain and plain[guest][1]:
-            if limited.ended(guest):
-                assert len(plain) > limited.kept
-                limited.gone(guest)
+            if limited.request_finished(guest):
+                assert len(plain) > limited.soft_limit
+                limited.remove(guest)
                 del plain[guest]
             else:
                 plain[guest] = (plain[guest][0], False)
         elif move == 3:
-            limited.gone(guest)
+            limited.remove(guest)
             plain.pop(guest, None)
         assert {known: limited.open[known] for known in limited.open} == {
             known: row[0] for known, row in plain.items()
@@ -129,7 +137,7 @@
     leader = site.leader()
     assert leader is not None
     limited = site.controllers[leader].front.limiter
-    limited.most, limited.kept = 24, 20
+    limited.max_connections, limited.soft_limit = 24, 20
     token = site.controllers[leader].election.fencing_token
     connector = aiohttp.TCPConnector(limit=0, force_close=False)
     async with aiohttp.ClientSession(connector=connector) as session:
@@ -145,9 +153,9 @@
         for _ in range(3):
             statuses = await asyncio.gather(*(ask(number) for number in range(20)))
             assert set(statuses) <= {404, 503}, "every one got its answer"
-            assert len(limited.open) <= limited.most
+            assert len(limited.open) <= limited.max_connections
         await asyncio.gather(*(ask(number) for number in range(80)))
-        assert len(limited.open) <= limited.most
+        assert len(limited.open) <= limited.max_connections
     await accepted(site, leader, raw_job(1, voyageS=0.5))
     await reaches(site, leader, "req-000001", "done")
     assert site.controllers[leader].election.fencing_token == token, "it still leads"
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from driftcleat.net import ConnectError, HttpAnswer, HttpClient, HttpError
+from driftcleat.net import ConnectError, HttpClient, HttpError, HttpResponse
 
 from .standins import free_port
 
@@ -89,7 +89,7 @@
         client.headers["X-Sender"] = "a"
         for _ in range(3):
             answer = await client.request("POST", server.address, "/x", b"{}", 5)
-            assert answer == HttpAnswer(200, b"ok")
+            assert answer == HttpResponse(200, b"ok")
         assert server.connections == 1
         assert server.requests[0].startswith(b"POST /x HTTP/1.1\r\n") and server.requests[0].endswith(b"\r\n\r\n{}")
         assert b"X-Sender: a\r\n" in server.requests[0]
@@ -116,7 +116,7 @@
             task.cancel()
         server.go_on.set()
         answers = await asyncio.gather(*asked, return_exceptions=True)
-        assert [isinstance(answer, HttpAnswer) for answer in answers] == [not 5 <= n < 9 for n in range(20)]
+        assert [isinstance(answer, HttpResponse) for answer in answers] == [not 5 <= n < 9 for n in range(20)]
         assert server.most_open == min(total, each)
         # Requests on connections of their own may pass one another on their way.
         order = [int(request.split()[1][1:]) for request in server.requests]
@@ -165,7 +165,7 @@
         # The server's close is on its way: we still take the connection for a good one.
         sent = connection.exchange
 
-        async def lost(request: bytes) -> HttpAnswer:
+        async def lost(request: bytes) -> HttpResponse:
             loop.call_soon(connection.close)
             return await sent(request)
 
@@ -207,21 +207,21 @@
 @pytest.mark.parametrize(
     ("sent", "expected"),
     [
-        pytest.param(b"HTTP/1.1 100 Continue\r\n\r\n" + OK, HttpAnswer(200, b"ok"), id="continue"),
-        pytest.param(b"HTTP/1.1 204 No Content\r\n\r\n", HttpAnswer(204, b""), id="no content"),
+        pytest.param(b"HTTP/1.1 100 Continue\r\n\r\n" + OK, HttpResponse(200, b"ok"), id="continue"),
+        pytest.param(b"HTTP/1.1 204 No Content\r\n\r\n", HttpResponse(204, b""), id="no content"),
         pytest.param(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
-            HttpAnswer(200, b"ok"),
+            HttpResponse(200, b"ok"),
             id="chunked",
         ),
-        pytest.param(b"HTTP/1.1 200 OK\r\n\r\nuntil the end", HttpAnswer(200, b"until the end"), id="no length"),
+        pytest.param(b"HTTP/1.1 200 OK\r\n\r\nuntil the end", HttpResponse(200, b"until the end"), id="no length"),
         pytest.param(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", None, id="cut short"),
         pytest.param(b"nonsense\r\n\r\n", None, id="nonsense"),
         pytest.param(b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", None, id="upgrade"),
         pytest.param(b"", None, id="nothing"),
     ],
 )
-def test_answers_as_they_may_come(sent: bytes, expected: HttpAnswer | None) -> None:
+def test_answers_as_they_may_come(sent: bytes, expected: HttpResponse | None) -> None:
     async def script(server: ScriptedServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await server.read_request(reader)
         for byte in sent:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -86,8 +86,8 @@
 
 def test_users_share_of_connections_follows_the_descriptors() -> None:
     small, large = SocketBudget(924, 2), SocketBudget(9240, 2)
-    assert 0 < small.users < small.front / 4 + 1
-    assert large.users > 8 * small.users
+    assert 0 < small.max_user_connections < small.max_front_connections / 4 + 1
+    assert large.max_user_connections > 8 * small.max_user_connections
 
 
 def manager(cloud_rps: float) -> FleetManager:
