--- a/driftcleat/net/__init__.py
+++ b/driftcleat/net/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets: how many each use may open, which of those that came in are kept, and the HTTP client."""
+"""Networking: the budget of sockets, the limiter of incoming connections, and the pooling HTTP client."""
 
 from driftcleat.net.budget import ConnectionLimits, SocketBudget
 from driftcleat.net.http_client import HttpClient
--- a/driftcleat/net/budget.py
+++ b/driftcleat/net/budget.py
@@ -1,50 +1,50 @@
-"""How the descriptors that a process may have are shared out; what is kept for one use nothing else can take."""
+"""Divides the file descriptors of a process among its uses; what is reserved for one use is not lent to another."""
 
 from dataclasses import dataclass
 
 from driftcleat.net.http_client import HttpClient
 from driftcleat.net.limiter import SOFT_LIMIT_SHARE, WORKER_SHARE
 
-# The event loop, the log, the listeners and what the libraries keep open.
+# Descriptors for the event loop, the log, the listeners and what libraries keep open.
 PROCESS_DESCRIPTORS = 24
-# What must never wait for a descriptor: the lease's renewal beside an attempt that hangs.
+# Lease renewal must never wait for a descriptor, even while an earlier attempt hangs.
 LEASE_CONNECTIONS = 4
 CLOUD_CONNECTIONS = 6
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """Connections out for one use: in all, and to one address."""
+    """Limits on the outgoing connections of one use: in total, and to one address."""
 
     max_total: int
     max_per_address: int
 
-    def make_client(self, keep_s: float) -> HttpClient:
-        """Return a client that keeps to it; what is idle for longer is not used again."""
-        return HttpClient(self.max_total, self.max_per_address, keep_s)
+    def make_client(self, idle_timeout_s: float) -> HttpClient:
+        """Return a client with these limits, which does not reuse connections idle for `idle_timeout_s` or longer."""
+        return HttpClient(self.max_total, self.max_per_address, idle_timeout_s)
 
 
 class SocketBudget:
-    """Shares of the platform's limit.
+    """How many connections each use may open within the descriptor limit of a process.
 
-    Guards against one controller of a fleet that has more machines than it may have sockets: reports took what the
-    lease's renewal needed.
+    A fleet may have more machines than a controller may have sockets. Without a budget, the connections of heartbeats
+    take the descriptors that lease renewal needs.
     """
 
     def __init__(self, fd_limit: int, peers: int) -> None:
-        peer = max(4, fd_limit // 50)
+        per_peer = max(4, fd_limit // 50)
         self.lease = ConnectionLimits(LEASE_CONNECTIONS, LEASE_CONNECTIONS)
         self.store = ConnectionLimits(max(8, fd_limit // 40), max(8, fd_limit // 40))
         self.cloud = ConnectionLimits(CLOUD_CONNECTIONS, CLOUD_CONNECTIONS)
-        self.peers = ConnectionLimits(peer * max(1, peers), peer)
+        self.peers = ConnectionLimits(per_peer * max(1, peers), per_peer)
         self.workers = ConnectionLimits(max(8, fd_limit // 15), 2)
-        # Every other controller may have as many connections to us as we to it, and an operator some.
-        self.max_back_connections = peer * peers + 4
-        out = sum(part.max_total for part in (self.lease, self.store, self.cloud, self.peers, self.workers))
-        # Connections in: workers' and users'.
-        self.max_front_connections = max(16, fd_limit - PROCESS_DESCRIPTORS - out - self.max_back_connections)
+        # Each peer may open as many connections to this process as this process to it; 4 more are for operators.
+        self.max_back_connections = per_peer * peers + 4
+        outgoing = sum(part.max_total for part in (self.lease, self.store, self.cloud, self.peers, self.workers))
+        # Incoming connections of workers and users.
+        self.max_front_connections = max(16, fd_limit - PROCESS_DESCRIPTORS - outgoing - self.max_back_connections)
 
     @property
     def max_user_connections(self) -> int:
-        """Return how many of the connections in are users' share."""
+        """Return the part of `max_front_connections` that is reserved for users."""
         return max(1, int(self.max_front_connections * SOFT_LIMIT_SHARE * (1 - WORKER_SHARE)))
--- a/driftcleat/net/limiter.py
+++ b/driftcleat/net/limiter.py
@@ -1,4 +1,4 @@
-"""Which connections that came in are kept: a bound for all, fair shares for workers and users, idle ones go first."""
+"""Limits incoming connections in total, with shares for workers and users; idle ones are closed first."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -9,22 +9,24 @@
 
 
 class ClientKind(Enum):
-    """Who is behind a connection, as far as its requests have told."""
+    """Who uses a connection, judged by its requests; unknown before the first one."""
 
     UNKNOWN = auto()
     WORKER = auto()
     USER = auto()
 
 
-# The part of the bound up to which every connection is kept, and the workers' share of it.
+# Up to the soft limit, a fraction of the hard limit, every connection is kept. Workers may use this share of it, and
+# users the rest.
 SOFT_LIMIT_SHARE = 7 / 8
 WORKER_SHARE = 3 / 4
 
 
 class ConnectionLimiter(Generic[C]):
-    """Counts connections; says which answer must be a connection's last, and which idle one makes room.
+    """Admits connections up to a hard limit, and decides which ones to close above the soft limit.
 
-    Up to the bound nothing is closed that could stay. An answer is always given in full, also the last one.
+    At the hard limit an idle connection is closed to admit a new one. Above the soft limit, a connection of a kind
+    that has more than its share is closed after its next response, which is sent in full.
     """
 
     def __init__(self, max_connections: int, close: Callable[[C], None]) -> None:
@@ -37,13 +39,13 @@
 
     @property
     def over_soft_limit(self) -> bool:
-        """Whether more connections are open than are kept."""
+        """Whether more connections are open than the soft limit allows."""
         return len(self.open) > self.soft_limit
 
     def admit(self, connection: C) -> bool:
-        """Take in a connection; False if there is no room even after closing an idle one."""
+        """Count a new connection, closing an idle one at the hard limit; return False if it must be rejected."""
         if len(self.open) >= self.max_connections:
-            victim = self._longest_idle()
+            victim = self._idle_to_close()
             if victim is None:
                 self.rejected += 1
                 return False
@@ -54,22 +56,22 @@
         self.idle[connection] = None
         return True
 
-    def _longest_idle(self) -> C | None:
-        """Return the idle connection to give up: of those that have more than their share if there is one."""
+    def _idle_to_close(self) -> C | None:
+        """Return the longest idle connection of a kind above its share; if there is none, the longest idle one."""
         for connection in self.idle:
-            if self._beyond(self.open[connection]):
+            if self._is_over_share(self.open[connection]):
                 return connection
         return next(iter(self.idle), None)
 
-    def _beyond(self, kind: ClientKind) -> bool:
-        """Whether workers (or users) have more connections than their share."""
+    def _is_over_share(self, kind: ClientKind) -> bool:
+        """Return whether connections of this kind use more than their share of the soft limit."""
         if kind is ClientKind.UNKNOWN:
             return False
         share = WORKER_SHARE if kind is ClientKind.WORKER else 1 - WORKER_SHARE
         return self.counts[kind] > self.soft_limit * share
 
     def request_started(self, connection: C, kind: ClientKind) -> None:
-        """A request has come in."""
+        """Mark a connection as busy and note who uses it."""
         before = self.open.get(connection)
         if before is None:
             return
@@ -80,18 +82,18 @@
             self.open[connection] = kind
 
     def request_finished(self, connection: C) -> bool:
-        """A request is answered; True if the connection has to be closed after it."""
+        """Mark a connection as idle; return True if the caller must close it after this response instead."""
         kind = self.open.get(connection)
         if kind is None:
             return True
-        if self.over_soft_limit and self._beyond(kind):
+        if self.over_soft_limit and self._is_over_share(kind):
             self.closed_after_response += 1
             return True
         self.idle[connection] = None
         return False
 
     def remove(self, connection: C) -> None:
-        """A connection is closed, by whomever."""
+        """Stop counting a connection; ignore one that is not counted."""
         kind = self.open.pop(connection, None)
         if kind is not None:
             self.counts[kind] -= 1
--- a/driftcleat/runtime/__init__.py
+++ b/driftcleat/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every part of a process uses: background tasks and loops that no error ends, and metrics."""
+"""Shared by all parts of a process: background tasks, loops that are restarted after errors, and metrics."""
--- a/driftcleat/runtime/background.py
+++ b/driftcleat/runtime/background.py
@@ -1,4 +1,4 @@
-"""Tasks and loops beside a controller's main work, contained: an error in one is logged and ends nothing else."""
+"""Background tasks and loops whose errors are logged and stop nothing else."""
 
 import asyncio
 import logging
@@ -11,19 +11,19 @@
 
 
 class BackgroundTasks:
-    """Background tasks, kept until they end."""
+    """Runs background tasks and holds a reference to each until it ends."""
 
     def __init__(self) -> None:
         self.tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, work: Awaitable[None]) -> None:
-        """Run something in the background; its error is logged."""
-        task = asyncio.ensure_future(self._contained(work))
+        """Run `work` as a task; if it raises, the error is logged."""
+        task = asyncio.ensure_future(self._log_errors(work))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     @staticmethod
-    async def _contained(work: Awaitable[None]) -> None:
+    async def _log_errors(work: Awaitable[None]) -> None:
         try:
             await work
         except Exception:
@@ -31,19 +31,19 @@
 
 
 async def run_forever(loop: Callable[[], Awaitable[None]], pause_s: float) -> None:
-    """Run a loop, and run it again after a pause when it ends or raises; errors are logged, cancellation ends it."""
+    """Run a loop, and restart it after `pause_s` whenever it returns or raises; only cancellation ends it."""
     while True:
         try:
             await loop()
         except asyncio.CancelledError:
             raise
         except Exception:
-            log.exception("loop %s failed, running it again", getattr(loop, "__qualname__", loop))
+            log.exception("loop %s failed, restarting it", getattr(loop, "__qualname__", loop))
         await asyncio.sleep(pause_s)
 
 
 async def in_slices(items: Iterable[T], slice_size: int) -> AsyncIterator[T]:
-    """Iterate over items; other tasks may run after each slice of `slice_size` items."""
+    """Iterate over items and yield to the event loop after every `slice_size` of them."""
     for number, item in enumerate(items, 1):
         yield item
         if number % slice_size == 0:
--- a/driftcleat/runtime/metrics.py
+++ b/driftcleat/runtime/metrics.py
@@ -1,10 +1,10 @@
-"""Counters and histograms of one controller, as served on `back`."""
+"""Counters and latency histograms of one controller, served at `/status` and `/metrics` on the `back` address."""
 
 from typing import Any
 
 from hdrh.histogram import HdrHistogram
 
-# Durations are kept in microseconds, from one to a minute, with two significant digits.
+# Histograms record durations in microseconds, from 1 microsecond to 1 minute, with two significant digits.
 MICROSECONDS_PER_S = 1e6
 MAX_MICROSECONDS = 60_000_000
 SIGNIFICANT_DIGITS = 2
@@ -18,11 +18,11 @@
         self._histogram = HdrHistogram(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
     def record(self, seconds: float) -> None:
-        """Count one duration."""
+        """Record one duration; shorter and longer ones than the histogram covers are clamped."""
         self._histogram.record_value(max(1, min(MAX_MICROSECONDS, round(seconds * MICROSECONDS_PER_S))))
 
     def summary(self) -> dict[str, float]:
-        """Return count and percentiles in milliseconds."""
+        """Return the count, and the percentiles in milliseconds."""
         out: dict[str, float] = {"count": self._histogram.get_total_count()}
         for percentile in PERCENTILES:
             out[f"p{percentile}_ms"] = self._histogram.get_value_at_percentile(percentile) / 1000
@@ -30,23 +30,23 @@
 
 
 class Metrics:
-    """What this process has counted since it was started."""
+    """Counters and histograms since the process started."""
 
     def __init__(self) -> None:
         self.batch_build_time = Timing()
         self.commit_latency = Timing()
         self.user_request_latency = Timing()
         self.heartbeat_latency = Timing()
-        # By how much the event loop is late: everything else waits as long.
+        # How late the event loop runs its callbacks; every other task is delayed by as much.
         self.loop_delay = Timing()
-        # Seconds spent in the parts of the leader's work that do not wait for anything.
+        # Seconds of computation, without waiting, in each part of the leader's work.
         self.seconds_by_part: dict[str, float] = {}
         self.malformed_heartbeats = 0
         self.stale_heartbeats = 0
         self.malformed_peer_messages = 0
 
     def record_part(self, part: str, seconds: float) -> None:
-        """Add the time that a part of the leader's work has taken."""
+        """Add the computation time of a part of the leader's work."""
         self.seconds_by_part[part] = self.seconds_by_part.get(part, 0.0) + seconds
 
     def durations(self) -> dict[str, Any]:
