--- a/driftcleat/settings/__init__.py
+++ b/driftcleat/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: the platform's TOML file and the operators' own INI file, both checked before use."""
+"""Settings: the platform's TOML file and the operators' INI file, both validated before use."""
 
 from driftcleat.settings.operator import Tuning, load_tuning
 from driftcleat.settings.platform import Objective, Peer, Platform, SettingsError, Team, load_platform
--- a/driftcleat/settings/platform.py
+++ b/driftcleat/settings/platform.py
@@ -1,4 +1,4 @@
-"""The settings that the platform hands over: one TOML file for each controller."""
+"""The settings that the platform provides: one TOML file per controller."""
 
 import math
 import tomllib
@@ -8,17 +8,17 @@
 
 from driftcleat.errors import DriftcleatError
 
-# With fewer descriptors the parts of the service would have to share them.
+# With fewer file descriptors, lease renewal and other uses could not each have connections of their own.
 MIN_DESCRIPTORS = 128
 
 
 class SettingsError(DriftcleatError):
-    """A settings file that cannot be used; the text names file and key."""
+    """A settings file is invalid; the message names the file and the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Another controller."""
+    """Another controller of the deployment, reached at its `back` address."""
 
     label: str
     zone: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """A team's guarantee and limit; 0 means none."""
+    """A team's quota: `cpus` and `gpus` are guaranteed, `cpus_max` and `gpus_max` are limits; 0 means none."""
 
     name: str
     cpus: float
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """An aim stated for a class of jobs."""
+    """A service-level objective, for one class of jobs if `job_class` is given."""
 
     kind: str
     job_class: str | None
@@ -48,30 +48,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """Everything the platform says, checked."""
+    """The validated settings of the platform; most fields are named after their key in the TOML file."""
 
     label: str
     zone: str
+    # Addresses to listen on: `bind` for users and workers, `back` for other controllers and operators.
     bind: str
     back: str
     peers: tuple[Peer, ...]
+    # Addresses of the cloud and of the state service.
     cloud: str
     state: str
     zones: tuple[str, ...]
+    # The most by which a clock may be off.
     clock_off_s: float
     teams: dict[str, Team]
     objectives: tuple[Objective, ...]
+    # Heartbeat interval and lease of the workers, and the limits for gangs and cancellations.
     report_s: float
     lease_s: float
     gang_wait_s: float
     gang_peer_s: float
     cancel_s: float
-    # What the state service takes: today's limits, or those to come if they are lower. Their fall is not announced.
+    # Limits of the state service: each is the lower of the current one and the one under `next`, since the time at
+    # which `next` takes effect is not announced.
     state_rps: float
     write_rps: float
     value_bytes: int
     txn_ops: int
-    # Today's, by which the first data version splits jobs into records.
+    # The current limits, by which data version 1 splits jobs into records.
     first_value_bytes: int
     first_txn_ops: int
     cloud_rps: float
@@ -81,23 +86,23 @@
     fd_limit: int
 
     def controllers_outside(self, zone: str) -> int:
-        """Return how many of the controllers are in other zones.
+        """Return how many controllers are outside a zone.
 
-        Guards against a zone that is cut off with the leader inside, seen on the bench: work in that zone goes on,
-        all other work ends with its lease.
+        If a network partition isolates a zone with the leader inside, work in that zone continues, while all other
+        work ends when its lease expires.
         """
         return 1 + len(self.peers) - self.controllers_in(zone)
 
     def controllers_in(self, zone: str) -> int:
-        """Return how many of the controllers are in a zone."""
+        """Return how many controllers are in a zone."""
         return sum(other == zone for other in (self.zone, *(peer.zone for peer in self.peers)))
 
 
 _REQUIRED = object()
 
 
-class _Reader:
-    """Reads checked values from one table of the file."""
+class _TableReader:
+    """Reads and validates the values of one TOML table."""
 
     def __init__(self, path: str, table: Any, where: str) -> None:
         self.path, self.where = path, where
@@ -105,57 +110,57 @@
             raise SettingsError(f"{path}: {where or 'file'}: must be a table")
         self.table = table
 
-    def fail(self, key: str, why: str) -> SettingsError:
+    def error(self, key: str, reason: str) -> SettingsError:
         name = f"{self.where}.{key}" if self.where else key
-        return SettingsError(f"{self.path}: {name}: {why}")
+        return SettingsError(f"{self.path}: {name}: {reason}")
 
     def value(self, key: str, default: Any = _REQUIRED) -> Any:
         if key in self.table:
             return self.table[key]
         if default is _REQUIRED:
-            raise self.fail(key, "is missing")
+            raise self.error(key, "is missing")
         return default
 
     def text(self, key: str, default: Any = _REQUIRED) -> str:
         value = self.value(key, default)
         if not isinstance(value, str) or not value:
-            raise self.fail(key, "must be a text that is not empty")
+            raise self.error(key, "must be a text that is not empty")
         return value
 
     def number(self, key: str, default: Any = _REQUIRED, positive: bool = False) -> float:
         value = self.value(key, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-            raise self.fail(key, "must be a number")
+            raise self.error(key, "must be a number")
         if value < 0 or (positive and value == 0):
-            raise self.fail(key, "must be above 0" if positive else "must not be negative")
+            raise self.error(key, "must be above 0" if positive else "must not be negative")
         return float(value)
 
     def count(self, key: str, default: Any = _REQUIRED) -> int:
         value = self.value(key, default)
         if isinstance(value, bool) or not isinstance(value, int) or value < 1:
-            raise self.fail(key, "must be a whole number above 0")
+            raise self.error(key, "must be a whole number above 0")
         return value
 
     def address(self, key: str) -> str:
         text = self.text(key)
         host, colon, port = text.rpartition(":")
         if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-            raise self.fail(key, "must be HOST:PORT")
+            raise self.error(key, "must be HOST:PORT")
         return text
 
-    def table_at(self, key: str) -> "_Reader":
-        return _Reader(self.path, self.value(key), f"{self.where}.{key}" if self.where else key)
+    def table_at(self, key: str) -> "_TableReader":
+        return _TableReader(self.path, self.value(key), f"{self.where}.{key}" if self.where else key)
 
-    def tables_at(self, key: str) -> list["_Reader"]:
+    def tables_at(self, key: str) -> list["_TableReader"]:
         value = self.value(key, [])
         if not isinstance(value, list):
-            raise self.fail(key, "must be a list of tables")
+            raise self.error(key, "must be a list of tables")
         name = f"{self.where}.{key}" if self.where else key
-        return [_Reader(self.path, entry, f"{name}[{number}]") for number, entry in enumerate(value)]
+        return [_TableReader(self.path, entry, f"{name}[{number}]") for number, entry in enumerate(value)]
 
 
 def load_platform(path: str) -> Platform:
-    """Return the checked settings of a file; `SettingsError` with one line otherwise."""
+    """Return the validated settings of a file; raise `SettingsError`, whose text is one line, if it is invalid."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -166,21 +171,21 @@
 
 
 def parse_platform(path: str, raw: Any) -> Platform:
-    """Return the checked settings of data read from `path`."""
-    top = _Reader(path, raw, "")
+    """Return the validated settings of data read from `path`."""
+    top = _TableReader(path, raw, "")
     external = top.table_at("external")
     deployment = top.table_at("deployment")
     workers = deployment.table_at("workers")
     state = deployment.table_at("state")
-    # A fall of the limits is announced only here.
-    coming = state.table_at("next") if state.value("next", None) is not None else state
+    # Lower limits that take effect at a time which is not announced.
+    next_limits = state.table_at("next") if state.value("next", None) is not None else state
     value_kb, txn_ops = state.number("value_kb", positive=True), state.count("txn_ops")
     rps, write_rps = state.number("rps", positive=True), state.number("write_rps", positive=True)
     cloud = deployment.table_at("cloud")
     resources = deployment.table_at("resources")
     zones = deployment.value("zones")
     if not isinstance(zones, list) or not zones or not all(isinstance(zone, str) for zone in zones):
-        raise deployment.fail("zones", "must be a list of names")
+        raise deployment.error("zones", "must be a list of names")
     teams = {}
     for table in deployment.tables_at("teams"):
         team = Team(
@@ -191,7 +196,7 @@
             table.number("gpus_max", 0.0),
         )
         if team.name in teams:
-            raise table.fail("name", "appears twice")
+            raise table.error("name", "appears twice")
         teams[team.name] = team
     objectives = []
     for table in deployment.tables_at("objectives"):
@@ -208,10 +213,10 @@
     label = top.text("label")
     names = [label, *(peer.label for peer in peers)]
     if len(set(names)) != len(names):
-        raise top.fail("known", "a label appears twice")
+        raise top.error("known", "a label appears twice")
     fd_limit = resources.count("fd_limit", 1024)
     if fd_limit < MIN_DESCRIPTORS:
-        raise resources.fail("fd_limit", f"must be at least {MIN_DESCRIPTORS}")
+        raise resources.error("fd_limit", f"must be at least {MIN_DESCRIPTORS}")
     return Platform(
         label=label,
         zone=top.text("domain"),
@@ -229,10 +234,10 @@
         gang_wait_s=workers.number("gang_wait_s", positive=True),
         gang_peer_s=workers.number("gang_peer_s", positive=True),
         cancel_s=workers.number("cancel_s", positive=True),
-        state_rps=min(rps, coming.number("rps", rps, positive=True)),
-        write_rps=min(write_rps, coming.number("write_rps", write_rps, positive=True)),
-        value_bytes=int(min(value_kb, coming.number("value_kb", value_kb, positive=True)) * 1024),
-        txn_ops=min(txn_ops, coming.count("txn_ops", txn_ops)),
+        state_rps=min(rps, next_limits.number("rps", rps, positive=True)),
+        write_rps=min(write_rps, next_limits.number("write_rps", write_rps, positive=True)),
+        value_bytes=int(min(value_kb, next_limits.number("value_kb", value_kb, positive=True)) * 1024),
+        txn_ops=min(txn_ops, next_limits.count("txn_ops", txn_ops)),
         first_value_bytes=int(value_kb * 1024),
         first_txn_ops=txn_ops,
         cloud_rps=cloud.number("rps", positive=True),
