--- a/driftcleat/cli/__init__.py
+++ b/driftcleat/cli/__init__.py
@@ -1,13 +1,13 @@
-"""The command line."""
+"""The command line: serves with the platform's settings, or runs one of the commands in `commands`."""
 
 import sys
 
-# How a platform starts a controller; the one way to be called that has to be fast.
+# The platform starts controllers with this option alone; that path skips the command line library to start fast.
 CONFIG_OPTION = "--config"
 
 
 def run() -> None:
-    """Run the command that the arguments name."""
+    """Serve if the only arguments are `--config FILE`, otherwise run the command that they name."""
     match sys.argv[1:]:
         case [option, config] if option == CONFIG_OPTION:
             from driftcleat.cli.serve import serve
--- a/driftcleat/cli/commands.py
+++ b/driftcleat/cli/commands.py
@@ -1,4 +1,4 @@
-"""`run.py --config FILE` serves; `check` looks at settings only; `status` asks a running controller."""
+"""The commands of `run.py`: `check` validates settings; `status` and `shares` query a running controller."""
 
 import sys
 
@@ -40,8 +40,8 @@
 @click.argument("address", metavar="HOST:PORT")
 @click.option("--json", "as_json", is_flag=True, help="Print everything as JSON.")
 def status(address: str, as_json: bool) -> None:
-    """Show what the controller at its `back` address says of itself."""
-    # Loaded here alone: serving must not wait for them.
+    """Show the status of the controller with this `back` address."""
+    # Imported here so that serving does not wait for them.
     import json
     import urllib.error
     import urllib.request
@@ -59,8 +59,8 @@
     click.echo(f"batches: {batch['count']}, p50 {batch['p50_ms']:.1f} ms, p99 {batch['p99_ms']:.1f} ms")
     if "machines" in data:
         click.echo(
-            f"data version {data['data_version']}, {data['records_to_move']} jobs' records to move, "
-            f"{data['jobs_waiting_for_others']} jobs wait for others"
+            f"data version {data['data_version']}, {data['records_to_move']} jobs with records to migrate, "
+            f"{data['jobs_waiting_for_others']} jobs wait for dependencies"
         )
         click.echo(
             "machines: "
@@ -71,11 +71,11 @@
 
 
 @main.command()
-@click.argument("words", nargs=-1, metavar="HOST:PORT | move HOST:PORT SHARE CONTROLLER")
+@click.argument("arguments", nargs=-1, metavar="HOST:PORT | move HOST:PORT SHARE CONTROLLER")
 @click.option("--json", "as_json", is_flag=True, help="Print everything as JSON.")
-def shares(words: tuple[str, ...], as_json: bool) -> None:
+def shares(arguments: tuple[str, ...], as_json: bool) -> None:
     """Show which controller owns which share of the machines, or move a share."""
-    # Loaded here alone: serving must not wait for it.
+    # Imported here so that serving does not wait for it.
     from driftcleat.cli.shares import run
 
-    run(words, as_json)
+    run(arguments, as_json)
--- a/driftcleat/cli/serve.py
+++ b/driftcleat/cli/serve.py
@@ -1,4 +1,4 @@
-"""Serves with the settings of a file. Kept apart from the other commands, whose library serving need not wait for."""
+"""Serves with given settings; apart from the other commands, so that serving need not import their library."""
 
 import gc
 import logging
@@ -11,19 +11,19 @@
 if TYPE_CHECKING:
     from driftcleat.sharing.settings import SharingSettings
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def serve(config: str, ini: str | None, sharing: str | None = None) -> None:
-    """Serve until the process is ended."""
-    _set_up_log()
+    """Serve until the process is terminated; invalid settings end it with exit code 2."""
+    _configure_logging()
     platform, tuning = load_settings(config, ini)
     sharing = sharing or os.environ.get("DRIFTCLEAT_SHARING")
     _run(platform, tuning, load_sharing_settings(sharing) if sharing else None)
 
 
 def load_settings(config: str, ini: str | None) -> tuple[Platform, Tuning]:
-    """Return the platform's and the operators' settings; wrong ones end the program."""
+    """Return the platform's and the operators' settings; exit with code 2 if they are invalid."""
     try:
         return load_platform(config), load_tuning(ini or os.environ.get("DRIFTCLEAT_INI"))
     except SettingsError as error:
@@ -31,8 +31,8 @@
 
 
 def load_sharing_settings(path: str) -> "SharingSettings":
-    """Return the settings of sharing; wrong ones end the program."""
-    # Nothing of sharing is loaded unless it is switched on.
+    """Return the settings of sharing; exit with code 2 if they are invalid."""
+    # Imported only if sharing is enabled.
     from driftcleat.sharing.settings import load_sharing
 
     try:
@@ -41,18 +41,18 @@
         fail(str(error), 2)
 
 
-def fail(why: str, status: int) -> NoReturn:
-    """End the program with one line that says why."""
-    print(f"driftcleat: {why}", file=sys.stderr)
-    sys.exit(status)
+def fail(message: str, exit_code: int) -> NoReturn:
+    """Print a message as one line on standard error, and exit."""
+    print(f"driftcleat: {message}", file=sys.stderr)
+    sys.exit(exit_code)
 
 
-def _set_up_log() -> None:
-    name = os.environ.get("LOG_LEVEL", "info").lower()
-    if name not in LEVELS:
-        fail(f"LOG_LEVEL: must be one of {', '.join(LEVELS)}", 2)
-    logging.basicConfig(stream=sys.stderr, level=LEVELS[name], format="%(levelname).1s %(name)s: %(message)s")
-    logging.getLogger("asyncio").setLevel(max(logging.WARNING, LEVELS[name]))
+def _configure_logging() -> None:
+    level = os.environ.get("LOG_LEVEL", "info").lower()
+    if level not in LOG_LEVELS:
+        fail(f"LOG_LEVEL: must be one of {', '.join(LOG_LEVELS)}", 2)
+    logging.basicConfig(stream=sys.stderr, level=LOG_LEVELS[level], format="%(levelname).1s %(name)s: %(message)s")
+    logging.getLogger("asyncio").setLevel(max(logging.WARNING, LOG_LEVELS[level]))
 
 
 def _run(platform: Platform, tuning: Tuning, sharing: "SharingSettings | None") -> None:
@@ -60,7 +60,7 @@
 
     from driftcleat.controller.controller import Controller
 
-    # What is loaded now stays: the collector, off until here, need not look at it.
+    # Objects loaded so far stay in use: exempt them from garbage collection, which was disabled until here.
     gc.freeze()
     gc.set_threshold(20_000, 20, 20)
     gc.enable()
