--- a/tests/test_cli_shares.py
+++ b/tests/test_cli_shares.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner, Result
 
 from driftcleat.cli.commands import main
-from tools.mixed import toml
+from tools.mixed import to_toml
 
 from .samples import raw_settings
 
@@ -91,7 +91,7 @@
     wrong = tmp_path / "sharing.ini"
     wrong.write_text("[sharing]\nshares = 99\n")
     site = tmp_path / "site.toml"
-    site.write_text("".join(f"{key} = {toml(value)}\n" for key, value in raw_settings().items()))
+    site.write_text("".join(f"{key} = {to_toml(value)}\n" for key, value in raw_settings().items()))
     assert CliRunner().invoke(main, ["check", str(site)]).exit_code == 0
     refused = CliRunner().invoke(main, ["check", str(site), "--sharing", str(wrong)])
     assert refused.exit_code == 2 and "sharing.shares" in refused.output
--- a/tools/mixed.py
+++ b/tools/mixed.py
@@ -28,12 +28,12 @@
 NOTED_EVERY_S = 0.1
 
 
-def toml(value: Any) -> str:
+def to_toml(value: Any) -> str:
     """Return a value as TOML, tables inline."""
     if isinstance(value, dict):
-        return "{" + ", ".join(f"{key} = {toml(other)}" for key, other in value.items()) + "}"
+        return "{" + ", ".join(f"{key} = {to_toml(other)}" for key, other in value.items()) + "}"
     if isinstance(value, list):
-        return "[" + ", ".join(map(toml, value)) + "]"
+        return "[" + ", ".join(map(to_toml, value)) + "]"
     return json.dumps(value)
 
 
@@ -59,7 +59,7 @@
         config = self.folder / f"{label}.toml"
         raw = self.site._raw(label)
         raw["deployment"]["state"]["next"] = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 400.0}
-        config.write_text("".join(f"{key} = {toml(value)}\n" for key, value in raw.items()))
+        config.write_text("".join(f"{key} = {to_toml(value)}\n" for key, value in raw.items()))
         self.versions[label] = sources.name
         # Errors go to our own standard error; nothing else is said.
         self.running[label] = subprocess.Popen(
