--- a/tools/mixed.py
+++ b/tools/mixed.py
@@ -1,9 +1,9 @@
-"""Runs two real versions side by side on loopback, against the tests' stand-ins: `python -m tools.mixed`.
+"""Runs two versions side by side on loopback, against the tests' protocol doubles: `python -m tools.mixed`.
 
-Three processes of the old version (by default the one that `deploy/service.toml` names as `production`) serve; one
-after the other ends and comes back as the newest commit. An old version that knows the second data version begins it
-by itself, and both then work on its records. Needs the repository's history, so it is no part of CI. Prints who led
-in turn; fails if a job is not done, or if one of the versions never led.
+Three processes of the old version serve (by default the one that `deploy/service.toml` names as `production`); one
+after the other is killed and restarted from the newest commit. An old version that supports data version 2 activates
+it by itself, and both versions then work on its records. CI does not run this, since it needs the repository's
+history. Prints the leaders in order; fails if a job does not finish, or if one of the versions never led.
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 from tests.standins import Site, until
 
 ROOT = Path(__file__).resolve().parent.parent
-# What a controller that came back has until the next one ends.
-SETTLED_S = 4.0
-# The pause between two looks at who leads.
-NOTED_EVERY_S = 0.1
+# Time from the restart of a controller until the next one is killed.
+RESTART_PAUSE_S = 4.0
+# Pause between two checks of the leader key.
+LEADER_CHECK_PAUSE_S = 0.1
 
 
 def to_toml(value: Any) -> str:
-    """Return a value as TOML, tables inline."""
+    """Return a value as TOML, with tables inline."""
     if isinstance(value, dict):
         return "{" + ", ".join(f"{key} = {to_toml(other)}" for key, other in value.items()) + "}"
     if isinstance(value, list):
@@ -37,31 +37,31 @@
     return json.dumps(value)
 
 
-def checkout(commit: str, into: Path) -> None:
-    """Lay a version's sources into a folder."""
+def export_sources(commit: str, folder: Path) -> None:
+    """Write the sources of a commit to a folder."""
     archive = subprocess.run(["git", "-C", str(ROOT), "archive", commit], check=True, capture_output=True).stdout
-    subprocess.run(["tar", "-x", "-C", str(into)], input=archive, check=True)
+    subprocess.run(["tar", "-x", "-C", str(folder)], input=archive, check=True)
 
 
-class Processes:
-    """The controllers' processes."""
+class ControllerProcesses:
+    """The processes of the controllers, each of either version."""
 
     def __init__(self, site: Site, folder: Path) -> None:
         self.site = site
         self.folder = folder
         self.running: dict[str, subprocess.Popen[bytes]] = {}
-        # The name of the folder of sources that each runs, and who led by the state service's leader key.
+        # The version that each controller runs, by label, and the leaders according to the leader key, in order.
         self.versions: dict[str, str] = {}
         self.leaders: list[str] = []
 
     def start(self, label: str, sources: Path) -> None:
-        """Start a controller of some version."""
+        """Start a controller from a folder of sources, which is named after the version."""
         config = self.folder / f"{label}.toml"
         raw = self.site._raw(label)
         raw["deployment"]["state"]["next"] = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 400.0}
         config.write_text("".join(f"{key} = {to_toml(value)}\n" for key, value in raw.items()))
         self.versions[label] = sources.name
-        # Errors go to our own standard error; nothing else is said.
+        # Only errors are logged, to the standard error of this process.
         self.running[label] = subprocess.Popen(
             [sys.executable, "run.py", "--config", str(config)],
             cwd=sources,
@@ -69,30 +69,30 @@
         )
         self.site.world.fronts[label] = self.site.platforms[label].bind
 
-    def end(self, label: str) -> None:
-        """End a controller without a word."""
+    def kill(self, label: str) -> None:
+        """Kill a controller, so that it cannot announce its end."""
         self.site.world.fronts.pop(label, None)
         process = self.running.pop(label)
         process.kill()
         process.wait()
 
-    async def note_leaders(self) -> None:
-        """Note each leader as it wins the leader key, until cancelled."""
-        noted = 0
+    async def record_leaders(self) -> None:
+        """Record each controller that acquires the leader key, until cancelled."""
+        last_revision = 0
         while True:
-            (label, _), token = self.site.store.store.data.get(LEADER_KEY, (("", ""), noted))
-            if token != noted:
-                noted = token
+            (label, _), revision = self.site.store.store.data.get(LEADER_KEY, (("", ""), last_revision))
+            if revision != last_revision:
+                last_revision = revision
                 self.leaders.append(f"{label} ({self.versions[label]})")
-            await asyncio.sleep(NOTED_EVERY_S)
+            await asyncio.sleep(LEADER_CHECK_PAUSE_S)
 
 
-async def accepted(site: Site, number: int, **changes: Any) -> str:
-    """Submit a job until it is accepted."""
+async def submit_until_accepted(site: Site, number: int, **changes: Any) -> str:
+    """Submit a job, retrying until it is accepted, and return its id."""
     raw = raw_job(number, accelerators=0.0, cores=0.2, memGb=0.1, **changes)
     site.world.specs[raw["nameId"]] = job(number, **raw)
 
-    async def once() -> bool:
+    async def attempt() -> bool:
         for label in list(site.world.fronts):
             try:
                 if (await site.call(label, "POST", "/v1/jobs", raw))[0] in (200, 201):
@@ -101,14 +101,14 @@
                 continue
         return False
 
-    await until(once, "accepted")
+    await until(attempt, "accepted")
     return str(raw["nameId"])
 
 
-async def ended(site: Site, job_id: str, state: str) -> None:
-    """Poll until a job has a final state."""
+async def wait_for_state(site: Site, job_id: str, state: str) -> None:
+    """Poll a job until it is in a state."""
 
-    async def once() -> bool:
+    async def attempt() -> bool:
         for label in list(site.world.fronts):
             try:
                 status, answer, _ = await site.call(label, "GET", f"/v1/jobs/{job_id}")
@@ -118,70 +118,70 @@
                 return bool(answer["bearing"] == state)
         return False
 
-    await until(once, f"{job_id} {state}", 120.0)
+    await until(attempt, f"{job_id} {state}", 120.0)
 
 
-def switched(site: Site) -> bool:
-    """Whether the second data version has begun."""
+def is_version_2_active(site: Site) -> bool:
+    """Return whether data version 2 is active."""
     return "driftcleat/version" in site.store.store.data
 
 
-async def play(folder: Path, old: Path, newest: Path) -> None:
-    """Upgrade a site with work under way; where both know the second data version, go back as well."""
+async def run_upgrade(folder: Path, old: Path, newest: Path) -> None:
+    """Upgrade a site with jobs running; if the old version supports data version 2, downgrade it again as well."""
 
-    class Bare(Site):
+    class ProcessSite(Site):
         def start(self, label: str) -> None:
             processes.start(label, old)
 
-    site = Bare()
-    processes = Processes(site, folder)
+    site = ProcessSite()
+    processes = ControllerProcesses(site, folder)
     try:
         async with site:
-            noting = asyncio.ensure_future(processes.note_leaders())
-            jobs = [await accepted(site, number, hands=90, voyageS=6.0) for number in range(1, 4)]
-            await until(site.world.on_machines, "work has begun")
-            await asyncio.sleep(SETTLED_S)
-            began_with_switch = switched(site)
+            recording = asyncio.ensure_future(processes.record_leaders())
+            jobs = [await submit_until_accepted(site, number, hands=90, voyageS=6.0) for number in range(1, 4)]
+            await until(site.world.on_machines, "tasks run")
+            await asyncio.sleep(RESTART_PAUSE_S)
+            began_with_version_2 = is_version_2_active(site)
             for turn, label in enumerate("abc"):
-                assert switched(site) == began_with_switch, "not while an old one is left"
-                processes.end(label)
-                jobs.append(await accepted(site, 10 + turn, hands=60, voyageS=4.0))
+                assert is_version_2_active(site) == began_with_version_2, "activated while an old version runs"
+                processes.kill(label)
+                jobs.append(await submit_until_accepted(site, 10 + turn, hands=60, voyageS=4.0))
                 processes.start(label, newest)
-                await asyncio.sleep(SETTLED_S)
-                jobs.append(await accepted(site, 20 + turn, hands=2, rig="group", voyageS=3.0))
-            await until(lambda: switched(site), "the switch")
-            jobs.append(await accepted(site, 30, hands=2, voyageS=1.0, tows=jobs[:2]))
-            for turn, label in enumerate("abc" if began_with_switch else ""):
-                processes.end(label)
-                jobs.append(await accepted(site, 40 + turn, hands=40, voyageS=3.0, tows=jobs[-1:]))
+                await asyncio.sleep(RESTART_PAUSE_S)
+                jobs.append(await submit_until_accepted(site, 20 + turn, hands=2, rig="group", voyageS=3.0))
+            await until(lambda: is_version_2_active(site), "data version 2 is active")
+            jobs.append(await submit_until_accepted(site, 30, hands=2, voyageS=1.0, tows=jobs[:2]))
+            for turn, label in enumerate("abc" if began_with_version_2 else ""):
+                processes.kill(label)
+                jobs.append(await submit_until_accepted(site, 40 + turn, hands=40, voyageS=3.0, tows=jobs[-1:]))
                 processes.start(label, old)
-                await asyncio.sleep(SETTLED_S)
+                await asyncio.sleep(RESTART_PAUSE_S)
             for job_id in jobs:
-                await ended(site, job_id, "done")
-            noting.cancel()
+                await wait_for_state(site, job_id, "done")
+            recording.cancel()
             for label in list(processes.running):
-                processes.end(label)
+                processes.kill(label)
     finally:
         for process in processes.running.values():
             process.kill()
     click.echo(f"{len(jobs)} jobs done across the upgrade")
-    click.echo(f"led in turn: {', '.join(processes.leaders)}")
+    click.echo(f"leaders in order: {', '.join(processes.leaders)}")
     for version in (old.name, newest.name):
         assert any(leader.endswith(f"({version})") for leader in processes.leaders), f"{version} never led"
 
 
 @click.command()
-@click.option("--old", help="The commit to begin with; by default the production version.")
+@click.option("--old", help="The commit of the old version; by default the production version.")
 def main(old: str | None) -> None:
-    """Play the upgrade once."""
+    """Run the upgrade once."""
     commit = old or tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"]
     with tempfile.TemporaryDirectory() as folder:
         sources = {name: Path(folder) / name for name in ("old", "newest")}
         for path, name in zip(sources.values(), (commit, "HEAD"), strict=True):
-            # Not our own folder: a build may have left an older package in it.
+            # Not the checkout itself: a build may have left an older package there.
             path.mkdir()
-            checkout(name, path)
-        asyncio.run(play(Path(folder), sources["old"], sources["newest"]))
+            export_sources(name, path)
+        asyncio.run(run_upgrade(Path(folder), sources["old"], sources["newest"]))
 
 
 if __name__ == "__main__":
--- a/tools/record.py
+++ b/tools/record.py
@@ -1,8 +1,8 @@
-"""Writes the files of `tests/recorded`: records and messages as the checkout that runs this writes them.
+"""Prints the records and messages that this checkout writes, for the files in `tests/recorded`.
 
-Run it in a checkout of the version to record, each of which has its own: `python -m tools.record > VERSION.json`. The
-version that `deploy/service.toml` names as `production` is in `production.json`. From 0.4.0 on there are records of
-the second data version too.
+Run `python -m tools.record > VERSION.json` in a checkout of the version to record; each version has its own copy of
+this tool. `production.json` holds the output of the version that `deploy/service.toml` names as `production`. Since
+0.4.0 the output contains records of data version 2 as well.
 """
 
 import json
@@ -19,10 +19,10 @@
 from driftcleat.wire.job_spec_parsing import parse_submission
 
 
-def jobs() -> list[Job]:
-    """Return jobs of all kinds and sizes, some tasks placed, stopped or done."""
+def sample_jobs() -> list[Job]:
+    """Return jobs of all kinds and several sizes, with some tasks placed, stopped or done."""
     rng = random.Random(1)
-    out = []
+    jobs = []
     for number, (kind, tasks) in enumerate(
         [("array", 1), ("array", 60), ("array", 240), ("group", 3), ("group", 130), ("daemon", 12)], 1
     ):
@@ -60,41 +60,41 @@
             elif roll < 0.8 and kind == "array":
                 job.task_states[index] = TaskState.DONE
                 job.tasks_done += 1
-        out.append(job)
-    return out
+        jobs.append(job)
+    return jobs
 
 
-def encoded(jobs: list[Job], layout: RecordLayout) -> dict[str, Any]:
-    """Return all records of these jobs by key."""
-    rows: dict[str, Any] = {}
+def encode_records(jobs: list[Job], layout: RecordLayout) -> dict[str, Any]:
+    """Return the records of these jobs by key."""
+    records_by_key: dict[str, Any] = {}
     for job in jobs:
         batch = Batch({}, layout.chunk_of, 1000, 1 << 30)
         batch.create_job(job)
         batch.changed_chunks[job.id] = {layout.chunk_of(job, index) for index in range(job.spec.tasks)} - {0}
         written = encode_batch(batch, layout, 5, 1, 0)
         for change in json.loads(written.body)["then"]:
-            rows[change["put"]] = change["v"]
-    return rows
+            records_by_key[change["put"]] = change["v"]
+    return records_by_key
 
 
-def second_version() -> dict[str, Any]:
-    """Return the same jobs in records of the second data version, and one that needs two of them."""
+def version_2_records() -> dict[str, Any]:
+    """Return the records in data version 2 of the sample jobs, and of a job that depends on two of them."""
     layout = RecordLayout(2048, 4, 8192, 24, ("north", "south"))
     layout.version_2_active = True
-    found = jobs()
-    raw = wire.decode(wire.encode(found[0].spec), dict)
-    found.append(Job(parse_submission(raw | {"nameId": "req-000007", "tows": ["req-000001", "req-000003"]}), 1007.0))
-    for job in found:
+    jobs = sample_jobs()
+    raw = wire.decode(wire.encode(jobs[0].spec), dict)
+    jobs.append(Job(parse_submission(raw | {"nameId": "req-000007", "tows": ["req-000001", "req-000003"]}), 1007.0))
+    for job in jobs:
         layout.assign_tasks_per_record(job)
-    # One transaction holds all records of a job here.
+    # Here, one transaction holds all records of a job.
     layout.txn_ops = 1000
-    return encoded(found, layout)
+    return encode_records(jobs, layout)
 
 
-def messages() -> list[Any]:
-    """Return one message of each kind, as it goes over the wire."""
+def sample_messages() -> list[Any]:
+    """Return messages of each kind as JSON, as they are sent."""
     version = records.DATA_VERSION
-    found: list[peers.PeerMessage] = [
+    messages: list[peers.PeerMessage] = [
         peers.ViewRequest("a", version),
         peers.Ping("a", version),
         peers.ViewResponse("a", "leading", "a", 5, 0.1, -1.0, True, peers.LeaderStatus(0.0, ["req-000001"]), version),
@@ -103,19 +103,19 @@
         peers.ForwardRequest("GET", "/v1/jobs/req-000001", ""),
         peers.ForwardResponse(200, "{}", None),
     ]
-    return [json.loads(wire.encode(message)) for message in found]
+    return [json.loads(wire.encode(message)) for message in messages]
 
 
 def main() -> None:
-    """Print everything."""
-    out: dict[str, Any] = {
+    """Print the recording as JSON."""
+    recording: dict[str, Any] = {
         "value_bytes": 8192,
         "txn_ops": 24,
-        "records": encoded(jobs(), RecordLayout(8192, 1000)),
-        "messages": messages(),
-        "second_version": second_version(),
+        "records": encode_records(sample_jobs(), RecordLayout(8192, 1000)),
+        "messages": sample_messages(),
+        "second_version": version_2_records(),
     }
-    json.dump(out, sys.stdout, indent=0)
+    json.dump(recording, sys.stdout, indent=0)
 
 
 if __name__ == "__main__":
