--- a/tools/load/__init__.py
+++ b/tools/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load test: real controller processes at a fleet's full size, everything around them stood in for."""
+"""Load test: real controller processes and the protocol doubles of a full-size fleet."""
--- a/tools/load/controller.py
+++ b/tools/load/controller.py
@@ -1,6 +1,6 @@
-"""Starts a controller from the sources: `run.py` would prefer what an earlier build left under `target/`.
+"""Starts a controller from the sources.
 
-Guards against a load test that measures a version of before.
+`run.py` prefers the package that an earlier build left under `target/`, so a load test would measure an old version.
 """
 
 import gc
--- a/tools/load/fleet.py
+++ b/tools/load/fleet.py
@@ -1,6 +1,6 @@
-"""The stand-ins of a load test: thousands of workers, each with a connection of its own, and the cloud.
+"""The protocol doubles of a load test: thousands of workers, each with its own connection, and the cloud.
 
-They check none of the rules, which the tests do: their own cost has to stay small beside that of the service.
+Unlike those of the tests they check no rules, so that their own cost stays small beside that of the service.
 """
 
 import asyncio
@@ -18,48 +18,49 @@
 from tests.standins import LiveWorld
 from tests.world import PlainWorker, Running
 
-# A worker gives an answer up after so long.
+# Timeout of a worker's heartbeat request.
 WORKER_TIMEOUT_S = 4.0
-# When a worker reports again: after commands, to a leader that was named (at most), and to the next controller.
-CHANGED_S = 0.1
-REDIRECTED_S = 0.5
-REFUSED_S = 1.0
+# Pause before a worker's next heartbeat: after commands, at most after a redirect to the leader, and before it tries
+# another controller.
+COMMANDS_PAUSE_S = 0.1
+MAX_REDIRECT_PAUSE_S = 0.5
+RETRY_PAUSE_S = 1.0
 TICK_S = 0.1
 
 
-class Reports:
-    """How reports fared, since the last look."""
+class HeartbeatStats:
+    """Results of heartbeats since the counters were last reset."""
 
     def __init__(self) -> None:
-        self.waits: list[float] = []
+        self.latencies_s: list[float] = []
         self.redirected = self.failed = 0
-        # Of the last failure of each kind, for the printed page.
+        # Number of failures by error text.
         self.failures: dict[str, int] = {}
 
-    def fail(self, why: str) -> None:
-        """Count a report that got no answer."""
+    def record_failure(self, reason: str) -> None:
+        """Count a heartbeat without a response."""
         self.failed += 1
-        self.failures[why] = self.failures.get(why, 0) + 1
+        self.failures[reason] = self.failures.get(reason, 0) + 1
 
 
 class LoadWorld(LiveWorld):
-    """Workers and cloud of a fleet."""
+    """The workers and the cloud of a fleet."""
 
     def __init__(self, platform: Any) -> None:
         super().__init__(platform)
-        self.reports = Reports()
+        self.heartbeat_stats = HeartbeatStats()
         self.clients: dict[str, HttpClient] = {}
-        # Zones that no controller reaches.
-        self.cut_zones: set[str] = set()
+        # Zones from which workers reach no controller.
+        self.partitioned_zones: set[str] = set()
 
     async def _report(self, worker: PlainWorker, heartbeat: Heartbeat, sent_at: float) -> None:
-        """Send a report over the worker's own connection."""
+        """Send a heartbeat over the worker's own connection."""
         if not self.fronts:
-            worker.waiting_answer, worker.next_report = None, self.now + REFUSED_S
+            worker.waiting_answer, worker.next_report = None, self.now + RETRY_PAUSE_S
             return
-        if worker.zone in self.cut_zones:
+        if worker.zone in self.partitioned_zones:
             await asyncio.sleep(WORKER_TIMEOUT_S)
-            worker.waiting_answer, worker.next_report = None, self.now + REFUSED_S
+            worker.waiting_answer, worker.next_report = None, self.now + RETRY_PAUSE_S
             return
         label = self.attached.get(worker.name)
         if label not in self.fronts:
@@ -69,30 +70,30 @@
         began = time.monotonic()
         leader: str | None = None
         try:
-            answer = await client.request("POST", self.fronts[label], "/agent/beat", body, WORKER_TIMEOUT_S)
+            http_response = await client.request("POST", self.fronts[label], "/agent/beat", body, WORKER_TIMEOUT_S)
         except (HttpError, TimeoutError) as error:
-            self.reports.fail(f"{type(error).__name__} {str(error)[:24]}")
+            self.heartbeat_stats.record_failure(f"{type(error).__name__} {str(error)[:24]}")
         else:
-            if answer.status == 200:
-                self.reports.waits.append(time.monotonic() - began)
-                response = wire.decode(answer.body, HeartbeatResponse)
+            if http_response.status == 200:
+                self.heartbeat_stats.latencies_s.append(time.monotonic() - began)
+                response = wire.decode(http_response.body, HeartbeatResponse)
                 worker.answer(
                     heartbeat.worker_epoch, heartbeat.sequence, response.fencing_token, response.commands, sent_at
                 )
                 if response.commands:
-                    worker.next_report = min(worker.next_report, self.now + CHANGED_S)
+                    worker.next_report = min(worker.next_report, self.now + COMMANDS_PAUSE_S)
                 return
-            self.reports.redirected += 1
-            leader = json.loads(answer.body).get("harbormaster") if answer.status == 421 else None
+            self.heartbeat_stats.redirected += 1
+            leader = json.loads(http_response.body).get("harbormaster") if http_response.status == 421 else None
         others = sorted(name for name in self.fronts if name != label)
         known = leader is not None and leader in self.fronts and leader != label
         self.attached[worker.name] = str(leader) if known else self.rng.choice(others or [label])
-        pause_s = self.rng.uniform(0.0, REDIRECTED_S) if known else REFUSED_S
+        pause_s = self.rng.uniform(0.0, MAX_REDIRECT_PAUSE_S) if known else RETRY_PAUSE_S
         worker.waiting_answer, worker.next_report = None, self.now + pause_s
         worker.reported_at = worker.next_report
 
     async def cloud(self, request: web.BaseRequest) -> web.Response:
-        """Answer the cloud's interface; the list comes in pages."""
+        """Handle a request to the cloud; the list of machines is paginated."""
         if request.method != "GET" or request.path != "/rentals":
             return await super().cloud(request)
         rows = self.listed_machines(lambda name: f"{self.addresses['workers']}/{name}")
@@ -103,17 +104,17 @@
         )
 
     def check_start(self, worker: PlainWorker, task: Running) -> None:
-        """Count a start."""
+        """Count a task start; the rules are not checked."""
         self.started += 1
 
     async def live(self) -> None:
-        """Let the workers' time pass."""
+        """Advance all workers periodically, until cancelled."""
         while True:
             self.now = asyncio.get_running_loop().time()
             for worker in list(self.workers.values()):
                 worker.step()
             await asyncio.sleep(TICK_S)
 
-    def lapses(self) -> int:
-        """Return how many leases of workers have run out."""
+    def expired_leases(self) -> int:
+        """Return how many worker leases have expired."""
         return sum(worker.session - 1 for worker in self.workers.values())
--- a/tools/load/processes.py
+++ b/tools/load/processes.py
@@ -1,4 +1,4 @@
-"""Controllers as processes of their own, and what they use."""
+"""Controllers as separate processes, and their resource use."""
 
 import asyncio
 import dataclasses
@@ -20,39 +20,39 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 LABELS = "abc"
 METRICS_TIMEOUT_S = 5.0
-SAMPLE_S = 0.2
+SAMPLE_INTERVAL_S = 0.2
 
 
 class LoadSite(Site):
-    """A site whose controllers are processes."""
+    """A site whose controllers and state service are separate processes."""
 
     world: LoadWorld
 
     def __init__(self, size: Size, throttled: bool = False) -> None:
-        """`throttled`: each controller is held to its share of a core."""
+        """Prepare a site; if `throttled`, each controller is limited to its share of a core."""
         super().__init__()
         self.size, self.throttled = size, throttled
         self.world = LoadWorld(self.platforms["a"])
-        free = Team("red", 0.0, 0.0, 0.0, 0.0)
+        unlimited = Team("red", 0.0, 0.0, 0.0, 0.0)
         self.world.platform = dataclasses.replace(
-            self.world.platform, teams={"red": free}, report_s=size.report_s, lease_s=size.lease_s
+            self.world.platform, teams={"red": unlimited}, report_s=size.report_s, lease_s=size.lease_s
         )
         self.store_process: asyncio.subprocess.Process | None = None
         self.paths: list[Path] = []
-        # What the controllers find in their environment beside ours.
+        # Environment variables of the controllers in addition to those of this process.
         self.environment = {"LOG_LEVEL": "error"}
         self.client = HttpClient(64, 16, 75.0)
-        # Users' connections.
-        self.users = HttpClient(3000, 1000, 75.0)
+        # The connections of all users.
+        self.user_client = HttpClient(3000, 1000, 75.0)
 
     async def start_store(self) -> None:
-        """Start the state service as a process of its own, and wait until it answers."""
+        """Start the state service as a separate process, and wait until it responds."""
         name = next(name for name, size in SIZES.items() if size is self.size)
         command = [sys.executable, "-m", "tools.load.store", str(self.ports["state"]), name]
         self.store_process = await asyncio.create_subprocess_exec(*command, cwd=ROOT)
-        await until(self._store_answers, "the state service answers")
+        await until(self._store_responds, "the state service responds")
 
-    async def _store_answers(self) -> bool:
+    async def _store_responds(self) -> bool:
         address = f"127.0.0.1:{self.ports['state']}"
         try:
             await self.client.request("GET", address, "/store/none", None, METRICS_TIMEOUT_S)
@@ -67,7 +67,7 @@
             await self.store_process.wait()
 
     def start(self, label: str) -> None:
-        """Start a controller as a process of its own."""
+        """Start a controller as a separate process."""
         path = Path(tempfile.gettempdir()) / f"driftcleat-load-{os.getpid()}-{label}.toml"
         path.write_text(settings_file(self, label))
         self.paths.append(path)
@@ -100,23 +100,25 @@
                     await child.wait()
 
     async def metrics(self, label: str) -> dict[str, Any] | None:
-        """Return what a controller has counted; None if it does not answer."""
+        """Return the metrics of a controller; None if it does not respond."""
         try:
-            answer = await self.client.request("GET", self.platforms[label].back, "/metrics", None, METRICS_TIMEOUT_S)
+            response = await self.client.request(
+                "GET", self.platforms[label].back, "/metrics", None, METRICS_TIMEOUT_S
+            )
         except (HttpError, TimeoutError):
             return None
-        return dict(json.loads(answer.body))
+        return dict(json.loads(response.body))
 
-    async def leading(self) -> str | None:
-        """Return the label of the controller that leads."""
+    async def current_leader(self) -> str | None:
+        """Return the label of the controller that reports to be the leader."""
         for label in LABELS:
-            counted = await self.metrics(label)
-            if counted is not None and counted["role"] == "leading":
+            metrics = await self.metrics(label)
+            if metrics is not None and metrics["role"] == "leading":
                 return label
         return None
 
     def clean_up(self) -> None:
-        """Remove the settings files."""
+        """Delete the settings files."""
         for path in self.paths:
             path.unlink(missing_ok=True)
 
@@ -165,7 +167,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used: seconds of a core, resident memory, open descriptors."""
+    """Resource use of a process: CPU time, resident memory and open file descriptors."""
 
     core_s: float
     memory_mb: float
@@ -173,7 +175,7 @@
 
 
 def usage(pid: int) -> Usage:
-    """Return what a process uses."""
+    """Return the resource use of a process; raise `OSError` if it has exited."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return Usage(
         int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9,
@@ -183,14 +185,14 @@
 
 
 class Peaks:
-    """The most that any controller used, sampled while the load is played."""
+    """The highest memory and descriptor use of any controller, sampled during the load test."""
 
     def __init__(self, site: LoadSite) -> None:
         self._site = site
         self.memory_mb, self.descriptors = 0.0, 0
 
     async def watch(self) -> None:
-        """Sample for ever."""
+        """Sample all controllers periodically, until cancelled."""
         while True:
             for process in list(self._site.controllers.values()):
                 try:
@@ -199,4 +201,4 @@
                     continue
                 self.memory_mb = max(self.memory_mb, used.memory_mb)
                 self.descriptors = max(self.descriptors, used.descriptors)
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
--- a/tools/load/scenario.py
+++ b/tools/load/scenario.py
@@ -1,4 +1,4 @@
-"""The phases of a load test and what is measured in each."""
+"""The phases of a load test and their measurements."""
 
 import asyncio
 import json
@@ -14,14 +14,14 @@
 from driftcleat.wire.users import JobSpec
 from tests.samples import job, raw_job
 
-from .fleet import Reports
+from .fleet import HeartbeatStats
 from .processes import LABELS, LoadSite, Peaks, usage
 
-# Replicas that fill a machine each, this many a job: they keep the fleet in service.
-FILLERS_A_JOB = 100
-FILLER = {
+# Services whose replicas fill a machine each, this many per job, so that no machine is idle and deleted.
+REPLICAS_PER_FILLER_JOB = 100
+FILLER_JOB = {
     "rig": "daemon",
-    "hands": FILLERS_A_JOB,
+    "hands": REPLICAS_PER_FILLER_JOB,
     "cores": 12.0,
     "accelerators": 4.0,
     "memGb": 8.0,
@@ -29,44 +29,49 @@
     "voyageS": 0.0,
     "mooringS": 0.0,
 }
-# What users hand in beside them: it fits on what the replicas leave.
-SHORT = {"hands": 2, "cores": 1.0, "accelerators": 0.0, "memGb": 1.0, "imageGb": 0.0, "voyageS": 5.0}
-# Users' requests a second of a usual burst, how many times that is overload, and how long a burst lasts.
-USUAL_A_SECOND = 200
-OVERLOAD = 5
+# The jobs that users submit: they fit into the capacity that the replicas leave free.
+SHORT_JOB = {"hands": 2, "cores": 1.0, "accelerators": 0.0, "memGb": 1.0, "imageGb": 0.0, "voyageS": 5.0}
+# User requests per second in a usual burst, the factor for overload, and the duration of a burst.
+USUAL_REQUESTS_PER_S = 200
+OVERLOAD_FACTOR = 5
 BURST_S = 10.0
 USER_TIMEOUT_S = 5.0
 POLL_TIMEOUT_S = 2.0
-LOOK_S = 0.02
-# How long a site has until work is handed in: shares are assigned, the machine types known.
+CHECK_INTERVAL_S = 0.02
+# Time before the first submission, in which shards are assigned and the machine types are fetched.
 SETTLE_S = 8.0
-# How long a process is paused, of the workers' lease: about twice the leader's own.
-PAUSE = 0.25
+# How long a process is paused, in worker leases: about twice the leader lease.
+PAUSE_LEASES = 0.25
 
 
 @dataclass
-class Requests:
-    """How users' requests fared."""
+class RequestStats:
+    """Results of user requests."""
 
     statuses: Counter[int] = field(default_factory=Counter)
-    waits: list[float] = field(default_factory=list)
+    latencies_s: list[float] = field(default_factory=list)
 
-    def line(self, name: str) -> str:
-        """Return one printed line."""
-        if not self.waits:
+    def summary(self, name: str) -> str:
+        """Return one line of text."""
+        if not self.latencies_s:
             return f"  {name}: none"
-        waits = sorted(self.waits)
-        said = ", ".join(f"{count} x {status or 'no answer'}" for status, count in sorted(self.statuses.items()))
-        return f"  {name}: {said}; p50 {middle(waits, 0.5):.0f} ms, p99 {middle(waits, 0.99):.0f} ms"
+        latencies_s = sorted(self.latencies_s)
+        statuses = ", ".join(
+            f"{count} x {status or 'no response'}" for status, count in sorted(self.statuses.items())
+        )
+        return (
+            f"  {name}: {statuses}; p50 {percentile_ms(latencies_s, 0.5):.0f} ms, "
+            f"p99 {percentile_ms(latencies_s, 0.99):.0f} ms"
+        )
 
 
-def middle(values: list[float], share: float) -> float:
+def percentile_ms(values_s: list[float], fraction: float) -> float:
     """Return a percentile of sorted seconds, in milliseconds."""
-    return values[min(len(values) - 1, int(len(values) * share))] * 1e3
+    return values_s[min(len(values_s) - 1, int(len(values_s) * fraction))] * 1e3
 
 
 class Scenario:
-    """Plays the phases one after the other and prints a paragraph for each."""
+    """Runs the phases one after the other and prints the results of each."""
 
     def __init__(self, site: LoadSite, machines: int) -> None:
         self.site, self.machines = site, machines
@@ -74,30 +79,32 @@
         self.number = 0
         self.accepted: set[str] = set()
 
-    # -- what is measured ---------------------------------------------------------------------------------
+    # Measurements
 
-    async def phase(self, name: str, play: Callable[[], Awaitable[list[str]]]) -> None:
-        """Play a phase and print what it took."""
+    async def run_phase(self, name: str, phase: Callable[[], Awaitable[list[str]]]) -> None:
+        """Run a phase and print its results."""
         site = self.site
-        site.world.reports = Reports()
-        lapses, before = site.world.lapses(), self._core_seconds()
-        own, began = time.process_time(), time.monotonic()
-        parts = {label: await self._parts(label) for label in LABELS}
-        lines = await play()
-        spent = time.monotonic() - began
+        site.world.heartbeat_stats = HeartbeatStats()
+        expired_before, before = site.world.expired_leases(), self._core_seconds()
+        own_core_s, began = time.process_time(), time.monotonic()
+        parts_before = {label: await self._parts(label) for label in LABELS}
+        lines = await phase()
+        spent_s = time.monotonic() - began
         after = self._core_seconds()
-        leader = await site.leading()
-        print(f"{name}, {spent:.0f} s; generator {(time.process_time() - own) / spent:.0%} of a core")
+        leader = await site.current_leader()
+        print(f"{name}, {spent_s:.0f} s; generator {(time.process_time() - own_core_s) / spent_s:.0%} of a core")
         for label in LABELS:
             if (before.get(label) or (0, 0.0))[0] != after[label][0]:
                 continue
-            core = (after[label][1] - before[label][1]) / spent
+            core = (after[label][1] - before[label][1]) / spent_s
             role = "leader" if label == leader else "follower"
-            now = await self._parts(label)
-            changed = {part: (now[part] - parts[label].get(part, 0.0)) / spent for part in now}
-            said = ", ".join(f"{part} {share:.1%}" for part, share in changed.items() if share >= 0.0005)
-            print(f"  {role} {label}: {core:.1%} of a core ({said})")
-        print(self._reports_line(spent, site.world.lapses() - lapses))
+            parts_after = await self._parts(label)
+            core_by_part = {
+                part: (parts_after[part] - parts_before[label].get(part, 0.0)) / spent_s for part in parts_after
+            }
+            shares = ", ".join(f"{part} {share:.1%}" for part, share in core_by_part.items() if share >= 0.0005)
+            print(f"  {role} {label}: {core:.1%} of a core ({shares})")
+        print(self._heartbeat_summary(spent_s, site.world.expired_leases() - expired_before))
         for line in lines:
             print(line, flush=True)
 
@@ -105,23 +112,26 @@
         return {label: (process.pid, usage(process.pid).core_s) for label, process in self.site.controllers.items()}
 
     async def _parts(self, label: str) -> dict[str, float]:
-        counted = await self.site.metrics(label)
-        return dict(counted["parts_s"]) if counted is not None else {}
-
-    def _reports_line(self, spent: float, lapses: int) -> str:
-        reports = self.site.world.reports
-        waits = sorted(reports.waits)
-        if not waits:
-            return "  reports: none answered"
-        in_time = sum(wait <= self.site.size.report_s for wait in waits) / (len(waits) + reports.failed)
-        failures = ", ".join(f"{count} x {why}" for why, count in sorted(reports.failures.items()))
+        metrics = await self.site.metrics(label)
+        return dict(metrics["parts_s"]) if metrics is not None else {}
+
+    def _heartbeat_summary(self, spent_s: float, expired_leases: int) -> str:
+        stats = self.site.world.heartbeat_stats
+        latencies_s = sorted(stats.latencies_s)
+        if not latencies_s:
+            return "  heartbeats: no responses"
+        in_time = sum(latency_s <= self.site.size.report_s for latency_s in latencies_s) / (
+            len(latencies_s) + stats.failed
+        )
+        failures = ", ".join(f"{count} x {reason}" for reason, count in sorted(stats.failures.items()))
         return (
-            f"  reports: {len(waits) / spent:.0f} a second answered, {in_time:.1%} within the report interval, p50 "
-            f"{middle(waits, 0.5):.0f} ms, p99 {middle(waits, 0.99):.0f} ms; {reports.redirected} sent elsewhere, "
-            f"{reports.failed} failed ({failures}); {lapses} leases ran out"
+            f"  heartbeats: {len(latencies_s) / spent_s:.0f} responses per second, {in_time:.1%} within the "
+            f"heartbeat interval, p50 {percentile_ms(latencies_s, 0.5):.0f} ms, "
+            f"p99 {percentile_ms(latencies_s, 0.99):.0f} ms; "
+            f"{stats.redirected} redirected, {stats.failed} failed ({failures}); {expired_leases} leases expired"
         )
 
-    # -- phases -------------------------------------------------------------------------------------------
+    # Phases
 
     def _phases(self, seconds: float) -> dict[str, Callable[[], Awaitable[list[str]]]]:
         return {
@@ -129,34 +139,34 @@
             "join": self._join,
             "fill": self._fill,
             "steady": lambda: self._wait(seconds),
-            "users": lambda: self._users(USUAL_A_SECOND, BURST_S),
-            "overload": lambda: self._users(USUAL_A_SECOND * OVERLOAD, 2 * BURST_S),
-            "silent third": self._third_silent,
-            "zone away": self._zone_away,
-            "leader paused": self._leader_paused,
-            "store paused": self._store_paused,
-            "leader killed": self._leader_killed,
-            "all killed": self._all_killed,
+            "users": lambda: self._send_user_requests(USUAL_REQUESTS_PER_S, BURST_S),
+            "overload": lambda: self._send_user_requests(USUAL_REQUESTS_PER_S * OVERLOAD_FACTOR, 2 * BURST_S),
+            "silent third": self._hang_third,
+            "zone away": self._partition_zone,
+            "leader paused": self._pause_leader,
+            "store paused": self._pause_store,
+            "leader killed": self._kill_leader,
+            "all killed": self._kill_all,
         }
 
-    async def play(self, seconds: float, chosen: list[str]) -> None:
-        """Play the phases that are chosen; none chosen: all."""
-        watching = asyncio.ensure_future(self.peaks.watch())
+    async def run(self, seconds: float, selected: list[str]) -> None:
+        """Run the selected phases, or all of them if none is selected."""
+        sampling = asyncio.ensure_future(self.peaks.watch())
         for name, phase in self._phases(seconds).items():
-            if not chosen or name in chosen:
-                await self.phase(name, phase)
-        watching.cancel()
+            if not selected or name in selected:
+                await self.run_phase(name, phase)
+        sampling.cancel()
         size = self.site.size
         print(
-            f"most at once: {self.peaks.memory_mb:.0f} of {size.memory_mb:.0f} MB, "
+            f"peak use: {self.peaks.memory_mb:.0f} of {size.memory_mb:.0f} MB, "
             f"{self.peaks.descriptors} of {size.fd_limit} descriptors"
         )
         for label in LABELS:
-            counted = await self.site.metrics(label)
-            if counted is not None:
-                delay = counted.get("loop_delay", {})
-                print(f"  {label}: event loop held up to {delay.get('p100_ms', 0):.0f} ms, {counted['role']}")
-        print(f"leases that ran out in all: {self.site.world.lapses()}")
+            metrics = await self.site.metrics(label)
+            if metrics is not None:
+                delay = metrics.get("loop_delay", {})
+                print(f"  {label}: event loop delayed up to {delay.get('p100_ms', 0):.0f} ms, {metrics['role']}")
+        print(f"expired leases in total: {self.site.world.expired_leases()}")
 
     async def _wait(self, seconds: float) -> list[str]:
         await asyncio.sleep(seconds)
@@ -167,79 +177,85 @@
         for number in range(self.machines):
             world.boot(ScaleOutRecord("big", "north" if number % 2 else "south", False, 1, 0.0))
         began = time.monotonic()
-        heard = await self._until(lambda: all(worker.token > 0 for worker in world.alive()), 60.0)
-        took = time.monotonic() - began
-        return [f"  every machine answered once after {took:.1f} s" if heard else "  NOT EVERY MACHINE ANSWERED"]
+        all_connected = await self._until(lambda: all(worker.token > 0 for worker in world.alive()), 60.0)
+        took_s = time.monotonic() - began
+        return [
+            f"  every machine got a response after {took_s:.1f} s"
+            if all_connected
+            else "  NOT EVERY MACHINE GOT A RESPONSE"
+        ]
 
     async def _fill(self) -> list[str]:
         """Place a replica on every machine."""
-        jobs = -(-self.machines // FILLERS_A_JOB)
-        specs = [self._new(FILLER) for _ in range(jobs)]
+        jobs = -(-self.machines // REPLICAS_PER_FILLER_JOB)
+        specs = [self._new_job(FILLER_JOB) for _ in range(jobs)]
         began = time.monotonic()
-        asked = Requests()
-        await asyncio.gather(*(self._submit(spec, FILLER, asked) for spec in specs))
+        stats = RequestStats()
+        await asyncio.gather(*(self._submit(spec, FILLER_JOB, stats) for spec in specs))
         running = await self._until(lambda: self._running() >= self.machines, 120.0)
-        took = time.monotonic() - began
+        took_s = time.monotonic() - began
         state = "all" if running else f"NOT ALL, {self._running()}"
-        return [f"  {state} of {self.machines} replicas at work after {took:.1f} s", asked.line("submissions")]
+        return [f"  {state} of {self.machines} replicas running after {took_s:.1f} s", stats.summary("submissions")]
 
     def _running(self) -> int:
         return sum(len(worker.tasks) for worker in self.site.world.workers.values() if not worker.gone)
 
-    async def _users(self, a_second: int, seconds: float) -> list[str]:
-        """A fifth submissions, the rest polls of jobs handed in; spread over all controllers."""
-        submitted, polled = Requests(), Requests()
-        known: list[str] = []
-        work: list[asyncio.Future[Any]] = []
+    async def _send_user_requests(self, requests_per_s: int, seconds: float) -> list[str]:
+        """Send one submission for every four polls of accepted jobs, spread over all controllers."""
+        submitted, polled = RequestStats(), RequestStats()
+        accepted: list[str] = []
+        tasks: list[asyncio.Future[Any]] = []
         began = time.monotonic()
-        for number in range(int(a_second * seconds)):
-            ahead = began + number / a_second - time.monotonic()
-            if ahead > 0:
-                await asyncio.sleep(ahead)
-            if number % 5 == 0 or not known:
-                work.append(asyncio.ensure_future(self._submit_one(known, submitted)))
+        for number in range(int(requests_per_s * seconds)):
+            ahead_s = began + number / requests_per_s - time.monotonic()
+            if ahead_s > 0:
+                await asyncio.sleep(ahead_s)
+            if number % 5 == 0 or not accepted:
+                tasks.append(asyncio.ensure_future(self._submit_short_job(accepted, submitted)))
             else:
-                path = f"/v1/jobs/{known[number % len(known)]}"
-                work.append(asyncio.ensure_future(self._ask("GET", path, None, POLL_TIMEOUT_S, polled)))
-        await asyncio.gather(*work)
-        return [submitted.line("submissions"), polled.line("polls")]
-
-    async def _submit_one(self, known: list[str], asked: Requests) -> None:
-        """Hand in a short job, once; it is known if it was accepted."""
-        spec = self._new(SHORT)
-        await self._submit(spec, SHORT, asked, tries=1)
+                path = f"/v1/jobs/{accepted[number % len(accepted)]}"
+                tasks.append(asyncio.ensure_future(self._send("GET", path, None, POLL_TIMEOUT_S, polled)))
+        await asyncio.gather(*tasks)
+        return [submitted.summary("submissions"), polled.summary("polls")]
+
+    async def _submit_short_job(self, accepted: list[str], stats: RequestStats) -> None:
+        """Submit a short job without retries, and add it to `accepted` if the controller accepts it."""
+        spec = self._new_job(SHORT_JOB)
+        await self._submit(spec, SHORT_JOB, stats, attempts=1)
         if spec.id in self.accepted:
-            known.append(spec.id)
+            accepted.append(spec.id)
 
-    def _new(self, changes: dict[str, Any]) -> JobSpec:
+    def _new_job(self, changes: dict[str, Any]) -> JobSpec:
         self.number += 1
         spec = job(self.number, **changes)
         self.site.world.specs[spec.id] = spec
         return spec
 
-    async def _submit(self, spec: JobSpec, changes: dict[str, Any], asked: Requests, tries: int = 30) -> None:
+    async def _submit(self, spec: JobSpec, changes: dict[str, Any], stats: RequestStats, attempts: int = 30) -> None:
         body = json.dumps(raw_job(int(spec.id[4:]), **changes)).encode()
-        for _ in range(tries):
-            status = await self._ask("POST", "/v1/jobs", body, USER_TIMEOUT_S, asked)
+        for _ in range(attempts):
+            status = await self._send("POST", "/v1/jobs", body, USER_TIMEOUT_S, stats)
             if status in (200, 201):
                 self.accepted.add(spec.id)
                 return
             await asyncio.sleep(1.0)
 
-    async def _ask(self, method: str, path: str, body: bytes | None, timeout_s: float, asked: Requests) -> int:
+    async def _send(self, method: str, path: str, body: bytes | None, timeout_s: float, stats: RequestStats) -> int:
         label = self.site.world.rng.choice(LABELS)
         began = time.monotonic()
         try:
-            answer = await self.site.users.request(method, self.site.platforms[label].bind, path, body, timeout_s)
-            status = answer.status
+            response = await self.site.user_client.request(
+                method, self.site.platforms[label].bind, path, body, timeout_s
+            )
+            status = response.status
         except (HttpError, TimeoutError):
             status = 0
-        asked.statuses[status] += 1
-        asked.waits.append(time.monotonic() - began)
+        stats.statuses[status] += 1
+        stats.latencies_s.append(time.monotonic() - began)
         return status
 
-    async def _third_silent(self) -> list[str]:
-        """A third of the machines hang for less than a lease, all at once."""
+    async def _hang_third(self) -> list[str]:
+        """Let a third of the machines hang at the same time, for less than a lease."""
         alive = self.site.world.alive()
         for worker in alive[::3]:
             worker.hung = True
@@ -249,103 +265,105 @@
         await asyncio.sleep(self.site.size.report_s * 3)
         return [f"  {len(alive[::3])} machines; {len(self.site.world.alive())} of {len(alive)} kept"]
 
-    async def _zone_away(self) -> list[str]:
-        """One zone reaches no controller for less than a lease."""
+    async def _partition_zone(self) -> list[str]:
+        """Partition one zone from all controllers, for less than a lease."""
         world = self.site.world
         before = len(world.alive())
-        world.cut_zones.add("south")
+        world.partitioned_zones.add("south")
         await asyncio.sleep(self.site.size.lease_s * 0.5)
-        world.cut_zones.clear()
+        world.partitioned_zones.clear()
         await asyncio.sleep(self.site.size.report_s * 3)
-        away = sum(worker.zone == "south" for worker in world.alive())
-        return [f"  {away} machines away; {len(world.alive())} of {before} kept"]
+        partitioned = sum(worker.zone == "south" for worker in world.alive())
+        return [f"  {partitioned} machines partitioned; {len(world.alive())} of {before} kept"]
 
-    async def _leader_paused(self) -> list[str]:
-        """The leader's process stands still for longer than its lease, as on a machine that is short of time."""
-        leader = await self.site.leading()
+    async def _pause_leader(self) -> list[str]:
+        """Pause the leader's process for longer than its lease, as happens on an overloaded machine."""
+        leader = await self.site.current_leader()
         if leader is None:
             return ["  NO LEADER to pause"]
         token, process = self._highest_token(), self.site.controllers[leader]
         process.send_signal(signal.SIGSTOP)
         resumed = asyncio.get_running_loop().call_later(
-            self.site.size.lease_s * PAUSE, process.send_signal, signal.SIGCONT
+            self.site.size.lease_s * PAUSE_LEASES, process.send_signal, signal.SIGCONT
         )
-        lines = await self._take_over(token)
+        lines = await self._measure_recovery(token)
         await asyncio.sleep(max(0.0, resumed.when() - asyncio.get_running_loop().time()))
         return lines
 
-    async def _store_paused(self) -> list[str]:
-        """The state service stands still for longer than the leader's lease; who leads then is left open."""
+    async def _pause_store(self) -> list[str]:
+        """Pause the state service for longer than the leader's lease; the leader may change or stay."""
         process = self.site.store_process
         assert process is not None
         token = self._highest_token()
         process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(self.site.size.lease_s * PAUSE)
+        await asyncio.sleep(self.site.size.lease_s * PAUSE_LEASES)
         process.send_signal(signal.SIGCONT)
-        await asyncio.sleep(self.site.size.lease_s * PAUSE)
-        lines = await self._take_over(token - 1)
-        return [*lines, f"  the highest token went from {token} to {self._highest_token()}"]
+        await asyncio.sleep(self.site.size.lease_s * PAUSE_LEASES)
+        lines = await self._measure_recovery(token - 1)
+        return [*lines, f"  the highest fencing token went from {token} to {self._highest_token()}"]
 
-    async def _leader_killed(self) -> list[str]:
-        leader = await self.site.leading()
+    async def _kill_leader(self) -> list[str]:
+        leader = await self.site.current_leader()
         if leader is None:
             return ["  NO LEADER to kill"]
         token = self._highest_token()
         await self.site.kill(leader)
-        lines = await self._take_over(token)
+        lines = await self._measure_recovery(token)
         self.site.start(leader)
         await asyncio.sleep(self.site.size.report_s)
         return lines
 
-    async def _all_killed(self) -> list[str]:
+    async def _kill_all(self) -> list[str]:
         token = self._highest_token()
         for label in list(self.site.running):
             await self.site.kill(label)
         for label in LABELS:
             self.site.start(label)
-        return await self._take_over(token)
+        return await self._measure_recovery(token)
 
     def _highest_token(self) -> int:
         return max((worker.token for worker in self.site.world.workers.values()), default=0)
 
-    async def _take_over(self, token: int) -> list[str]:
-        """Wait for a leader after this token, for every machine's report, and for a job handed in now to run."""
+    async def _measure_recovery(self, token: int) -> list[str]:
+        """Wait for a leader after this token, for a response to every machine, and for a job submitted now to run."""
         world, began = self.site.world, time.monotonic()
-        world.reports = Reports()
-        led = await self._until_async(self.site.leading, 60.0)
-        led_s = time.monotonic() - began
-        spec = self._new(SHORT)
-        asked = Requests()
-        submitting = asyncio.ensure_future(self._submit(spec, SHORT, asked))
-        answered = await self._until(lambda: any(worker.token > token for worker in world.alive()), 60.0)
-        answered_s = time.monotonic() - began
-        placed = await self._until(lambda: self._started(spec.id), 60.0)
-        placed_s = time.monotonic() - began
-        heard = await self._until(lambda: all(worker.token > token for worker in world.alive()), 60.0)
+        world.heartbeat_stats = HeartbeatStats()
+        has_leader = await self._until_async(self.site.current_leader, 60.0)
+        leader_s = time.monotonic() - began
+        spec = self._new_job(SHORT_JOB)
+        stats = RequestStats()
+        submitting = asyncio.ensure_future(self._submit(spec, SHORT_JOB, stats))
+        any_response = await self._until(lambda: any(worker.token > token for worker in world.alive()), 60.0)
+        response_s = time.monotonic() - began
+        started = await self._until(lambda: self._is_started(spec.id), 60.0)
+        started_s = time.monotonic() - began
+        all_responses = await self._until(lambda: all(worker.token > token for worker in world.alive()), 60.0)
         await submitting
-        said = [
-            f"a leader after {led_s:.1f} s" if led else "NO LEADER",
-            f"the first report answered after {answered_s:.1f} s" if answered else "NO REPORT ANSWERED",
-            f"a new job started after {placed_s:.1f} s" if placed else "THE NEW JOB NEVER STARTED",
-            f"every machine heard after {time.monotonic() - began:.1f} s" if heard else "NOT EVERY MACHINE HEARD",
+        results = [
+            f"a leader after {leader_s:.1f} s" if has_leader else "NO LEADER",
+            f"the first heartbeat response after {response_s:.1f} s" if any_response else "NO HEARTBEAT RESPONSE",
+            f"a new job started after {started_s:.1f} s" if started else "THE NEW JOB NEVER STARTED",
+            f"every machine got a response after {time.monotonic() - began:.1f} s"
+            if all_responses
+            else "NOT EVERY MACHINE GOT A RESPONSE",
         ]
-        return ["  " + ", ".join(said), asked.line("its submission")]
+        return ["  " + ", ".join(results), stats.summary("its submission")]
 
-    def _started(self, job_id: str) -> bool:
+    def _is_started(self, job_id: str) -> bool:
         return any(key[0] == job_id for worker in self.site.world.alive() for key in worker.tasks)
 
-    async def _until(self, condition: Callable[[], bool], most_s: float) -> bool:
-        end = time.monotonic() + most_s
+    async def _until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
+        end = time.monotonic() + timeout_s
         while not condition():
             if time.monotonic() > end:
                 return False
-            await asyncio.sleep(LOOK_S * 5)
+            await asyncio.sleep(CHECK_INTERVAL_S * 5)
         return True
 
-    async def _until_async(self, question: Callable[[], Awaitable[Any]], most_s: float) -> bool:
-        end = time.monotonic() + most_s
-        while not await question():
+    async def _until_async(self, condition: Callable[[], Awaitable[Any]], timeout_s: float) -> bool:
+        end = time.monotonic() + timeout_s
+        while not await condition():
             if time.monotonic() > end:
                 return False
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
         return True
--- a/tools/load/sizes.py
+++ b/tools/load/sizes.py
@@ -1,4 +1,4 @@
-"""What deployments' sizes come to: the limits of the site files, and fleets beyond them."""
+"""Sizes of deployments: fleet sizes and limits of the site files, and fleets half as large again."""
 
 import dataclasses
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A deployment's limits and the machines that are played with them."""
+    """The number of machines of a deployment, and the limits that the platform sets for it."""
 
     machines: int
     report_s: float
@@ -21,7 +21,7 @@
     core_share: float
     memory_mb: float
     fd_limit: int
-    # How long the state service takes for a request.
+    # Response time of the state service.
     store_s: float
 
 
--- a/tools/load/store.py
+++ b/tools/load/store.py
@@ -1,7 +1,7 @@
-"""The state service of a load test, a process of its own: `python -m tools.load.store PORT SITE`.
+"""The state service of a load test, a separate process: `python -m tools.load.store PORT SITE`.
 
-Guards against a load test that cannot tell a late controller from a late state service: while both the workers and
-the store were one process, the workers' requests held up the renewal of the leader's lease.
+In one process with the workers, their requests would delay the renewal of the leader's lease: the load test could not
+distinguish a slow controller from a slow state service.
 """
 
 import asyncio
@@ -19,25 +19,25 @@
 
 
 class SlowStore(WatchingStore):
-    """A state service with the reply time and the changes a second of a site."""
+    """A state service with the response time and the write rate limit of a site."""
 
     def __init__(self, store: PlainStore, size: Size) -> None:
         super().__init__(store)
         self.write_rps = size.write_rps
-        self._reply_s = size.store_s
+        self._response_s = size.store_s
 
     async def handle(self, request: web.BaseRequest) -> web.Response:
-        """Answer after the usual time."""
-        await asyncio.sleep(self._reply_s)
+        """Respond after the response time of the site."""
+        await asyncio.sleep(self._response_s)
         try:
             return await super().handle(request)
         except ConnectionResetError:
-            # The controller was killed, or has given the request up.
+            # The controller was killed, or its request timed out.
             return web.Response(status=503)
 
 
 async def run(port: int, size: Size) -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is terminated."""
     store = SlowStore(PlainStore(parse_platform("load", raw_settings())), size)
     await serve(store.handle, port)
     await asyncio.Event().wait()
--- a/tools/load/throttle.py
+++ b/tools/load/throttle.py
@@ -1,8 +1,8 @@
-"""Holds a process to a share of a core: `python -m tools.load.throttle PID SHARE`.
+"""Limits a process to a share of a core: `python -m tools.load.throttle PID SHARE`.
 
-The process is paused (SIGSTOP) whenever it has used more than its share so far, and goes on (SIGCONT) once time has
-caught up, as on the platform's machines: its timers fire late and its answers wait. What it did not use is kept for
-at most `BURST_S`.
+The process is paused (SIGSTOP) while it has used more CPU time than its share allows so far, and resumed (SIGCONT)
+afterwards. As with the CPU limit of the platform, its timers fire late and its responses are delayed. Unused time is
+carried over for at most `BURST_S`.
 """
 
 import os
@@ -12,31 +12,31 @@
 
 from .processes import usage
 
-LOOK_S = 0.005
-# Unused time that may be made up for, in seconds of the process's own share.
+CHECK_INTERVAL_S = 0.005
+# Wall time whose unused share may be used later, in seconds.
 BURST_S = 0.1
 
 
-def hold(pid: int, share: float) -> None:
-    """Pause and resume a process until it ends."""
+def throttle(pid: int, share: float) -> None:
+    """Pause and resume a process until it exits, which raises `OSError`."""
     allowed_s = used_s = usage(pid).core_s
-    looked_at = time.monotonic()
-    stopped = False
+    checked_at = time.monotonic()
+    paused = False
     while True:
-        time.sleep(LOOK_S)
+        time.sleep(CHECK_INTERVAL_S)
         now = time.monotonic()
-        allowed_s = max(allowed_s + (now - looked_at) * share, used_s - BURST_S)
-        looked_at = now
+        allowed_s = max(allowed_s + (now - checked_at) * share, used_s - BURST_S)
+        checked_at = now
         used_s = usage(pid).core_s
         allowed_s = min(allowed_s, used_s + BURST_S * share)
-        if (used_s > allowed_s) is not stopped:
-            stopped = not stopped
-            os.kill(pid, signal.SIGSTOP if stopped else signal.SIGCONT)
+        if (used_s > allowed_s) is not paused:
+            paused = not paused
+            os.kill(pid, signal.SIGSTOP if paused else signal.SIGCONT)
 
 
 if __name__ == "__main__":
     try:
-        hold(int(sys.argv[1]), float(sys.argv[2]))
+        throttle(int(sys.argv[1]), float(sys.argv[2]))
     except OSError:
-        # The process has ended.
+        # The process has exited.
         pass
