--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -21,7 +21,7 @@
 from driftcleat.net import HttpClient, SocketBudget
 from driftcleat.peers import PeerClient
 from driftcleat.peers.client import PATH
-from driftcleat.runtime.background import Background, run_for_ever
+from driftcleat.runtime.background import BackgroundTasks, run_forever
 from driftcleat.settings import Platform, Tuning
 from driftcleat.sharing.assignment import ShardAssignment
 from driftcleat.sharing.cloud import MachineRegistry
@@ -68,7 +68,7 @@
         self.clock, self.wall_clock = clock, wall_clock
         self.rng = rng if rng is not None else random.Random()
         self.labels = sorted([platform.label, *(peer.label for peer in platform.peers)])
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.engines: dict[int, ShardEngine] = {}
         self._engine_tasks: dict[int, asyncio.Task[None]] = {}
 
@@ -88,7 +88,7 @@
         ]
         try:
             self._start_engines()
-            await asyncio.gather(*(run_for_ever(loop, pause_s) for loop in loops))
+            await asyncio.gather(*(run_forever(loop, pause_s) for loop in loops))
         finally:
             await self._stop(servers, clients)
 
@@ -233,8 +233,10 @@
 
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
         """Start listening at `bind` and `back`; return the listeners."""
-        self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=HEARTBEAT_PATH)
-        back = await serve(self.platform.back, self.handle_back, sockets.back, MAX_PEER_BODY_BYTES)
+        self.front = await serve(
+            self.platform.bind, self.reply_front, sockets.max_front_connections, workers=HEARTBEAT_PATH
+        )
+        back = await serve(self.platform.back, self.handle_back, sockets.max_back_connections, MAX_PEER_BODY_BYTES)
         return [back, self.front]
 
     def reply_front(self, method: str, path: str, body: bytes) -> Reply:
--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -9,7 +9,7 @@
 from urllib.parse import quote, urlencode
 
 from driftcleat import wire
-from driftcleat.net import ConnectError, HttpAnswer, HttpClient, HttpError
+from driftcleat.net import ConnectError, HttpClient, HttpError, HttpResponse
 from driftcleat.store.errors import (
     CompareFailedError,
     LeaseNotFoundError,
@@ -89,7 +89,7 @@
         urgent: bool = False,
         max_wait_s: float | None = None,
         is_watch: bool = False,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send one request and return its response; `StoreError` without one, or for status 400, 429 and 5xx."""
         if urgent:
             self.request_bucket.consume(1)
@@ -131,13 +131,13 @@
         params: dict[str, str] | None,
         timeout_s: float,
         urgent: bool,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Send one request over the lease connections if urgent, else over the others; return any response."""
         client = self.lease_client if urgent else self.client
         target = quote(path) + (f"?{urlencode(params)}" if params else "")
         return await client.request(method, self.address, target, body, timeout_s)
 
-    def _require_served(self, response: HttpAnswer) -> None:
+    def _require_served(self, response: HttpResponse) -> None:
         """Raise `StoreUnavailableError` if the status (429 or 5xx) says that the request was not carried out."""
         if response.status == HTTPStatus.TOO_MANY_REQUESTS:
             raise StoreUnavailableError("too many requests")
@@ -145,7 +145,7 @@
             self.last_failure_at = self.clock()
             raise StoreUnavailableError(f"status {response.status}")
 
-    def _rejection_error(self, request: str, response: HttpAnswer) -> StoreError:
+    def _rejection_error(self, request: str, response: HttpResponse) -> StoreError:
         """Return the error for a response with status 400."""
         if LEASE_NOT_FOUND_TEXT in response.body:
             return LeaseNotFoundError("no such lease")
@@ -157,13 +157,13 @@
         log.warning("state service: malformed response: %s", reason)
         return MalformedResponseError(reason)
 
-    def _decode_ok(self, response: HttpAnswer, response_type: type[T]) -> T:
+    def _decode_ok(self, response: HttpResponse, response_type: type[T]) -> T:
         """Return the decoded body; `MalformedResponseError` if the status is not 200."""
         if response.status != HTTPStatus.OK:
             raise self._malformed_error(f"status {response.status}")
         return self._decode_body(response, response_type)
 
-    def _decode_body(self, response: HttpAnswer, response_type: type[T]) -> T:
+    def _decode_body(self, response: HttpResponse, response_type: type[T]) -> T:
         try:
             return wire.decode(response.body, response_type)
         except wire.WireError as error:
