--- a/tests/test_controller_fault_walk.py
+++ b/tests/test_controller_fault_walk.py
@@ -11,27 +11,27 @@
 from .simulation import LABELS, Simulation
 
 
-def refuse_one(simulation: Simulation, rng: random.Random) -> None:
+def reject_leader_at_store(simulation: Simulation, rng: random.Random) -> None:
     simulation.store_double.down_for.add(simulation.leader_label() or rng.choice(LABELS))
 
 
-def outage(simulation: Simulation, rng: random.Random) -> None:
+def start_store_outage(simulation: Simulation, rng: random.Random) -> None:
     simulation.store_double.down_for.add("all")
 
 
-def outage_ends(simulation: Simulation, rng: random.Random) -> None:
+def end_store_outage(simulation: Simulation, rng: random.Random) -> None:
     simulation.store_double.heal()
 
 
-def lose_all_but_workers(simulation: Simulation, rng: random.Random) -> None:
+def isolate_leader(simulation: Simulation, rng: random.Random) -> None:
     simulation.isolate(simulation.leader_label() or rng.choice(LABELS))
 
 
-def part(simulation: Simulation, rng: random.Random) -> None:
+def partition_controller(simulation: Simulation, rng: random.Random) -> None:
     simulation.partition(rng.choice(LABELS))
 
 
-def zone_cut(simulation: Simulation, rng: random.Random) -> None:
+def partition_zone(simulation: Simulation, rng: random.Random) -> None:
     """Controller c and the workers of its zone are alone together."""
     simulation.isolate("c")
     simulation.partitioned_from["users"].add("c")
@@ -41,16 +41,16 @@
             worker.only_controller = "c"  # type: ignore[attr-defined]
 
 
-def leader_ends(simulation: Simulation, rng: random.Random) -> None:
+def crash_leader(simulation: Simulation, rng: random.Random) -> None:
     simulation.crash(simulation.leader_label() or rng.choice(LABELS))
 
 
-def all_end(simulation: Simulation, rng: random.Random) -> None:
+def crash_all_controllers(simulation: Simulation, rng: random.Random) -> None:
     simulation.crash(*LABELS)
-    unhang(simulation)
+    resume_hung_workers(simulation)
 
 
-def unhang(simulation: Simulation) -> None:
+def resume_hung_workers(simulation: Simulation) -> None:
     """Machines go on.
 
     Only the cloud can end a task on a machine that hangs for longer than a cancellation has: with no controller
@@ -60,65 +60,65 @@
         worker.hung = False
 
 
-def back_at_once(simulation: Simulation, rng: random.Random) -> None:
+def restart_controllers(simulation: Simulation, rng: random.Random) -> None:
     for label in [simulation.leader_label() or "a", rng.choice(LABELS)]:
         simulation.crash(label)
         simulation.start(label)
 
 
-def one_returns(simulation: Simulation, rng: random.Random) -> None:
+def start_stopped_controller(simulation: Simulation, rng: random.Random) -> None:
     missing = [label for label in LABELS if label not in simulation.processes]
     if missing:
         simulation.start(rng.choice(missing))
 
 
-def on_some(name: str) -> "Fault":
+def toggle_on_some_workers(name: str) -> "Fault":
     """Some machines fall into a state, or leave it."""
 
-    def happen(simulation: Simulation, rng: random.Random) -> None:
+    def inject(simulation: Simulation, rng: random.Random) -> None:
         if name == "hung" and not (simulation.cloud_up and simulation.processes):
             return
         for worker in rng.sample(simulation.alive(), min(len(simulation.alive()), rng.choice([1, 1, 3]))):
             setattr(worker, name, not getattr(worker, name))
 
-    happen.__name__ = name
-    return happen
+    inject.__name__ = name
+    return inject
 
 
-def die(simulation: Simulation, rng: random.Random) -> None:
+def terminate_worker(simulation: Simulation, rng: random.Random) -> None:
     if simulation.alive():
         worker = rng.choice(simulation.alive())
         worker.terminated = True
         worker.tasks.clear()
 
 
-def machine_back_at_once(simulation: Simulation, rng: random.Random) -> None:
+def restart_worker(simulation: Simulation, rng: random.Random) -> None:
     if simulation.alive():
         rng.choice(simulation.alive()).restart()
 
 
-def late_writes(simulation: Simulation, rng: random.Random) -> None:
+def set_late_write_rate(simulation: Simulation, rng: random.Random) -> None:
     simulation.late_write_rate = rng.choice([0.0, 0.3, 0.6])
 
 
-def late_reports(simulation: Simulation, rng: random.Random) -> None:
+def set_duplicate_rate(simulation: Simulation, rng: random.Random) -> None:
     simulation.duplicate_rate = rng.choice([0.0, 0.5])
 
 
-def held_commands(simulation: Simulation, rng: random.Random) -> None:
+def set_delayed_command_rate(simulation: Simulation, rng: random.Random) -> None:
     simulation.delayed_command_rate = rng.choice([0.0, 0.3])
 
 
-def slow_store(simulation: Simulation, rng: random.Random) -> None:
+def set_store_delay(simulation: Simulation, rng: random.Random) -> None:
     simulation.store_delay_s = rng.choice([0.0, 0.1, 0.6])
 
 
-def cloud_down(simulation: Simulation, rng: random.Random) -> None:
+def toggle_cloud_outage(simulation: Simulation, rng: random.Random) -> None:
     simulation.cloud_up = not simulation.cloud_up
-    unhang(simulation)
+    resume_hung_workers(simulation)
 
 
-def links_heal(simulation: Simulation, rng: random.Random) -> None:
+def heal_partitions(simulation: Simulation, rng: random.Random) -> None:
     simulation.partitioned_links.clear()
     for labels in simulation.partitioned_from.values():
         labels.clear()
@@ -129,36 +129,36 @@
 Fault = Callable[[Simulation, random.Random], None]
 
 FAULTS: list[Fault] = [
-    refuse_one,
-    outage,
-    outage_ends,
-    outage_ends,
-    lose_all_but_workers,
-    part,
-    zone_cut,
-    leader_ends,
-    all_end,
-    back_at_once,
-    one_returns,
-    one_returns,
-    on_some("hung"),
-    on_some("partitioned"),
-    on_some("inbound_cut"),
-    on_some("outbound_cut"),
-    on_some("fails_tasks"),
-    die,
-    machine_back_at_once,
-    late_writes,
-    late_reports,
-    held_commands,
-    slow_store,
-    cloud_down,
-    links_heal,
-    links_heal,
+    reject_leader_at_store,
+    start_store_outage,
+    end_store_outage,
+    end_store_outage,
+    isolate_leader,
+    partition_controller,
+    partition_zone,
+    crash_leader,
+    crash_all_controllers,
+    restart_controllers,
+    start_stopped_controller,
+    start_stopped_controller,
+    toggle_on_some_workers("hung"),
+    toggle_on_some_workers("partitioned"),
+    toggle_on_some_workers("inbound_cut"),
+    toggle_on_some_workers("outbound_cut"),
+    toggle_on_some_workers("fails_tasks"),
+    terminate_worker,
+    restart_worker,
+    set_late_write_rate,
+    set_duplicate_rate,
+    set_delayed_command_rate,
+    set_store_delay,
+    toggle_cloud_outage,
+    heal_partitions,
+    heal_partitions,
 ]
 
 
-def some_job(rng: random.Random, number: int, known: list[str]) -> dict[str, object]:
+def random_raw_job(rng: random.Random, number: int, known: list[str]) -> dict[str, object]:
     """Return a submission; services are those with no estimate. Some need jobs that were accepted."""
     rig = rng.choice(["array", "array", "group", "daemon"])
     spread = rng.random() < 0.15
@@ -179,7 +179,7 @@
     )
 
 
-def accepted(simulation: Simulation) -> list[str]:
+def accepted_job_ids(simulation: Simulation) -> list[str]:
     """Return the accepted jobs that others may need."""
     return sorted(job_id for job_id in simulation.statuses if simulation.specs[job_id].kind is not JobKind.SERVICE)
 
@@ -192,7 +192,7 @@
         number = 0
         for _ in range(6):
             number += 1
-            simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
+            simulation.submit_until_accepted(random_raw_job(rng, number, accepted_job_ids(simulation)))
             await simulation.advance(0.5)
         await simulation.advance(9.0)
         for _ in range(rng.randrange(4, 12)):
@@ -203,14 +203,14 @@
                     simulation.cancel_until_confirmed(f"req-{rng.randrange(1, number + 1):06d}")
             if rng.random() < 0.5:
                 number += 1
-                simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
+                simulation.submit_until_accepted(random_raw_job(rng, number, accepted_job_ids(simulation)))
             if rng.random() < 0.1:
                 simulation.lower_limits()
             for _ in range(3):
                 await simulation.poll(f"req-{rng.randrange(1, number + 1):06d}")
             await simulation.advance(rng.choice([0.5, 3.0, 15.0, 40.0]))
             if not simulation.cloud_up or not simulation.processes:
-                unhang(simulation)
+                resume_hung_workers(simulation)
             if rng.random() < 0.5:
                 simulation.cloud_up = True
         await simulation.verify_recovery()
@@ -220,6 +220,6 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_no_pair_of_troubles_breaks_a_rule(seed: int) -> None:
+def test_no_pair_of_faults_breaks_an_invariant(seed: int) -> None:
     simulation = run_fault_walk(seed)
     assert simulation.task_starts > 3
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -26,7 +26,7 @@
 from .simulation import Simulation
 
 # Loaded only by what needs them: each costs a start milliseconds of a core, of which a controller has a small share.
-NOT_AT_START = (
+MODULES_NOT_LOADED_AT_START = (
     "aiohttp",
     "click",
     "configparser",
@@ -39,21 +39,23 @@
 )
 
 
-def test_a_start_loads_only_what_serving_needs() -> None:
+def test_start_loads_only_the_modules_needed_to_serve() -> None:
     code = "import sys, driftcleat.cli.serve, driftcleat.controller.controller; print('\\n'.join(sys.modules))"
     loaded = subprocess.run([sys.executable, "-c", code], check=True, capture_output=True, text=True).stdout.split()
     assert "driftcleat.controller.controller" in loaded
-    assert not set(NOT_AT_START) & set(loaded)
+    assert not set(MODULES_NOT_LOADED_AT_START) & set(loaded)
     assert not any(name.startswith("driftcleat.sharing") for name in loaded), "off, sharing costs nothing"
 
 
-def test_sizing_looks_at_kinds_of_jobs_and_machines_not_at_each_of_them() -> None:
+def test_sizing_groups_equal_jobs_and_machines() -> None:
     """Guards against rounds of sizing that grow with the queue: they were a quarter of a leader's processor time."""
     scheduler, _ = scheduler_with_machines(200)
     # Whole machines, of two ranks, and one gang whose tasks depend on one another's zones.
-    wide = {"accelerators": 4.0, "cores": 16.0, "hands": 1, "imageGb": 0.0}
-    whole = [job(number, rank=("high", "standard")[number % 2], crew="blue", **wide) for number in range(1, 41)]
-    gang = job(50, rig="group", together=True, crew="blue", **(wide | {"hands": 2, "accelerators": 0.0}))
+    whole_machine = {"accelerators": 4.0, "cores": 16.0, "hands": 1, "imageGb": 0.0}
+    whole = [
+        job(number, rank=("high", "standard")[number % 2], crew="blue", **whole_machine) for number in range(1, 41)
+    ]
+    gang = job(50, rig="group", together=True, crew="blue", **(whole_machine | {"hands": 2, "accelerators": 0.0}))
     commit_submissions(scheduler, *whole, gang)
     assert len(scheduler.queue.queued().jobs) == 41
     demands = scheduler.demand.queued.demands()
@@ -63,7 +65,7 @@
     assert len(free.groups) == 2 and sum(len(names) for _, names in free.groups.values()) == 200
 
 
-def test_jobs_alike_are_one_demand_with_all_their_tasks() -> None:
+def test_equal_jobs_are_one_demand_with_all_their_tasks() -> None:
     scheduler, _ = scheduler_with_machines(1)
     ranks = ("high", "standard")
     specs = [job(n, hands=1 + n % 3, accelerators=0.0, rank=ranks[n % 2]) for n in range(1, 31)]
@@ -75,7 +77,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_silence_counted_in_one_pass_is_what_counting_each_machine_gives(seed: int) -> None:
+def test_failure_detection_in_one_pass_agrees_with_counting_each_machine(seed: int) -> None:
     rng = random.Random(seed)
     scheduler, now = scheduler_with_machines(60)
     now[0] = 100.0
@@ -87,18 +89,18 @@
         if rng.random() < 0.2:
             transition_machine(machine, MachineState.DRAINING)
     for number in range(6):
-        boots = Machine(f"boots-{number}", BIG, "north", False, "", 70.0)
-        boots.listed_running_since = rng.choice([None, 80.0, 99.0])
-        scheduler.cluster.machines[boots.name] = boots
-    found, plain = scheduler.reachability.detect_failures(now[0]), FailureDetector(13.5, 45.0, 0.05)
+        booting = Machine(f"boots-{number}", BIG, "north", False, "", 70.0)
+        booting.listed_running_since = rng.choice([None, 80.0, 99.0])
+        scheduler.cluster.machines[booting.name] = booting
+    found, expected = scheduler.reachability.detect_failures(now[0]), FailureDetector(13.5, 45.0, 0.05)
     for machine in scheduler.cluster.machines.values():
         if scheduler.reachability.is_running(machine):
-            plain.count(machine.zone, scheduler.reachability.heartbeat_age_s(machine, now[0]))
-    assert (found.zones, found.silent, found.known) == (plain.zones, plain.silent, plain.known)
-    assert found.alone_s == plain.alone_s
+            expected.count(machine.zone, scheduler.reachability.heartbeat_age_s(machine, now[0]))
+    assert (found.zones, found.silent, found.known) == (expected.zones, expected.silent, expected.known)
+    assert found.alone_s == expected.alone_s
 
 
-def test_a_report_without_news_is_answered_without_a_task() -> None:
+def test_unchanged_heartbeat_is_answered_without_an_asyncio_task() -> None:
     """Guards against a task for each of several hundred reports a second."""
 
     async def scenario(simulation: Simulation) -> None:
@@ -116,7 +118,7 @@
     Simulation(5).run_scenario(scenario)
 
 
-def test_a_report_equal_to_the_last_one_looks_at_no_task(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unchanged_heartbeat_parses_no_task_name(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a walk over a machine's tasks with each of its reports: most say what the last one said."""
     scheduler, now = scheduler_with_machines(1)
     machine = scheduler.cluster.machines["vm-0"]
@@ -124,50 +126,50 @@
     commit_submissions(scheduler, spec)
     commit_all(scheduler)
     assert len(machine.tasks) == 8
-    split = Mock(side_effect=parse_task_name)
-    monkeypatch.setattr("driftcleat.wire.workers.parse_task_name", split)
+    parse = Mock(side_effect=parse_task_name)
+    monkeypatch.setattr("driftcleat.wire.workers.parse_task_name", parse)
     tasks = tuple(
         TaskStatus(format_task_name(*key), placement.attempt, TaskPhase.RUNNING)
         for key, placement in machine.tasks.items()
     )
-    looks = []
+    parse_counts = []
     for seq in range(2, 7):
         now[0] += 1.0
-        split.reset_mock()
+        parse.reset_mock()
         heartbeat = Heartbeat("vm-0", "h", "big", "north", False, 1, seq, 5, tasks)
         assert (
             apply_heartbeat(scheduler.cluster, heartbeat, now[0]) is machine and machine.last_heartbeat_at == now[0]
         )
         scheduler.cluster.has_uncommitted_exits(machine)
         assert commands_for_heartbeat(scheduler.cluster, machine, heartbeat) == []
-        looks.append(split.call_count)
+        parse_counts.append(parse.call_count)
         commit_all(scheduler)
-    assert looks[0] > 0 and looks[2:] == [0, 0, 0]
+    assert parse_counts[0] > 0 and parse_counts[2:] == [0, 0, 0]
     # What changes is looked at again.
     heartbeat = Heartbeat("vm-0", "h", "big", "north", False, 1, 7, 5, tasks[:-1])
     apply_heartbeat(scheduler.cluster, heartbeat, now[0])
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, heartbeat)] == ["start"]
     # So is an equal report once the job is cancelled.
-    back = Heartbeat("vm-0", "h", "big", "north", False, 1, 8, 5, tasks)
+    unchanged = Heartbeat("vm-0", "h", "big", "north", False, 1, 8, 5, tasks)
     for seq in (8, 9, 10):
-        back = Heartbeat("vm-0", "h", "big", "north", False, 1, seq, 5, tasks)
-        apply_heartbeat(scheduler.cluster, back, now[0])
-        commands_for_heartbeat(scheduler.cluster, machine, back)
+        unchanged = Heartbeat("vm-0", "h", "big", "north", False, 1, seq, 5, tasks)
+        apply_heartbeat(scheduler.cluster, unchanged, now[0])
+        commands_for_heartbeat(scheduler.cluster, machine, unchanged)
         commit_all(scheduler)
     assert machine.in_sync
     scheduler.admission.cancel(PendingRequest(lambda status: None, job_id=spec.id))
     commit_all(scheduler)
-    assert len(commands_for_heartbeat(scheduler.cluster, machine, back)) == 8
+    assert len(commands_for_heartbeat(scheduler.cluster, machine, unchanged)) == 8
 
 
-def test_rounds_that_are_always_cut_reach_every_job() -> None:
+def test_rounds_that_are_always_truncated_reach_every_job() -> None:
     """Guards against a round that uses its time up before its first job, over and over."""
     scheduler, now = scheduler_with_machines(40)
     commit_submissions(
         scheduler, *(job(number, hands=1, accelerators=0.0, cores=1.0, imageGb=0.0) for number in range(1, 21))
     )
-    slow = Mock(side_effect=lambda: now.__setitem__(0, now[0] + 1.0) or now[0])
-    scheduler._placement._clock = slow
+    slow_clock = Mock(side_effect=lambda: now.__setitem__(0, now[0] + 1.0) or now[0])
+    scheduler._placement._clock = slow_clock
     for number in range(1, 21):
         now[0] += 60.0
         for machine in scheduler.cluster.machines.values():
@@ -177,7 +179,7 @@
     assert scheduler.counters.rounds_truncated == 19
 
 
-def test_no_round_is_played_while_the_store_takes_no_change() -> None:
+def test_no_placement_round_while_no_write_is_available() -> None:
     """Guards against a look at every machine for a batch that can hold no place."""
     scheduler, _ = scheduler_with_machines(10)
     commit_submissions(scheduler, job(1, hands=1, accelerators=0.0, cores=1.0, imageGb=0.0))
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -15,80 +15,95 @@
 from .samples import MACHINE_TYPES, job, platform, raw_job
 
 
-class PlainGraph:
+class ReferenceGraph:
     """The slow plain model: a dictionary of jobs, everything recomputed from scratch each time."""
 
     def __init__(self) -> None:
-        self.needs: dict[str, tuple[str, ...]] = {}
+        self.dependencies: dict[str, tuple[str, ...]] = {}
         self.own: dict[str, OwnPriority] = {}
         self.state: dict[str, str] = {}
 
     def ready(self, job_id: str) -> bool:
-        return all(self.state[need] == "done" for need in self.needs[job_id])
+        return all(self.state[dependency] == "done" for dependency in self.dependencies[job_id])
 
-    def below_cancelled(self, job_id: str) -> bool:
+    def depends_on_cancelled(self, job_id: str) -> bool:
         return any(
-            self.state[need] == "cancelled" or (self.state[need] == "active" and self.below_cancelled(need))
-            for need in self.needs[job_id]
+            self.state[dependency] == "cancelled"
+            or (self.state[dependency] == "active" and self.depends_on_cancelled(dependency))
+            for dependency in self.dependencies[job_id]
         )
 
     def _dependents(self, job_id: str) -> list[str]:
-        return [other for other, needs in self.needs.items() if job_id in needs and self.state[other] == "active"]
+        return [
+            other
+            for other, dependencies in self.dependencies.items()
+            if job_id in dependencies and self.state[other] == "active"
+        ]
 
     def level(self, job_id: str) -> int:
         return min([self.own[job_id].level, *(self.level(other) for other in self._dependents(job_id))])
 
-    def due(self, job_id: str) -> float:
+    def required_finish(self, job_id: str) -> float:
         """Return when a job should be done for the deadlines of those that need it."""
         others = self._dependents(job_id)
         return min(
-            (min(self.own[other].deadline, self.due(other)) - self.own[other].run_s for other in others),
+            (min(self.own[other].deadline, self.required_finish(other)) - self.own[other].run_s for other in others),
             default=NO_DEADLINE,
         )
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.data())
-def test_the_graph_holds_what_the_plain_model_holds(data: st.DataObject) -> None:
-    graph, plain = DependencyGraph(), PlainGraph()
+def test_dependency_graph_agrees_with_the_reference_graph(data: st.DataObject) -> None:
+    graph, reference = DependencyGraph(), ReferenceGraph()
     for number in range(data.draw(st.integers(1, 25))):
-        active = sorted(job_id for job_id, state in plain.state.items() if state == "active")
-        what = data.draw(st.sampled_from(["add", "add", "done", "cancel"]))
-        if what == "add" or not active:
+        active = sorted(job_id for job_id, state in reference.state.items() if state == "active")
+        action = data.draw(st.sampled_from(["add", "add", "done", "cancel"]))
+        if action == "add" or not active:
             job_id = f"j{number:02d}"
             own = OwnPriority(
                 data.draw(st.integers(0, 3)),
                 data.draw(st.sampled_from([NO_DEADLINE, 50.0, 70.0, 100.0])),
                 data.draw(st.sampled_from([0.0, 8.0, 20.0])),
             )
-            some = st.lists(st.sampled_from(sorted(plain.state)), unique=True, max_size=4)
-            needs = tuple(data.draw(some)) if plain.state else ()
-            plain.needs[job_id], plain.own[job_id], plain.state[job_id] = needs, own, "active"
-            unmet = [need for need in needs if plain.state[need] != "done"]
-            graph.add(job_id, needs, unmet, own, any(plain.state[need] == "cancelled" for need in needs))
-        elif what == "done":
-            ready = [job_id for job_id in active if plain.ready(job_id)]
+            some = st.lists(st.sampled_from(sorted(reference.state)), unique=True, max_size=4)
+            dependencies = tuple(data.draw(some)) if reference.state else ()
+            reference.dependencies[job_id], reference.own[job_id], reference.state[job_id] = (
+                dependencies,
+                own,
+                "active",
+            )
+            unmet = [dependency for dependency in dependencies if reference.state[dependency] != "done"]
+            graph.add(
+                job_id,
+                dependencies,
+                unmet,
+                own,
+                any(reference.state[dependency] == "cancelled" for dependency in dependencies),
+            )
+        elif action == "done":
+            ready = [job_id for job_id in active if reference.ready(job_id)]
             if ready:
                 job_id = data.draw(st.sampled_from(ready))
-                before = {other for other in active if plain.ready(other)}
-                plain.state[job_id] = "done"
+                before = {other for other in active if reference.ready(other)}
+                reference.state[job_id] = "done"
                 freed = graph.record_done(job_id)
                 graph.remove(job_id)
-                assert set(freed) == {other for other in active if plain.ready(other)} - before
+                assert set(freed) == {other for other in active if reference.ready(other)} - before
         else:
             job_id = data.draw(st.sampled_from(active))
-            plain.state[job_id] = "cancelled"
+            reference.state[job_id] = "cancelled"
             graph.record_cancelled(job_id)
             graph.remove(job_id)
-        for job_id, state in plain.state.items():
+        for job_id, state in reference.state.items():
             if state == "active":
-                assert graph.dependencies_met(job_id) == plain.ready(job_id)
-                assert (job_id in graph.pending_cancellations) == plain.below_cancelled(job_id)
-                assert graph.inherited_priority(job_id).level == plain.level(job_id)
-                assert graph.inherited_priority(job_id).deadline == plain.due(job_id)
+                assert graph.dependencies_met(job_id) == reference.ready(job_id)
+                assert (job_id in graph.pending_cancellations) == reference.depends_on_cancelled(job_id)
+                assert graph.inherited_priority(job_id).level == reference.level(job_id)
+                assert graph.inherited_priority(job_id).deadline == reference.required_finish(job_id)
 
 
-def test_deep_chains_and_wide_fans_need_no_recursion() -> None:
+def test_deep_chains_and_wide_fan_outs_do_not_recurse() -> None:
     graph = DependencyGraph()
     chain = [f"c{number}" for number in range(5000)]
     for before, job_id in zip([None, *chain], chain, strict=False):
@@ -109,11 +124,11 @@
         )
     )
 )
-def test_ids_are_packed_without_loss(ids: set[str]) -> None:
+def test_job_ids_round_trip(ids: set[str]) -> None:
     assert set(decode_job_ids(encode_job_ids(tuple(ids)))) == ids
 
 
-def test_what_a_job_needs_is_checked() -> None:
+def test_dependencies_of_a_submission_are_validated() -> None:
     nothing: list[str] | None
     for nothing in (None, []):
         assert parse_submission(raw_job(1, tows=nothing)).dependencies is None
@@ -129,7 +144,7 @@
 # -- in the plain world --------------------------------------------------------------------------------------
 
 
-def pipeline(model: ReferenceModel, first: int, stages: int = 3, **last: object) -> list[str]:
+def submit_chain(model: ReferenceModel, first: int, stages: int = 3, **last: object) -> list[str]:
     """Submit a chain; return its ids."""
     ids: list[str] = []
     for number in range(first, first + stages):
@@ -141,17 +156,17 @@
     return ids
 
 
-def states_known(scheduler: Scheduler, job_ids: list[str]) -> set[str]:
+def known_states(scheduler: Scheduler, job_ids: list[str]) -> set[str]:
     """Return the states of those jobs that a term knows."""
     views = [scheduler.admission.lookup(job_id) for job_id in job_ids]
     return {status.state for status in views if status is not None}
 
 
-def test_a_chain_runs_in_its_order_and_waits_without_a_place() -> None:
+def test_chain_runs_in_order_and_pending_stages_are_not_queued() -> None:
     """`ReferenceModel` raises if a task starts before all that its job needs is done."""
     model = ReferenceModel(3, platform(), MACHINE_TYPES)
     model.elect()
-    ids = pipeline(model, 1, 4)
+    ids = submit_chain(model, 1, 4)
     assert model.leader.scheduler.layout.version_2_active, "only who knows that all are new hands in such a job"
     assert [model.statuses[job_id] for job_id in ids[1:]] == ["pending"] * 3
     queued = model.leader.scheduler.queue.queued()
@@ -162,10 +177,10 @@
     assert set(model.states().values()) == {"done"}
 
 
-def test_a_cancellation_reaches_what_depends_on_it_also_by_the_next_leader() -> None:
+def test_cancellation_propagates_to_dependents_also_under_the_next_leader() -> None:
     model = ReferenceModel(4, platform(), MACHINE_TYPES)
     model.elect()
-    chains = [pipeline(model, 1, 4), pipeline(model, 11, 4)]
+    chains = [submit_chain(model, 1, 4), submit_chain(model, 11, 4)]
     model.cancel(chains[0][0])
     model.run(0.5)
     assert model.statuses[chains[0][0]] == "cancelled"
@@ -176,7 +191,7 @@
     # The next leader finishes it from the records alone.
     model.leader.crashed = True
     model.elect("b")
-    assert states_known(model.leader.scheduler, chains[0]) <= {"cancelled"}
+    assert known_states(model.leader.scheduler, chains[0]) <= {"cancelled"}
     model.run(20.0)
     assert [model.states()[job_id] for job_id in chains[0]] == ["cancelled"] * 4
     late = job(30, hands=1, tows=[chains[0][2]])
@@ -187,12 +202,12 @@
     assert [model.states()[job_id] for job_id in chains[1]] == ["done"] * 4
 
 
-def test_a_cancellation_between_two_batches_of_it_is_finished_by_the_next_leader() -> None:
+def test_next_leader_finishes_a_partly_committed_cancellation() -> None:
     """The records hold a cancelled job that is gone and active ones below it."""
     model = ReferenceModel(6, platform(txn_ops=4), MACHINE_TYPES)
     model.elect()
     # No machine has eight accelerators: it has no task anywhere, so its record is replaced at once.
-    ids = pipeline(model, 1, 1, accelerators=8.0)
+    ids = submit_chain(model, 1, 1, accelerators=8.0)
     for number in range(2, 12):
         model.submit(job(number, hands=1, tows=ids))
     model.run(5.0)
@@ -211,10 +226,10 @@
     assert not [key for key in model.store.data if key.startswith("driftcleat/jobs/")]
 
 
-def test_what_an_urgent_job_needs_is_urgent_too() -> None:
+def test_dependencies_inherit_the_priority_of_an_urgent_job() -> None:
     model = ReferenceModel(5, platform(), MACHINE_TYPES)
     model.elect()
-    ids = pipeline(model, 1, 3, rank="critical")
+    ids = submit_chain(model, 1, 3, rank="critical")
     jobs = model.leader.scheduler.cluster.jobs
     assert {jobs[job_id].priority_level for job_id in ids if job_id in jobs} == {0}
     model.leader.crashed = True
@@ -227,7 +242,7 @@
     assert {jobs[job_id].priority_level for job_id in ids if job_id in jobs} <= {2}
 
 
-def test_a_deadline_is_worked_back_through_the_chain_and_moves_its_first_stage_ahead() -> None:
+def test_deadline_propagates_to_the_first_stage_of_a_chain() -> None:
     """The last stage alone names a deadline; it counts from that stage's own submission.
 
     A job that has to start soon for it goes before an older one of its rank, and one that has time does not.
@@ -247,8 +262,8 @@
     model.submit(job(4, **wide, tows=["req-000003"], tideS=50.0))
     model.run(1.0)
     jobs = model.leader.scheduler.cluster.jobs
-    handed_in = jobs["req-000004"].submitted_at
-    assert jobs["req-000002"].start_deadline == handed_in + 50.0 - 3 * 10.0
+    submitted_at = jobs["req-000004"].submitted_at
+    assert jobs["req-000002"].start_deadline == submitted_at + 50.0 - 3 * 10.0
     assert [found.id for found in queued().jobs] == ["req-000002", "req-000001"]
     model.leader.crashed = True
     model.elect("b")
@@ -259,7 +274,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_pipelines_break_no_rule(seed: int) -> None:
+def test_random_dependency_graphs_break_no_invariant(seed: int) -> None:
     """Random graphs, cancellations, ends and changes of leader; few changes a transaction."""
     rng = random.Random(seed)
     model = ReferenceModel(seed, platform(txn_ops=rng.choice([4, 8, 24])), MACHINE_TYPES)
@@ -267,7 +282,7 @@
     model.fault_rate = rng.choice([0.0, 0.3])
     for number in range(1, 41):
         known = sorted(model.statuses)
-        needs = rng.sample(known, min(len(known), rng.randrange(4)))
+        dependencies = rng.sample(known, min(len(known), rng.randrange(4)))
         model.submit(
             job(
                 number,
@@ -278,7 +293,7 @@
                 crew=rng.choice(["red", "blue"]),
                 rank=rng.choice(["high", "standard", "best_effort"]),
                 voyageS=rng.choice([2.0, 8.0]),
-                tows=needs,
+                tows=dependencies,
             )
         )
         if known and rng.random() < 0.15:
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -21,35 +21,35 @@
     return model
 
 
-def holder(model: ReferenceModel, number: int) -> ReferenceWorker:
+def worker_with_task(model: ReferenceModel, number: int) -> ReferenceWorker:
     """Return a machine that holds a task of a job."""
     return next(worker for worker, task in model.tasks_on_machines() if task.job.id == f"req-{number:06d}")
 
 
-def cut(model: ReferenceModel) -> None:
-    holder(model, 1).partitioned = True
+def partition_worker(model: ReferenceModel) -> None:
+    worker_with_task(model, 1).partitioned = True
     model.run(25.0)
 
 
 def hang_and_resume(model: ReferenceModel) -> None:
-    worker = holder(model, 2)
+    worker = worker_with_task(model, 2)
     worker.hung = True
     model.run(8.0)
     worker.hung = False
     model.run(10.0)
 
 
-def hang_for_good(model: ReferenceModel) -> None:
-    holder(model, 3).hung = True
+def hang_permanently(model: ReferenceModel) -> None:
+    worker_with_task(model, 3).hung = True
     model.run(40.0)
 
 
-def sick(model: ReferenceModel) -> None:
-    holder(model, 1).fails_tasks = True
+def machine_fails_tasks(model: ReferenceModel) -> None:
+    worker_with_task(model, 1).fails_tasks = True
     model.run(60.0)
 
 
-def spot_wave(model: ReferenceModel) -> None:
+def terminate_spot_machines(model: ReferenceModel) -> None:
     for worker in model.alive():
         if worker.spot:
             worker.terminated = True
@@ -57,27 +57,27 @@
     model.run(20.0)
 
 
-def cloud_down(model: ReferenceModel) -> None:
+def cloud_outage(model: ReferenceModel) -> None:
     model.cloud_up = False
-    holder(model, 1).terminated = True
+    worker_with_task(model, 1).terminated = True
     model.submit(job(10, hands=4))
     model.run(30.0)
 
 
-def store_down(model: ReferenceModel) -> None:
+def store_outage(model: ReferenceModel) -> None:
     model.store_up = False
     model.submit(job(11))
     model.run(20.0)
 
 
-def leader_crashes(model: ReferenceModel) -> None:
+def crash_leader(model: ReferenceModel) -> None:
     model.leader.crashed = True
     model.run(3.0)
     model.elect("b")
     model.run(10.0)
 
 
-def all_crash(model: ReferenceModel) -> None:
+def crash_two_leaders(model: ReferenceModel) -> None:
     model.leader.crashed = True
     model.run(8.0)
     model.elect("a")
@@ -95,43 +95,43 @@
         model.run(4.0)
 
 
-def old_leader_lives_on(model: ReferenceModel) -> None:
+def old_leader_keeps_running(model: ReferenceModel) -> None:
     model.elect("b")
     model.run(20.0)
 
 
-def burst(model: ReferenceModel) -> None:
+def submission_burst(model: ReferenceModel) -> None:
     for number in range(20, 50):
         model.submit(job(number, hands=2, rank="best_effort", voyageS=10.0))
     model.run(30.0)
 
 
-def bad_network(model: ReferenceModel) -> None:
+def unreliable_network(model: ReferenceModel) -> None:
     model.fault_rate = 1.0
     model.run(60.0)
 
 
 @pytest.mark.parametrize(
-    "happen",
+    "inject",
     [
-        cut,
+        partition_worker,
         hang_and_resume,
-        hang_for_good,
-        sick,
-        spot_wave,
-        cloud_down,
-        store_down,
-        leader_crashes,
-        all_crash,
+        hang_permanently,
+        machine_fails_tasks,
+        terminate_spot_machines,
+        cloud_outage,
+        store_outage,
+        crash_leader,
+        crash_two_leaders,
         rolling_restarts,
-        old_leader_lives_on,
-        burst,
-        bad_network,
+        old_leader_keeps_running,
+        submission_burst,
+        unreliable_network,
     ],
 )
-def test_a_trouble_breaks_no_rule_and_work_goes_on(happen: Callable[[ReferenceModel], None]) -> None:
+def test_single_fault_breaks_no_invariant_and_jobs_finish(inject: Callable[[ReferenceModel], None]) -> None:
     model = busy_model()
-    happen(model)
+    inject(model)
     model.fault_rate, model.cloud_up, model.store_up = 0.0, True, True
     if model.leader.stepped_down or model.leader.crashed:
         model.elect()
@@ -143,22 +143,22 @@
     assert model.statuses["req-000900"] == "done"
 
 
-def test_an_outage_of_the_store_costs_no_running_work() -> None:
+def test_store_outage_keeps_running_tasks() -> None:
     model = busy_model()
     before = {
         (worker.name, task.job.id, task.index, task.attempt)
         for worker, task in model.tasks_on_machines()
         if task.job.id == "req-000003"
     }
-    store_down(model)
+    store_outage(model)
     after = {(worker.name, task.job.id, task.index, task.attempt) for worker, task in model.tasks_on_machines()}
     assert before <= after
 
 
-def test_a_cancelled_task_on_a_hung_machine_is_gone_in_time() -> None:
+def test_cancelled_task_on_a_hung_machine_ends_in_time() -> None:
     """Guards against waiting for a machine that will never obey: the cloud has to fence it."""
     model = busy_model()
-    worker = holder(model, 3)
+    worker = worker_with_task(model, 3)
     worker.hung = True
     model.cancel("req-000003")
     model.run(model.platform.cancel_s - 1.0)
@@ -166,9 +166,9 @@
     assert worker.terminated
 
 
-def test_a_gang_that_loses_a_machine_stops_whole_and_starts_whole() -> None:
+def test_gang_that_loses_a_machine_restarts_as_a_whole() -> None:
     model = busy_model()
-    worker = holder(model, 2)
+    worker = worker_with_task(model, 2)
     worker.terminated = True
     worker.tasks.clear()
     seen: set[int] = set()
@@ -180,7 +180,7 @@
     assert len(seen) > 1
 
 
-def test_an_orderly_stop_tells_all_of_a_gang_within_its_time() -> None:
+def test_drain_stops_all_tasks_of_a_gang_with_the_grace_period() -> None:
     """A drain of one machine stops the whole gang with time to save, every task at once."""
     model = busy_model()
     scheduler = model.leader.scheduler
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -22,7 +22,7 @@
     return decorate
 
 
-async def services(simulation: Simulation, count: int = 2) -> list[str]:
+async def start_services(simulation: Simulation, count: int = 2) -> list[str]:
     """Return services of two replicas that run."""
     ids = [f"req-{number:06d}" for number in range(1, count + 1)]
     for number in range(1, count + 1):
@@ -34,17 +34,17 @@
     return ids
 
 
-def on_machines(simulation: Simulation, job_id: str) -> int:
+def task_count(simulation: Simulation, job_id: str) -> int:
     """Return how many tasks of a job are on machines."""
     return sum(task.job.id == job_id for _, task in simulation.tasks_on_machines())
 
 
-def others(*labels: str | None) -> list[str]:
+def other_controllers(*labels: str | None) -> list[str]:
     """Return the other controllers."""
     return [label for label in LABELS if label not in labels]
 
 
-async def next_leader(simulation: Simulation, *before: str | None) -> str:
+async def wait_for_next_leader(simulation: Simulation, *before: str | None) -> str:
     """Wait for a leader that is none of these."""
     return str(
         await simulation.run_until(
@@ -53,25 +53,25 @@
     )
 
 
-async def hand_over(simulation: Simulation) -> str:
+async def fail_over(simulation: Simulation) -> str:
     """The leader ends and another leads; return the one that ended."""
     old = str(simulation.leader_label())
     simulation.crash(old)
-    await next_leader(simulation, old)
+    await wait_for_next_leader(simulation, old)
     return old
 
 
-async def gone_in_time(simulation: Simulation, *job_ids: str) -> None:
+async def assert_cancelled_in_time(simulation: Simulation, *job_ids: str) -> None:
     """All tasks of cancelled jobs are gone when the time of their cancellations is up; `Simulation` watches, too."""
     for job_id in job_ids:
         assert simulation.statuses[job_id] == "cancelled"
     await simulation.advance(
         max(simulation.cancelled_at.values()) + simulation.platform.cancel_s - simulation.time() + 1.0
     )
-    assert not any(on_machines(simulation, job_id) for job_id in job_ids)
+    assert not any(task_count(simulation, job_id) for job_id in job_ids)
 
 
-def stay_with(simulation: Simulation, label: str) -> None:
+def pin_workers_to(simulation: Simulation, label: str) -> None:
     """Every worker reaches this controller alone."""
     for worker in simulation.alive():
         simulation.worker_controllers[worker.name] = label
@@ -82,7 +82,7 @@
 
 
 @run_in_simulation()
-async def test_who_led_before_gives_up_once_a_peer_knows_a_higher_token(simulation: Simulation) -> None:
+async def test_old_leader_steps_down_once_a_peer_knows_a_higher_fencing_token(simulation: Simulation) -> None:
     """The gap: the store refuses the leader alone.
 
     The next confirms cancellations and is then refused like all, while workers report to the old one. All peers
@@ -90,25 +90,25 @@
 
     The cloud is down, so the new leader has no address to show its token to.
     """
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     old = simulation.leader_label()
     assert old is not None
     simulation.cloud_up = False
-    stay_with(simulation, old)
+    pin_workers_to(simulation, old)
     simulation.store_double.down_for.add(old)
-    new = await next_leader(simulation, old)
+    new = await wait_for_next_leader(simulation, old)
     for job_id in ids:
         await simulation.cancel_until_confirmed(job_id, new)
     simulation.store_double.down_for.add("all")
-    await gone_in_time(simulation, *ids)
+    await assert_cancelled_in_time(simulation, *ids)
     assert simulation.role(new) is Role.UNCONFIRMED_LEADER, "it kept what it had to keep"
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
-async def test_a_leader_goes_on_if_the_outage_comes_before_another_could_lead(simulation: Simulation) -> None:
+async def test_leader_continues_if_the_store_fails_before_another_is_elected(simulation: Simulation) -> None:
     """Guards against work that ends with its leases: the leader gave up as soon as a peer was served."""
-    await services(simulation)
+    await start_services(simulation)
     old = simulation.leader_label()
     assert old is not None
     before = {(worker.name, task.job.id, task.attempt) for worker, task in simulation.tasks_on_machines()}
@@ -123,67 +123,67 @@
 
 
 @run_in_simulation()
-async def test_peers_that_were_started_since_confirm_nothing(simulation: Simulation) -> None:
+async def test_peers_restarted_since_do_not_confirm_the_old_leader(simulation: Simulation) -> None:
     """Controllers hand over, all but the old leader end and are back at once, inside an outage.
 
     Who was the leader and confirmed a cancellation has forgotten it, and the old one is told of no higher token.
     """
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     old = simulation.leader_label()
     assert old is not None
     simulation.cloud_up = False
-    stay_with(simulation, old)
+    pin_workers_to(simulation, old)
     simulation.partition(old)
     simulation.store_double.down_for.add(old)
-    new = await next_leader(simulation, old)
+    new = await wait_for_next_leader(simulation, old)
     for job_id in ids:
         await simulation.cancel_until_confirmed(job_id, new)
     simulation.store_double.down_for.add("all")
-    for label in others(old):
+    for label in other_controllers(old):
         simulation.crash(label)
         simulation.start(label)
     simulation.partitioned_links.clear()
-    await gone_in_time(simulation, *ids)
+    await assert_cancelled_in_time(simulation, *ids)
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
-async def test_two_bounds_in_turn_do_not_add_up(simulation: Simulation) -> None:
+async def test_lease_keeping_periods_of_leader_and_follower_do_not_add_up(simulation: Simulation) -> None:
     """A zone with the leader, a follower and workers is cut off.
 
     The next leader outside confirms cancellations. The old one keeps the leases to its bound, and the follower
     must not begin one of its own then. The cloud is down.
     """
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     old = simulation.leader_label()
     assert old is not None
-    mate, outside = others(old)
+    follower, outside_label = other_controllers(old)
     simulation.cloud_up = False
-    simulation.partition(outside)
-    simulation.partitioned_from["store"].update((old, mate))
-    simulation.partitioned_from["workers"].add(outside)
-    assert await next_leader(simulation, old, mate) == outside
+    simulation.partition(outside_label)
+    simulation.partitioned_from["store"].update((old, follower))
+    simulation.partitioned_from["workers"].add(outside_label)
+    assert await wait_for_next_leader(simulation, old, follower) == outside_label
     for job_id in ids:
-        await simulation.cancel_until_confirmed(job_id, outside)
-    await gone_in_time(simulation, *ids)
-    assert simulation.controllers[mate].election.lease_keeping_token is None
+        await simulation.cancel_until_confirmed(job_id, outside_label)
+    await assert_cancelled_in_time(simulation, *ids)
+    assert simulation.controllers[follower].election.lease_keeping_token is None
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
-async def test_an_unsure_leader_carries_committed_cancellations_out(simulation: Simulation) -> None:
+async def test_unconfirmed_leader_executes_committed_cancellations(simulation: Simulation) -> None:
     """The next leader confirms and is refused before it has heard one worker.
 
     They all stay with the old one, cut off from everybody but them: it still lists the machines, shows them its
     token and stops the tasks.
     """
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     old = simulation.leader_label()
     assert old is not None
     for worker in simulation.alive():
         simulation.worker_controllers[worker.name] = old
     simulation.isolate(old)
-    new = await next_leader(simulation, old)
+    new = await wait_for_next_leader(simulation, old)
     for job_id in ids:
         await simulation.cancel_until_confirmed(job_id, new)
     simulation.store_double.down_for.add("all")
@@ -195,9 +195,9 @@
 
 
 @run_in_simulation()
-async def test_an_unsure_leader_fences_a_hanging_machine(simulation: Simulation) -> None:
+async def test_unconfirmed_leader_fences_a_hung_machine(simulation: Simulation) -> None:
     """A cancelled task on a machine that hangs for longer than a cancellation has, inside an outage of the store."""
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     leader = simulation.leader_label()
     for worker, task in simulation.tasks_on_machines():
         if task.job.id == ids[0]:
@@ -205,37 +205,37 @@
     idle = [worker.name for worker in simulation.alive() if not worker.hung]
     await simulation.cancel_until_confirmed(ids[0])
     simulation.store_double.down_for.add("all")
-    await gone_in_time(simulation, ids[0])
+    await assert_cancelled_in_time(simulation, ids[0])
     assert simulation.role(str(leader)) is Role.UNCONFIRMED_LEADER
     assert [worker.name for worker in simulation.alive()] == idle, "it decides nothing else"
-    assert on_machines(simulation, ids[1]) == (2 if idle else 0)
+    assert task_count(simulation, ids[1]) == (2 if idle else 0)
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
-async def test_a_cancelled_task_that_has_left_needs_no_fence(simulation: Simulation) -> None:
+async def test_machine_is_not_fenced_for_a_cancelled_task_that_exited(simulation: Simulation) -> None:
     """Guards against machines returned for tasks long gone, while the batch that would say so waits for the store."""
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     machines = {worker.name for worker in simulation.alive()}
-    lapsed = next(worker for worker, task in simulation.tasks_on_machines() if task.job.id == ids[0])
+    restarted = next(worker for worker, task in simulation.tasks_on_machines() if task.job.id == ids[0])
     await simulation.cancel_until_confirmed(ids[0])
     # One machine does not even report the exits: it is back with a new session and no tasks.
-    lapsed.restart()
+    restarted.restart()
     simulation.store_double.down_for.add("all")
-    await gone_in_time(simulation, ids[0])
+    await assert_cancelled_in_time(simulation, ids[0])
     assert {worker.name for worker in simulation.alive()} == machines
-    await simulation.run_until(lambda: on_machines(simulation, ids[1]) == 2)
+    await simulation.run_until(lambda: task_count(simulation, ids[1]) == 2)
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
-async def test_a_cancellation_whose_batch_has_no_answer_is_carried_out(simulation: Simulation) -> None:
+async def test_cancellation_whose_commit_response_is_lost_is_executed(simulation: Simulation) -> None:
     """The store takes the cancellation.
 
     Refuses the leader alone before it hears so, and is down for all a second later. A follower has read the
     record and told the user.
     """
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     leader = simulation.leader_label()
     assert leader is not None
     simulation.lost_responses.add(leader)
@@ -243,22 +243,25 @@
     await simulation.advance(0.1)
     simulation.store_double.down_for.add(leader)
     await simulation.run_until(lambda: simulation.role(leader) is Role.UNCONFIRMED_LEADER)
-    assert await simulation.poll(ids[0], others(leader)[0]) == 200 and simulation.statuses[ids[0]] == "cancelled"
+    assert (
+        await simulation.poll(ids[0], other_controllers(leader)[0]) == 200
+        and simulation.statuses[ids[0]] == "cancelled"
+    )
     simulation.store_double.down_for.add("all")
-    await gone_in_time(simulation, ids[0])
-    assert simulation.role(leader) is Role.UNCONFIRMED_LEADER and on_machines(simulation, ids[1]) == 2
+    await assert_cancelled_in_time(simulation, ids[0])
+    assert simulation.role(leader) is Role.UNCONFIRMED_LEADER and task_count(simulation, ids[1]) == 2
     simulation.lost_responses.clear()
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
-async def test_a_leader_that_may_be_followed_starts_nothing(simulation: Simulation) -> None:
+async def test_leader_that_may_have_been_replaced_starts_nothing(simulation: Simulation) -> None:
     """The old leader has placed a job whose start has not gone out, loses store and peers.
 
     The next confirms the job's cancellation. A machine that still reports to the old one must not be told to
     start it.
     """
-    await services(simulation, 1)
+    await start_services(simulation, 1)
     old = simulation.leader_label()
     assert old is not None
     for worker in simulation.alive():
@@ -267,8 +270,8 @@
     cluster = simulation.controllers[old].scheduler.cluster  # type: ignore[union-attr]
     await simulation.run_until(lambda: "req-000009" in cluster.jobs and cluster.jobs["req-000009"].placements)
     simulation.isolate(old)
-    simulation.partitioned_from["workers"].update(others(old))
-    new = await next_leader(simulation, old)
+    simulation.partitioned_from["workers"].update(other_controllers(old))
+    new = await wait_for_next_leader(simulation, old)
     await simulation.cancel_until_confirmed("req-000009", new)
     for worker in simulation.alive():
         worker.inbound_cut = False
@@ -279,13 +282,13 @@
 
 
 @run_in_simulation()
-async def test_the_lease_of_a_machine_that_missed_a_stop_is_not_kept_once_more(simulation: Simulation) -> None:
+async def test_follower_does_not_keep_the_lease_of_a_machine_that_missed_a_stop(simulation: Simulation) -> None:
     """A cancelled task's machine hears nothing for a while.
 
     Then the leader ends, inside an outage of the store and the cloud. The isolated follower keeps leases from its
     last contact on, but not this machine's.
     """
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     leader = simulation.leader_label()
     assert leader is not None
     simulation.cloud_up = False
@@ -298,40 +301,40 @@
     simulation.crash(leader)
     for worker in simulation.alive():
         worker.inbound_cut = False
-    await gone_in_time(simulation, ids[0])
+    await assert_cancelled_in_time(simulation, ids[0])
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
-async def test_a_restarted_follower_keeps_no_leases_on_hearsay(simulation: Simulation) -> None:
+async def test_restarted_follower_keeps_no_leases_for_a_leader_known_only_from_a_peer(simulation: Simulation) -> None:
     """It has learnt the last leader's token from a peer and never heard a leader itself.
 
     How old what it would keep is, it cannot know.
     """
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     leader = simulation.leader_label()
     assert leader is not None
-    back, witness = others(leader)
+    restarted, witness = other_controllers(leader)
     simulation.cloud_up = False
     await simulation.cancel_until_confirmed(ids[0])
     for worker in simulation.alive():
         worker.inbound_cut = True
     simulation.store_double.down_for.add("all")
-    simulation.crash(leader, back)
+    simulation.crash(leader, restarted)
     await simulation.advance(8.0)
-    simulation.start(back)
-    await simulation.run_until(lambda: simulation.is_up(back))
-    simulation.controllers[back].election.observe_leader(
+    simulation.start(restarted)
+    await simulation.run_until(lambda: simulation.is_up(restarted))
+    simulation.controllers[restarted].election.observe_leader(
         leader, simulation.controllers[witness].election.leader_fencing_token
     )
-    simulation.partition(back)
+    simulation.partition(restarted)
     for worker in simulation.alive():
         worker.inbound_cut = False
-    stay_with(simulation, back)
+    pin_workers_to(simulation, restarted)
     await simulation.advance(4.0)
-    assert simulation.controllers[back].election.leader_fencing_token > 0
-    assert simulation.controllers[back].election.lease_keeping_token is None
-    await gone_in_time(simulation, ids[0])
+    assert simulation.controllers[restarted].election.leader_fencing_token > 0
+    assert simulation.controllers[restarted].election.lease_keeping_token is None
+    await assert_cancelled_in_time(simulation, ids[0])
     await simulation.verify_recovery()
 
 
@@ -339,18 +342,18 @@
 
 
 @run_in_simulation()
-async def test_a_leader_cut_off_with_its_workers_ends_in_a_cancellations_time(simulation: Simulation) -> None:
+async def test_isolated_leader_ends_its_worker_leases_within_the_cancellation_time(simulation: Simulation) -> None:
     """Nobody else reaches the workers and the cloud is down: only the leader's own bound ends their leases."""
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     old = simulation.leader_label()
     assert old is not None
     simulation.cloud_up = False
-    stay_with(simulation, old)
+    pin_workers_to(simulation, old)
     simulation.isolate(old)
-    new = await next_leader(simulation, old)
+    new = await wait_for_next_leader(simulation, old)
     for job_id in ids:
         await simulation.cancel_until_confirmed(job_id, new)
-    await gone_in_time(simulation, *ids)
+    await assert_cancelled_in_time(simulation, *ids)
     await simulation.verify_recovery()
 
 
@@ -358,7 +361,7 @@
 
 
 @run_in_simulation(3)
-async def test_ten_leaders_in_two_minutes_and_an_outage_between(simulation: Simulation) -> None:
+async def test_ten_leaders_in_two_minutes_with_a_store_outage(simulation: Simulation) -> None:
     """Transactions of each may be carried out under the next ones; no batch of a term before may count."""
     simulation.late_write_rate = 0.3
     for number in range(1, 7):
@@ -400,9 +403,9 @@
 
 
 @run_in_simulation()
-async def test_all_controllers_away_for_longer_than_a_lease(simulation: Simulation) -> None:
+async def test_all_controllers_down_for_longer_than_a_lease(simulation: Simulation) -> None:
     """Leases end, sessions change: what ran is proven off by the new sessions and starts once more, once."""
-    ids = await services(simulation)
+    ids = await start_services(simulation)
     for label in LABELS:
         simulation.crash(label)
     await simulation.advance(simulation.platform.lease_s + 3.0)
@@ -415,19 +418,24 @@
 
 
 @run_in_simulation()
-async def test_a_leader_ends_while_machines_cannot_be_reached(simulation: Simulation) -> None:
+async def test_tasks_keep_running_if_the_leader_crashes_while_machines_are_unreachable(
+    simulation: Simulation,
+) -> None:
     """Some are cut off, some do not hear the new leader, for less than a lease: their tasks are where they were."""
-    await services(simulation)
+    await start_services(simulation)
     before = {(worker.name, task.job.id, task.index, task.attempt) for worker, task in simulation.tasks_on_machines()}
-    holders = sorted({worker.name for worker, _ in simulation.tasks_on_machines()})
-    unreached, deaf = simulation.workers[holders[0]], [simulation.workers[name] for name in holders[1:]]
-    unreached.partitioned = True
-    for worker in deaf:
+    worker_names = sorted({worker.name for worker, _ in simulation.tasks_on_machines()})
+    partitioned, inbound_cut = (
+        simulation.workers[worker_names[0]],
+        [simulation.workers[name] for name in worker_names[1:]],
+    )
+    partitioned.partitioned = True
+    for worker in inbound_cut:
         worker.inbound_cut = True
-    await hand_over(simulation)
+    await fail_over(simulation)
     await simulation.advance(4.0)
-    unreached.partitioned = False
-    for worker in deaf:
+    partitioned.partitioned = False
+    for worker in inbound_cut:
         worker.inbound_cut = False
     await simulation.advance(6.0)
     assert before == {
@@ -440,7 +448,7 @@
 
 
 @run_in_simulation(5)
-async def test_a_cancellation_a_question_and_a_repeat_meet_the_end_of_the_last_task(simulation: Simulation) -> None:
+async def test_cancel_poll_and_resubmit_race_with_the_end_of_the_last_task(simulation: Simulation) -> None:
     """Whatever is told first stays so; `Simulation` raises if an answer takes another back."""
     raws = {
         f"req-{number:06d}": raw_job(
@@ -450,18 +458,18 @@
     }
     for raw in raws.values():
         simulation.submit_until_accepted(raw)
-    met: set[str] = set()
+    handled: set[str] = set()
 
     def ended() -> list[str]:
-        return [job_id for job_id, index in sorted(simulation.finished) if job_id not in met]
+        return [job_id for job_id, index in sorted(simulation.finished) if job_id not in handled]
 
-    while len(met) < len(raws):
+    while len(handled) < len(raws):
         await simulation.run_until(ended)
         for job_id in ended():
-            met.add(job_id)
+            handled.add(job_id)
             for wait_s in (0.0, 0.02, 0.06):
                 simulation.spawn(simulation.poll(job_id))
-                if len(met) % 3:
+                if len(handled) % 3:
                     simulation.cancel_until_confirmed(job_id)
                 simulation.submit_until_accepted(raws[job_id])
                 await simulation.advance(wait_s)
@@ -473,7 +481,7 @@
 
 
 @run_in_simulation()
-async def test_tasks_that_end_far_apart_across_a_change_of_leader_run_once(simulation: Simulation) -> None:
+async def test_tasks_that_end_under_different_leaders_run_once(simulation: Simulation) -> None:
     simulation.submit_until_accepted(raw_job(1, hands=3, voyageS=10.0, cores=1.0))
     simulation.submit_until_accepted(raw_job(2, hands=2, voyageS=10.0, cores=1.0, crew="blue"))
     await simulation.run_until(lambda: len(simulation.tasks_on_machines()) == 5)
@@ -482,7 +490,7 @@
     starts = simulation.task_starts
     for _ in range(3):
         await simulation.advance(11.0)
-        simulation.start(await hand_over(simulation))
+        simulation.start(await fail_over(simulation))
     await simulation.verify_recovery()
     assert simulation.task_starts == starts, "no task that was done started again"
     assert set(simulation.statuses.values()) == {"done"}
@@ -492,21 +500,21 @@
 
 
 @run_in_simulation()
-async def test_an_array_bound_to_one_zone_loses_machines(simulation: Simulation) -> None:
+async def test_single_zone_array_that_loses_machines_stays_in_its_zone(simulation: Simulation) -> None:
     """Where some of its tasks may still be, the others must go: also while a machine cannot be asked."""
     simulation.submit_until_accepted(raw_job(1, hands=4, voyageS=200.0, cores=16.0, accelerators=1.0, together=True))
     await simulation.run_until(lambda: len(simulation.tasks_on_machines()) == 4)
     await simulation.advance(3.0)
-    holders = sorted({worker.name for worker, _ in simulation.tasks_on_machines()})
-    zone = simulation.workers[holders[0]].zone
+    worker_names = sorted({worker.name for worker, _ in simulation.tasks_on_machines()})
+    zone = simulation.workers[worker_names[0]].zone
     # No room is left in that zone: the cloud has no more, and a machine comes up in the other.
     simulation.max_machines = 0
     for worker in simulation.alive():
-        if worker.name not in holders[1:]:
+        if worker.name not in worker_names[1:]:
             worker.terminated = True
             worker.tasks.clear()
     assert simulation.tasks_on_machines()
-    await hand_over(simulation)
+    await fail_over(simulation)
     await simulation.advance(25.0)
     simulation.boot(ScaleOutRecord("big", "south" if zone == "north" else "north", False, 1, 0.0))
     await simulation.advance(20.0)
@@ -517,7 +525,7 @@
 
 
 @run_in_simulation()
-async def test_a_team_at_its_limit_while_the_leader_changes(simulation: Simulation) -> None:
+async def test_team_quota_holds_while_the_leader_changes(simulation: Simulation) -> None:
     """Team red may use 8 GPUs and does.
 
     Some of its machines cannot be asked by the new leader, and a job of it is cancelled meanwhile. What may still
@@ -533,7 +541,7 @@
     old = simulation.leader_label()
     simulation.crash(str(old))
     simulation.submit_until_accepted(raw_job(3, hands=8, voyageS=10.0, accelerators=1.0, cores=1.0))
-    await next_leader(simulation, old)
+    await wait_for_next_leader(simulation, old)
     simulation.cancel_until_confirmed("req-000002")
     await simulation.advance(20.0)
     await simulation.verify_recovery()
@@ -544,7 +552,7 @@
 
 
 @run_in_simulation(7)
-async def test_transactions_carried_out_late_change_nothing_newer(simulation: Simulation) -> None:
+async def test_transactions_executed_late_overwrite_nothing_newer(simulation: Simulation) -> None:
     """They come after newer ones of the same controller; each batch is conditional on the one before it."""
     simulation.late_write_rate = 0.4
     for number in range(1, 25):
@@ -569,24 +577,24 @@
     for _ in range(3):
         # What a leader reads must be what the one before it had committed.
         await simulation.advance(13.0)
-        simulation.start(await hand_over(simulation))
+        simulation.start(await fail_over(simulation))
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
-async def test_a_machine_that_reaches_no_controller_hears_direct_commands(simulation: Simulation) -> None:
-    ids = await services(simulation)
+async def test_worker_that_reaches_no_controller_receives_direct_commands(simulation: Simulation) -> None:
+    ids = await start_services(simulation)
     for worker in simulation.alive():
         worker.outbound_cut = True  # type: ignore[attr-defined]
     await simulation.advance(1.0)
     await simulation.cancel_until_confirmed(ids[0])
     await simulation.advance(simulation.platform.lease_s / 4)
-    assert not on_machines(simulation, ids[0]) and on_machines(simulation, ids[1]) == 2, "stopped, not lapsed"
+    assert not task_count(simulation, ids[0]) and task_count(simulation, ids[1]) == 2, "stopped, not lapsed"
     await simulation.verify_recovery()
 
 
 @run_in_simulation(2)
-async def test_more_work_than_room_urgent_and_not_over_slow_links(simulation: Simulation) -> None:
+async def test_urgent_jobs_start_in_time_on_a_full_cluster_with_a_slow_store(simulation: Simulation) -> None:
     """What is urgent begins within four minutes, what cannot be taken is told at once, all is done in the end."""
     simulation.max_machines, simulation.store_delay_s, simulation.delayed_command_rate = 4, 0.3, 0.1
     for number in range(1, 25):
@@ -616,9 +624,9 @@
 
 
 @run_in_simulation()
-async def test_bad_input_is_answered_at_once_during_troubles(simulation: Simulation) -> None:
+async def test_bad_requests_are_answered_at_once_during_faults(simulation: Simulation) -> None:
     """What can be told without the state service is told; else 503 with when to come back, and nothing is held."""
-    ids = await services(simulation, 1)
+    ids = await start_services(simulation, 1)
     lacking = {key: value for key, value in raw_job(7).items() if key != "crew"}
     calls = [
         ("POST", "/v1/jobs", b"{", {400}),
@@ -634,43 +642,46 @@
         ("POST", "/agent/beat", b"{}", {400, 421}),
     ]
 
-    async def ask_all(certain: bool, without: str = "") -> None:
+    async def send_all_calls(store_available: bool, skipped_path: str = "") -> None:
         for label in LABELS:
             for method, path, body, expected in calls:
-                if path == without:
+                if path == skipped_path:
                     continue
-                asked_at = simulation.time()
+                sent_at = simulation.time()
                 status, _ = await simulation.request(method, path, body, label)
-                assert status in (expected - {503} if certain and path != "/agent/beat" else expected), (label, path)
-                assert simulation.time() - asked_at < simulation.platform.report_s, (label, path)
+                assert status in (expected - {503} if store_available and path != "/agent/beat" else expected), (
+                    label,
+                    path,
+                )
+                assert simulation.time() - sent_at < simulation.platform.report_s, (label, path)
 
-    await ask_all(certain=True)
+    await send_all_calls(store_available=True)
     leader = simulation.leader_label()
     assert leader is not None
     simulation.store_double.down_for.add(leader)
     await simulation.advance(0.5)
-    await ask_all(certain=False)
+    await send_all_calls(store_available=False)
     simulation.store_double.down_for.add("all")
     await simulation.advance(3.0)
-    await ask_all(certain=False)
+    await send_all_calls(store_available=False)
     simulation.store_double.heal()
     simulation.store_delay_s = 0.5
     await simulation.advance(5.0)
     # The question about an unknown job has a test of its own, below.
-    await ask_all(certain=False, without="/v1/jobs/req-000099")
+    await send_all_calls(store_available=False, skipped_path="/v1/jobs/req-000099")
     assert set(simulation.statuses) == set(ids)
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
-async def test_a_question_about_an_unknown_job_is_answered_in_time_while_the_store_is_slow(
+async def test_status_of_an_unknown_job_is_answered_in_time_with_a_slow_store(
     simulation: Simulation,
 ) -> None:
     """Users wait 2 s: what cannot be said by then is 503, not silence.
 
     A follower waits for the leader's answer, and then reads two records itself: one deadline bounds the sum.
     """
-    await services(simulation, 1)
+    await start_services(simulation, 1)
     simulation.store_delay_s = 0.5
     await simulation.advance(5.0)
     statuses = [
@@ -682,7 +693,7 @@
 
 
 @run_in_simulation()
-async def test_every_request_is_answered_before_its_user_gives_up_however_slow_the_store_is(
+async def test_every_request_is_answered_within_the_user_timeout_with_a_slow_store(
     simulation: Simulation,
 ) -> None:
     """Users wait 2 s for an answer to a question and 5 s for one to a submission or cancellation.
@@ -691,21 +702,21 @@
     one request.
     """
     leader = simulation.leader_label()
-    needs = [f"req-{number:06d}" for number in range(1, 25)]
+    dependencies = [f"req-{number:06d}" for number in range(1, 25)]
     for number in range(1, 25):
         simulation.submit_until_accepted(raw_job(number, hands=1, voyageS=1.0))
-    while set(simulation.statuses.values()) != {"done"} or len(simulation.statuses) < len(needs):
+    while set(simulation.statuses.values()) != {"done"} or len(simulation.statuses) < len(dependencies):
         await simulation.advance(1.0)
-        for job_id in needs:
+        for job_id in dependencies:
             await simulation.poll(job_id, leader)
     # The next leader knows these jobs from the store alone.
-    await hand_over(simulation)
+    await fail_over(simulation)
     simulation.store_delay_s = 0.3
     await simulation.advance(3.0)
     statuses = []
     for number, label in enumerate([label for label in LABELS if simulation.is_up(label)] * 4, 100):
         path = f"/v1/jobs/req-{number:06d}"
-        statuses.append((await simulation.request("POST", "/v1/jobs", raw_job(number, tows=needs), label))[0])
+        statuses.append((await simulation.request("POST", "/v1/jobs", raw_job(number, tows=dependencies), label))[0])
         statuses.append((await simulation.request("POST", f"{path}/cancel", None, label))[0])
         statuses.append((await simulation.request("GET", path, None, label))[0])
     assert 0 not in statuses, statuses
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,7 +24,7 @@
 from .protocol_doubles import Site, free_port, wait_until
 from .reference_model import ReferenceModel
 from .samples import MACHINE_TYPES, job, platform, raw_job
-from .test_scheduler_units import commit, make_term
+from .test_scheduler_units import commit, scheduler_with_one_machine
 from .test_service import accepted, cut_peers, live, reaches
 
 SITE = platform()
@@ -233,7 +233,7 @@
 
 def fleet_term(now: list[float], count: int, zones: tuple[str, ...] = ("north", "south")) -> Scheduler:
     """Return a term, long begun, with `count` machines in each zone that have just reported."""
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     scheduler.cluster.started_at = now[0] - 1000.0
     for zone in zones:
         for number in range(count):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -36,12 +36,12 @@
     """A leader that answers nothing until it is told to."""
 
     def __init__(self) -> None:
-        self.go_on = asyncio.Event()
-        self.asked: list[str] = []
+        self.release = asyncio.Event()
+        self.requested_paths: list[str] = []
 
     async def send(self, label: str, message: messages.ForwardRequest, timeout_s: float) -> messages.ForwardResponse:
-        self.asked.append(message.path)
-        await self.go_on.wait()
+        self.requested_paths.append(message.path)
+        await self.release.wait()
         return messages.ForwardResponse(200, "{}", None)
 
 
@@ -53,15 +53,13 @@
     return UserApi(SITE, Tuning(), none, peers, current, clock, max_in_progress, max_forwarded)
 
 
-@pytest.mark.parametrize(("in_progress", "passed_on"), [(2, 9), (9, 2)])
-def test_users_are_refused_at_once_when_too_many_are_under_way_but_for_cancellations(
-    in_progress: int, passed_on: int
-) -> None:
+@pytest.mark.parametrize(("in_progress", "forwarded"), [(2, 9), (9, 2)])
+def test_user_requests_over_the_limit_are_rejected_except_cancellations(in_progress: int, forwarded: int) -> None:
     """Guards against users' requests that take the connections and the time that reports need."""
 
     async def run() -> None:
         peers = HangingPeers()
-        users = user_api(peers, in_progress, passed_on)
+        users = user_api(peers, in_progress, forwarded)
         waiting = [
             asyncio.ensure_future(users.handle("POST", "/v1/jobs", json.dumps(raw_job(number)).encode()))
             for number in (1, 2)
@@ -72,8 +70,8 @@
             assert answer is not None and (answer.status, answer.retry_after_s) == (503, users.retry_s)
         cancelling = asyncio.ensure_future(users.handle("POST", "/v1/jobs/req-000001/cancel", b""))
         await asyncio.sleep(0)
-        assert peers.asked == ["/v1/jobs", "/v1/jobs", "/v1/jobs/req-000001/cancel"]
-        peers.go_on.set()
+        assert peers.requested_paths == ["/v1/jobs", "/v1/jobs", "/v1/jobs/req-000001/cancel"]
+        peers.release.set()
         for answer in await asyncio.gather(*waiting, cancelling):
             assert answer is not None and answer.status == 200
         # The places are free again.
@@ -84,25 +82,25 @@
     asyncio.run(run())
 
 
-def test_users_share_of_connections_follows_the_descriptors() -> None:
+def test_user_connection_limit_grows_with_the_file_descriptor_limit() -> None:
     small, large = SocketBudget(924, 2), SocketBudget(9240, 2)
     assert 0 < small.users < small.front / 4 + 1
     assert large.users > 8 * small.users
 
 
-def manager(cloud_rps: float) -> FleetManager:
+def fleet_manager(cloud_rps: float) -> FleetManager:
     """Return the loops around a cloud with that rate, without the cloud."""
     none: Any = None
     cloud: Any = SimpleNamespace(rate_limit=TokenBucket(cloud_rps, lambda: 0.0))
     return FleetManager(SITE, Tuning(), cloud, none, none, none, none, none, lambda: 0.0)
 
 
-def test_as_many_machines_are_rented_as_the_cloud_takes_until_the_next_round() -> None:
-    assert manager(0.1).autoscaler.max_scale_out(0.5) == MAX_MACHINES_PER_REQUEST
-    assert manager(4.0).autoscaler.max_scale_out(2.0) == 8 * MAX_MACHINES_PER_REQUEST
+def test_scale_out_limit_follows_the_cloud_request_rate() -> None:
+    assert fleet_manager(0.1).autoscaler.max_scale_out(0.5) == MAX_MACHINES_PER_REQUEST
+    assert fleet_manager(4.0).autoscaler.max_scale_out(2.0) == 8 * MAX_MACHINES_PER_REQUEST
 
 
-def test_one_need_for_many_machines_is_several_requests_of_what_the_cloud_takes() -> None:
+def test_large_scale_out_is_split_into_requests_of_the_maximum_size() -> None:
     scheduler, _ = scheduler_with_machines(1)
     scheduler.scale_out.request(
         CapacityPlan({MachineOffer("big", "north", False): 2 * MAX_MACHINES_PER_REQUEST + 7}, set())
@@ -117,16 +115,16 @@
     )
 
 
-def test_the_list_takes_a_part_of_the_clouds_calls_however_many_pages_it_has() -> None:
+def test_machine_listing_uses_a_bounded_part_of_the_cloud_request_rate() -> None:
     """Guards against the return for a cancelled task that waits behind the pages of thousands of machines."""
     for machines in (100, 700, 4000, 6000):
-        loops = manager(2.0)
+        loops = fleet_manager(2.0)
         pages = machines // 500 + 1
         assert pages / loops.inventory.list_pause_s(machines) <= 2.0 / 3 + 1e-9
 
 
-def test_machines_that_keep_a_cancelled_task_are_returned_first() -> None:
-    loops = manager(2.0)
+def test_machines_that_keep_a_cancelled_task_are_deleted_first() -> None:
+    loops = fleet_manager(2.0)
     loops.terminator.to_delete = {f"vm-{number:06d}" for number in range(4000)}
     loops.terminator.to_fence = {f"vm-{number:06d}" for number in range(3900, 3950)}
     first = loops.terminator.next_batch(may_decide=True)
@@ -134,7 +132,7 @@
     assert set(loops.terminator.next_batch(may_decide=False)) == loops.terminator.to_fence
 
 
-def test_records_are_read_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_records_are_decoded_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a leader that loses its lease while it decodes the records of thousands of machines' work."""
     monkeypatch.setattr(decoding, "decode_head", lambda item: SimpleNamespace(id=item))
     monkeypatch.setattr(decoding, "_load_chunk", lambda jobs, item: False)
@@ -143,21 +141,21 @@
         heads: Any = list(range(1000))
         chunks: Any = [SimpleNamespace(key=str(number)) for number in range(500)]
         loading = asyncio.ensure_future(decoding.decode_jobs(heads, chunks))
-        turns = 0
+        loop_iterations = 0
         while not loading.done():
-            turns += 1
+            loop_iterations += 1
             await asyncio.sleep(0)
         jobs, orphans = loading.result()
         assert len(jobs) == 1000 and len(orphans) == 500
-        assert turns >= 1500 // decoding.RECORDS_PER_SLICE
+        assert loop_iterations >= 1500 // decoding.RECORDS_PER_SLICE
 
     asyncio.run(run())
 
 
-def test_a_scan_looks_only_at_machines_that_may_have_to_be_told_something(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stop_scan_skips_machines_that_are_in_sync(monkeypatch: pytest.MonkeyPatch) -> None:
     scheduler, _ = scheduler_with_machines(50)
-    looks = Mock(return_value=[])
-    monkeypatch.setattr("driftcleat.workers.dispatch.stop_commands", looks)
+    calls = Mock(return_value=[])
+    monkeypatch.setattr("driftcleat.workers.dispatch.stop_commands", calls)
     none: Any = None
     dispatcher = StopDispatcher(SITE, Tuning(), none, none, none, lambda: 0.0)
     names = list(scheduler.cluster.machines)
@@ -165,11 +163,11 @@
         scheduler.cluster.machines[name].in_sync = True
     for name in names:
         dispatcher._send_stops(scheduler, name)
-    assert looks.call_count == 5
+    assert calls.call_count == 5
 
 
 @pytest.mark.parametrize("message", ["view", "pong"])
-def test_the_largest_message_between_controllers_is_taken(message: str) -> None:
+def test_largest_peer_message_is_accepted(message: str) -> None:
     names = [f"req-{number:06d}" for number in range(999_999 - MAX_CANCELLED_JOBS, 999_999)]
     status = messages.LeaderStatus(1.0, names)
     sent: messages.PeerMessage = messages.Pong("a", True, "a", 7, status, 2)
@@ -182,28 +180,28 @@
     assert json.loads(body)[0] == message
 
 
-def test_a_passed_on_request_at_its_largest_is_taken() -> None:
+def test_largest_forwarded_request_is_accepted() -> None:
     """Every byte of a body may take two once it stands in a message's string."""
     body = ("{" + "\t" * 65_000 + "}").encode()
     assert len(wire.encode(messages.ForwardRequest("POST", "/v1/jobs", body.decode()))) < MAX_PEER_BODY_BYTES
 
 
-def test_the_work_of_a_take_over_grows_with_the_machines_and_not_faster() -> None:
+def test_work_of_a_recovery_grows_at_most_linearly_with_the_machines() -> None:
     """Counts of looks at machines in the round after a take-over, 4,000 against 400 machines."""
-    looks: dict[int, int] = {}
+    calls: dict[int, int] = {}
     for machines in (400, 4000):
         scheduler, _ = scheduler_with_machines(machines)
         spec = job(1, hands=8, accelerators=0.0, cores=1.0, imageGb=0.0)
         commit_submissions(scheduler, spec)
-        takes = Mock(side_effect=scheduler.candidates.takes_tasks)
-        scheduler.candidates.takes_tasks = takes  # type: ignore[method-assign]
+        takes_tasks = Mock(side_effect=scheduler.candidates.takes_tasks)
+        scheduler.candidates.takes_tasks = takes_tasks  # type: ignore[method-assign]
         commit_all(scheduler)
         assert len(scheduler.cluster.jobs["req-000001"].placements) == 8
-        looks[machines] = takes.call_count
-    assert looks[4000] <= 10 * looks[400]
+        calls[machines] = takes_tasks.call_count
+    assert calls[4000] <= 10 * calls[400]
 
 
-def test_work_that_can_wait_gives_way_while_reports_are_missing_and_the_event_loop_is_late() -> None:
+def test_overload_pause_needs_missing_heartbeats_and_a_late_event_loop() -> None:
     """Guards against 2,003 leases that ran out while tasks were placed, seen at 4,000 machines on a small share."""
     overload = OverloadDetector(3.0)
     overload.record_interval(3200, 4000, 0.5)
@@ -222,7 +220,7 @@
     assert overload.pause_s == 0.0
 
 
-def test_a_round_is_put_off_while_reports_are_late() -> None:
+def test_placement_round_is_deferred_while_heartbeats_are_late() -> None:
     scheduler, now = scheduler_with_machines(10)
     scheduler.pacing.record_change()
     scheduler.pacing.end(now[0], now[0])
@@ -232,14 +230,14 @@
     assert not scheduler.pacing.due(now[0] + 1.9) and scheduler.pacing.due(now[0] + 2.0)
 
 
-def test_nobody_looks_for_work_to_stop_where_an_image_is_that_no_machine_has(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_preemption_search_for_an_image_that_no_machine_has(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a look at every task of thousands of machines in each round: a third of its time."""
-    looks = Mock(side_effect=PreemptibleTasks)
-    monkeypatch.setattr("driftcleat.scheduler.preemption_planning.PreemptibleTasks", looks)
+    calls = Mock(side_effect=PreemptibleTasks)
+    monkeypatch.setattr("driftcleat.scheduler.preemption_planning.PreemptibleTasks", calls)
     scheduler, now = scheduler_with_machines(20)
     commit_submissions(scheduler, job(1, rig="daemon", hands=2, accelerators=0.0, imageGb=4.0, rank="critical"))
     commit_all(scheduler)
-    assert len(scheduler.cluster.jobs["req-000001"].placements) == 2 and looks.call_count == 0
+    assert len(scheduler.cluster.jobs["req-000001"].placements) == 2 and calls.call_count == 0
     # Once a machine has the image, it is looked at.
     now[0] += 60.0
     for number, machine in enumerate(scheduler.cluster.machines.values()):
@@ -250,22 +248,22 @@
         scheduler, job(2, rig="daemon", hands=40, accelerators=0.0, imageGb=4.0, hull="img-01", rank="critical")
     )
     commit_all(scheduler)
-    assert looks.call_count > 0
+    assert calls.call_count > 0
 
 
-def test_sizing_is_put_off_while_reports_are_late() -> None:
+def test_sizing_is_deferred_while_heartbeats_are_late() -> None:
     async def scenario(simulation: Simulation) -> None:
         controller = simulation.controllers[str(simulation.leader_label())]
         scheduler = controller.scheduler
         assert scheduler is not None
-        sizes = Mock()
-        controller.fleet_manager.autoscaler.scale = sizes  # type: ignore[method-assign]
+        scale = Mock()
+        controller.fleet_manager.autoscaler.scale = scale  # type: ignore[method-assign]
         await simulation.advance(20.0)
-        usual = sizes.call_count
+        usual = scale.call_count
         scheduler.pacing.overload_pause_s = lambda: 2.0
         await simulation.advance(2.0)
-        sizes.reset_mock()
+        scale.reset_mock()
         await simulation.advance(20.0)
-        assert 0 < sizes.call_count <= usual / 2
+        assert 0 < scale.call_count <= usual / 2
 
     Simulation(5).run_scenario(scenario)
--- a/tests/test_scheduler_fault_walk.py
+++ b/tests/test_scheduler_fault_walk.py
@@ -38,41 +38,41 @@
 def inject_fault(model: ReferenceModel, rng: random.Random) -> None:
     """Something goes wrong, or stops doing so."""
     alive = model.alive()
-    what = rng.randrange(16)
+    fault = rng.randrange(16)
     worker: ReferenceWorker | None = rng.choice(alive) if alive else None
-    if what == 0 and worker is not None:
+    if fault == 0 and worker is not None:
         worker.partitioned = not worker.partitioned
-    elif what == 1 and worker is not None:
+    elif fault == 1 and worker is not None:
         worker.hung = not worker.hung
-    elif what == 2 and worker is not None:
+    elif fault == 2 and worker is not None:
         worker.fails_tasks = not worker.fails_tasks
-    elif what == 3 and worker is not None:
+    elif fault == 3 and worker is not None:
         worker.terminated = True
         worker.tasks.clear()
-    elif what == 4:
+    elif fault == 4:
         model.cloud_up = not model.cloud_up
-    elif what == 5:
+    elif fault == 5:
         model.store_up = not model.store_up
-    elif what in (6, 7):
+    elif fault in (6, 7):
         # The old leader may live on and answer reports until a worker tells it of the new token.
         model.leader.crashed = rng.random() < 0.5
         model.elect(rng.choice("abc"))
-    elif what == 9 and worker is not None:
+    elif fault == 9 and worker is not None:
         worker.inbound_cut = not worker.inbound_cut
-    elif what == 10 and worker is not None:
+    elif fault == 10 and worker is not None:
         worker.restart()
-    elif what == 11:
+    elif fault == 11:
         model.duplicate_rate = rng.choice([0.0, 0.3, 1.0])
-    elif what == 12:
+    elif fault == 12:
         # It loses store and peers, not its workers: it goes on answering until one has seen the new token.
         model.sticky_leader = model.leader
         model.elect(rng.choice("abc"))
-    elif what == 13:
+    elif fault == 13:
         # Back within a fraction of a second, and once more before it has done anything.
         for _ in range(2):
             model.leader.crashed = True
             model.elect("a")
-    elif what == 8:
+    elif fault == 8:
         for other in model.workers.values():
             other.partitioned = other.hung = other.inbound_cut = False
         model.sticky_leader = None
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("seed", range(32))
-def test_no_rule_breaks_whatever_goes_wrong(seed: int) -> None:
+def test_random_faults_break_no_invariant(seed: int) -> None:
     rng = random.Random(1000 + seed)
     model = ReferenceModel(seed, platform(txn_ops=rng.choice([6, 12, 24])), MACHINE_TYPES)
     model.elect()
@@ -112,7 +112,7 @@
     assert not model.tasks_on_machines()
 
 
-def test_the_model_sees_a_task_that_runs_twice() -> None:
+def test_model_detects_a_task_that_runs_twice() -> None:
     """The plain model must be able to fail: break the core on purpose."""
     model = ReferenceModel(1, platform(), MACHINE_TYPES)
     model.elect()
--- a/tests/test_scheduler_units.py
+++ b/tests/test_scheduler_units.py
@@ -44,17 +44,17 @@
 SITE = platform()
 
 
-def make_term(now: list[float], clock: Callable[[], float] | None = None) -> Scheduler:
+def scheduler_with_one_machine(now: list[float], clock: Callable[[], float] | None = None) -> Scheduler:
     """Return a term with one empty machine `vm-1` that has reported; `clock` stands for the time in `now`."""
     cluster = ClusterState(5, {}, dict(MACHINE_TYPES), now[0])
     scheduler = new_scheduler(SITE, cluster, now, clock)
-    apply_heartbeat(cluster, report(1), now[0])
+    apply_heartbeat(cluster, heartbeat(1), now[0])
     return scheduler
 
 
-def report(seq: int, *tasks: TaskStatus, session: int = 1, token: int = 5) -> Heartbeat:
+def heartbeat(seq: int, *tasks: TaskStatus, worker_epoch: int = 1, fencing_token: int = 5) -> Heartbeat:
     """Return a report of `vm-1`."""
-    return Heartbeat("vm-1", "h:1", "big", "north", False, session, seq, token, tasks)
+    return Heartbeat("vm-1", "h:1", "big", "north", False, worker_epoch, seq, fencing_token, tasks)
 
 
 def commit(scheduler: Scheduler, revision: int = 9) -> None:
@@ -63,7 +63,7 @@
     scheduler.apply_commit(batch, revision, [])
 
 
-def placed(scheduler: Scheduler, **changes: object) -> Job:
+def submit_and_place(scheduler: Scheduler, **changes: object) -> Job:
     """Submit a job and place its tasks."""
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1, **changes), "req-000001"))
     commit(scheduler)
@@ -73,12 +73,12 @@
     return found
 
 
-def test_an_offered_start_is_not_disproved_by_the_report_it_answers() -> None:
+def test_heartbeat_answered_by_a_start_does_not_prove_the_task_absent() -> None:
     now = [0.0]
-    scheduler = make_term(now)
-    placed(scheduler, hands=1)
+    scheduler = scheduler_with_one_machine(now)
+    submit_and_place(scheduler, hands=1)
     machine = scheduler.cluster.machines["vm-1"]
-    newest = report(2)
+    newest = heartbeat(2)
     assert apply_heartbeat(scheduler.cluster, newest, 1.0) is machine
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, newest)] == ["start"]
     scheduler.admission.cancel(PendingRequest(lambda status: None, None, "req-000001"))
@@ -87,18 +87,18 @@
     commit(scheduler)
     # The start may be on its way: the task still counts as there.
     assert scheduler.cluster.jobs["req-000001"].placements
-    apply_heartbeat(scheduler.cluster, report(3), 2.0)
+    apply_heartbeat(scheduler.cluster, heartbeat(3), 2.0)
     commit(scheduler)
     assert "req-000001" not in scheduler.cluster.jobs and scheduler.admission.lookup("req-000001") == JobStatus(
         "req-000001", "cancelled", 0, 0
     )
 
 
-def test_a_report_under_an_older_token_proves_nothing_absent() -> None:
+def test_heartbeat_with_an_older_fencing_token_does_not_prove_a_task_absent() -> None:
     now = [0.0]
-    scheduler = make_term(now)
-    placed(scheduler, hands=1)
-    apply_heartbeat(scheduler.cluster, report(2, token=4), 1.0)
+    scheduler = scheduler_with_one_machine(now)
+    submit_and_place(scheduler, hands=1)
+    apply_heartbeat(scheduler.cluster, heartbeat(2, fencing_token=4), 1.0)
     scheduler.admission.cancel(PendingRequest(lambda status: None, None, "req-000001"))
     commit(scheduler)
     scheduler.cluster.machines_to_reconcile.add("vm-1")
@@ -106,43 +106,43 @@
     assert scheduler.cluster.jobs["req-000001"].placements
 
 
-def test_a_place_that_is_being_given_up_is_not_offered_again() -> None:
+def test_no_start_is_sent_for_a_placement_being_released() -> None:
     """A machine is back at once and reports nothing.
 
     The batch that takes its task off waits for the store, and a further report arrives. A start told now would
     meet the one elsewhere that the next batch decides.
     """
     now = [0.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     scheduler.cluster.lease_s = SITE.lease_s
-    placed(scheduler, hands=1)
+    submit_and_place(scheduler, hands=1)
     machine = scheduler.cluster.machines["vm-1"]
-    first = report(2)
+    first = heartbeat(2)
     apply_heartbeat(scheduler.cluster, first, 1.0)
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, first)] == ["start"]
     attempt = scheduler.cluster.jobs["req-000001"].placements[0].attempt
-    running = report(3, TaskStatus("req-000001/0", attempt, "running"))
+    running = heartbeat(3, TaskStatus("req-000001/0", attempt, "running"))
     apply_heartbeat(scheduler.cluster, running, 1.5)
     commands_for_heartbeat(scheduler.cluster, machine, running)
     commit(scheduler)
-    back = report(1, session=2)
-    apply_heartbeat(scheduler.cluster, back, 2.0)
+    restarted = heartbeat(1, worker_epoch=2)
+    apply_heartbeat(scheduler.cluster, restarted, 2.0)
     batch = scheduler.build_batch()
     assert [(old is not None, new) for _, _, old, new in batch.task_transitions] == [(True, None)], "it is proven off"
-    commands_for_heartbeat(scheduler.cluster, machine, back)
-    later = report(2, session=2)
+    commands_for_heartbeat(scheduler.cluster, machine, restarted)
+    later = heartbeat(2, worker_epoch=2)
     apply_heartbeat(scheduler.cluster, later, 3.0)
     assert commands_for_heartbeat(scheduler.cluster, machine, later) == []
     scheduler.apply_commit(batch, 99, [])
     assert not scheduler.cluster.jobs["req-000001"].placements and not scheduler.cluster.attempts_being_released
 
 
-def test_an_exit_is_forgotten_only_once_it_is_committed() -> None:
+def test_forget_is_sent_only_after_the_exit_is_committed() -> None:
     now = [0.0]
-    scheduler = make_term(now)
-    attempt = placed(scheduler, hands=1).placements[0].attempt
+    scheduler = scheduler_with_one_machine(now)
+    attempt = submit_and_place(scheduler, hands=1).placements[0].attempt
     machine = scheduler.cluster.machines["vm-1"]
-    newest = report(2, TaskStatus("req-000001/0", attempt, "exited", "done"))
+    newest = heartbeat(2, TaskStatus("req-000001/0", attempt, "exited", "done"))
     apply_heartbeat(scheduler.cluster, newest, 1.0)
     assert "forget" not in [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, newest)]
     commit(scheduler)
@@ -150,46 +150,46 @@
     assert scheduler.admission.lookup("req-000001") == JobStatus("req-000001", "done", 1, 0)
 
 
-def test_a_stale_report_changes_nothing_and_gets_no_orders() -> None:
+def test_stale_heartbeat_changes_nothing_and_gets_no_commands() -> None:
     now = [0.0]
-    scheduler = make_term(now)
-    placed(scheduler, hands=1)
+    scheduler = scheduler_with_one_machine(now)
+    submit_and_place(scheduler, hands=1)
     machine = scheduler.cluster.machines["vm-1"]
-    late = report(2)
-    apply_heartbeat(scheduler.cluster, report(7), 1.0)
+    late = heartbeat(2)
+    apply_heartbeat(scheduler.cluster, heartbeat(7), 1.0)
     assert apply_heartbeat(scheduler.cluster, late, 2.0) is None
     assert commands_for_heartbeat(scheduler.cluster, machine, late) == []
 
 
-def test_nothing_is_visible_before_the_commit() -> None:
+def test_submission_is_not_visible_before_the_commit() -> None:
     now = [0.0]
-    scheduler = make_term(now)
-    told: list[JobStatus | None] = []
-    scheduler.admission.submit(PendingRequest(told.append, job(1), "req-000001"))
+    scheduler = scheduler_with_one_machine(now)
+    statuses: list[JobStatus | None] = []
+    scheduler.admission.submit(PendingRequest(statuses.append, job(1), "req-000001"))
     batch = scheduler.build_batch()
-    assert scheduler.admission.lookup("req-000001") is None and told == []
+    assert scheduler.admission.lookup("req-000001") is None and statuses == []
     scheduler.apply_commit(batch, 9, [])
-    assert told == [JobStatus("req-000001", "pending", 0, 0)]
+    assert statuses == [JobStatus("req-000001", "pending", 0, 0)]
 
 
-def test_a_machine_that_is_returned_takes_no_task() -> None:
+def test_deleted_machine_takes_no_task() -> None:
     now = [0.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     machine = scheduler.cluster.machines["vm-1"]
     scheduler.cluster.record_terminated(machine, 0.0)
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
     commit(scheduler)
     commit(scheduler)
     assert not scheduler.cluster.jobs["req-000001"].placements
-    assert apply_heartbeat(scheduler.cluster, report(9), 1.0) is None, "a late report does not bring it back"
+    assert apply_heartbeat(scheduler.cluster, heartbeat(9), 1.0) is None, "a late report does not bring it back"
     assert not scheduler.cluster.machines, "nothing of it is kept"
 
 
-def test_a_round_out_of_time_goes_on_where_it_stopped() -> None:
+def test_truncated_placement_round_continues_where_it_stopped() -> None:
     ticks: Iterator[float] = iter([])
     # Where no tick is left, the clock stands at what `now` says.
     now = [0.0]
-    scheduler = make_term(now, lambda: next(ticks, now[0]))
+    scheduler = scheduler_with_one_machine(now, lambda: next(ticks, now[0]))
     for number in range(1, 4):
         scheduler.admission.submit(PendingRequest(lambda status: None, job(number, hands=1), f"req-{number:06d}"))
     commit(scheduler)
@@ -202,7 +202,7 @@
     assert [move[0] for move in scheduler.build_batch().task_transitions] == ["req-000002", "req-000003"]
 
 
-def test_unknown_states_changes_are_refused() -> None:
+def test_illegal_state_transitions_are_rejected() -> None:
     one = Job(job(1), 0.0)
     with pytest.raises(IllegalTransitionError):
         transition_task(one, 0, TaskState.DONE)
@@ -220,19 +220,19 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.sets(st.integers(0, 300)))
-def test_ranges_are_read_back(numbers: set[int]) -> None:
+def test_index_ranges_round_trip(numbers: set[int]) -> None:
     assert parse_ranges(format_ranges(sorted(numbers))) == sorted(numbers)
 
 
 @pytest.mark.parametrize(("tasks", "rig"), [(5, "array"), (3000, "array"), (100_000, "array"), (700, "group")])
-def test_big_jobs_keep_to_the_stores_limits(tasks: int, rig: str) -> None:
+def test_large_jobs_stay_within_the_store_limits(tasks: int, rig: str) -> None:
     """Every batch must fit txn_ops, value size and 64 KiB, and what is written must be read back the same."""
     site = platform(txn_ops=12)
     store = InMemoryStore(site)
-    token = store.put_leader("a")
+    fencing_token = store.put_leader("a")
     layout = RecordLayout(site.value_bytes, site.txn_ops)
     spec = job(1, hands=tasks, rig=rig, cores=0.0, accelerators=0.0, memGb=0.0)
-    cluster = ClusterState(token, {}, dict(MACHINE_TYPES), 0.0)
+    cluster = ClusterState(fencing_token, {}, dict(MACHINE_TYPES), 0.0)
     now = [0.0]
     scheduler = Scheduler(
         site,
@@ -245,9 +245,11 @@
         is_new_store=True,
     )
     for number in range(30):
-        apply_heartbeat(cluster, Heartbeat(f"vm-{number:06d}", "h:1", "big", "north", False, 1, 1, token, ()), 0.0)
+        apply_heartbeat(
+            cluster, Heartbeat(f"vm-{number:06d}", "h:1", "big", "north", False, 1, 1, fencing_token, ()), 0.0
+        )
     scheduler.admission.submit(PendingRequest(lambda status: None, spec, spec.id))
-    mark = 0
+    batch_marker = 0
     for number in range(1, 12):
         now[0] += 1.0
         for machine in cluster.machines.values():
@@ -255,30 +257,32 @@
         batch = scheduler.build_batch()
         if batch.is_empty:
             break
-        encoded = encode_batch(batch, layout, token, number, mark)
+        encoded = encode_batch(batch, layout, fencing_token, number, batch_marker)
         revision = store.txn(encoded.body)
         assert revision is not None
-        mark = revision
+        batch_marker = revision
         scheduler.apply_commit(batch, revision, encoded.obsolete_keys)
-    mine = cluster.jobs[spec.id]
-    assert len(mine.placements) >= min(tasks, 500)
+    expected = cluster.jobs[spec.id]
+    assert len(expected.placements) >= min(tasks, 500)
     loaded, orphans = decode_job_records(store.items(JOBS_PREFIX), store.items(CHUNKS_PREFIX))
-    other = loaded[spec.id]
-    assert not orphans and other.placements == mine.placements and other.task_states == mine.task_states
-    assert other.mod_revision == mine.mod_revision and other.chunk_mod_revisions == mine.chunk_mod_revisions
+    decoded = loaded[spec.id]
+    assert not orphans and decoded.placements == expected.placements and decoded.task_states == expected.task_states
+    assert (
+        decoded.mod_revision == expected.mod_revision and decoded.chunk_mod_revisions == expected.chunk_mod_revisions
+    )
 
 
-def test_a_batch_of_before_dies_once_there_is_a_new_leader() -> None:
+def test_batch_of_a_previous_leader_is_rejected_after_an_election() -> None:
     store = InMemoryStore(SITE)
-    token = store.put_leader("a")
-    scheduler = make_term([0.0])
+    fencing_token = store.put_leader("a")
+    scheduler = scheduler_with_one_machine([0.0])
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
-    encoded = encode_batch(scheduler.build_batch(), scheduler.layout, token, 1, 0)
+    encoded = encode_batch(scheduler.build_batch(), scheduler.layout, fencing_token, 1, 0)
     store.put_leader("b")
     assert store.txn(encoded.body) is None
 
 
-def slow_fits(spec: JobSpec, candidates: list[Candidate]) -> bool:
+def any_candidate_fits(spec: JobSpec, candidates: list[Candidate]) -> bool:
     """The plain model of `find`: does any candidate take a task?"""
     return any(
         allowed(spec, candidate.machine_type, candidate.zone, candidate.spot)
@@ -290,7 +294,7 @@
 @settings(derandomize=True, max_examples=150)
 @given(st.data())
 def test_placement_finds_room_whenever_there_is_any(data: st.DataObject) -> None:
-    rooms = [
+    candidates = [
         Candidate(
             f"m{number}",
             data.draw(st.sampled_from(["big", "small"])),
@@ -314,31 +318,40 @@
     )
     quota = QuotaHeadroom(float("inf"), float(data.draw(st.integers(0, 6))))
     before = [
-        Candidate(room.name, room.machine_type, room.zone, room.spot, room.cpus, room.gpus, 16.0) for room in rooms
+        Candidate(
+            candidate.name,
+            candidate.machine_type,
+            candidate.zone,
+            candidate.spot,
+            candidate.cpus,
+            candidate.gpus,
+            16.0,
+        )
+        for candidate in candidates
     ]
-    most = quota.gpus
-    round_ = PlacementRound(rooms, data.draw(st.integers(1, 5)), random.Random(3))
-    got = round_.place(Job(spec, 0.0), quota, 100)
-    assert len(got) <= most and (spec.kind.value != "group" or len(got) in (0, spec.tasks))
+    max_tasks = quota.gpus
+    round_ = PlacementRound(candidates, data.draw(st.integers(1, 5)), random.Random(3))
+    placements = round_.place(Job(spec, 0.0), quota, 100)
+    assert len(placements) <= max_tasks and (spec.kind.value != "group" or len(placements) in (0, spec.tasks))
     if spec.single_zone:
-        assert len({room.zone for _, room in got}) <= 1
-    for room in rooms:
-        assert room.cpus >= 0 and room.gpus >= 0
-    for _, room in got:
-        assert allowed(spec, room.machine_type, room.zone, room.spot)
-    if spec.kind.value == "array" and not got and most >= 1:
-        assert not slow_fits(spec, before)
+        assert len({candidate.zone for _, candidate in placements}) <= 1
+    for candidate in candidates:
+        assert candidate.cpus >= 0 and candidate.gpus >= 0
+    for _, candidate in placements:
+        assert allowed(spec, candidate.machine_type, candidate.zone, candidate.spot)
+    if spec.kind.value == "array" and not placements and max_tasks >= 1:
+        assert not any_candidate_fits(spec, before)
 
 
 def test_sizing_keeps_a_one_zone_gang_in_one_zone() -> None:
     """Seen with the plain model: two half rooms in two zones were counted, nothing was rented."""
     spec = job(1, rig="group", hands=4, accelerators=2.0, together=True)
-    rooms = [Candidate("a", "big", "north", False, 16, 4, 64), Candidate("b", "big", "south", False, 16, 4, 64)]
-    plan = plan_fleet([Demand(spec, 4, {})], rooms, MACHINE_TYPES, lambda offer: False, 10)
+    candidates = [Candidate("a", "big", "north", False, 16, 4, 64), Candidate("b", "big", "south", False, 16, 4, 64)]
+    plan = plan_fleet([Demand(spec, 4, {})], candidates, MACHINE_TYPES, lambda offer: False, 10)
     assert sum(plan.scale_out.values()) >= 1 and len({zone for _, zone, _ in plan.scale_out}) == 1
 
 
-def test_a_burst_handed_in_at_once_is_not_taken_for_a_rate() -> None:
+def test_burst_of_submissions_is_not_taken_for_an_arrival_rate() -> None:
     """Seen on a first morning: the jobs of the first second were expected to come again every second."""
     arrivals = ArrivalRates(80.0, 2.0)
     for number in range(40):
@@ -347,7 +360,7 @@
     assert rate * mean < 0.2
 
 
-def test_a_lease_counts_from_before_it_was_asked_for() -> None:
+def test_lease_is_counted_from_the_time_its_request_was_sent() -> None:
     lease = LeaseClock(4.0, 0.01)
     lease.record_grant(7, 100.0)
     assert lease.is_valid(103.9) and not lease.is_valid(103.97)
@@ -358,7 +371,7 @@
     assert not lease.is_valid(100.0)
 
 
-def test_a_bucket_never_exceeds_its_rate() -> None:
+def test_token_bucket_never_exceeds_its_rate() -> None:
     now = [0.0]
     bucket = TokenBucket(10.0, lambda: now[0])
     sent = 0
@@ -370,7 +383,7 @@
     assert 50 <= sent <= 61
 
 
-def test_what_can_never_run_is_named() -> None:
+def test_unschedulable_jobs_get_a_reason() -> None:
     assert unschedulable_reason(job(1), MACHINE_TYPES, SITE) is None
     assert "team" in (unschedulable_reason(job(1, crew="green"), MACHINE_TYPES, SITE) or "")
     assert "fits no" in (unschedulable_reason(job(1, cores=99.0), MACHINE_TYPES, SITE) or "")
@@ -378,38 +391,44 @@
     assert "limit" in (unschedulable_reason(job(1, rig="group", hands=9), MACHINE_TYPES, SITE) or "")
     assert unschedulable_reason(job(1, rig="array", hands=9), MACHINE_TYPES, SITE) is None
     # A gang whose own wishes contradict one another would wait for ever; an array's tasks may come one by one.
-    for wishes in ({"together": True}, {"harbor": "north"}):
+    for constraints in ({"together": True}, {"harbor": "north"}):
         assert "spread" in (
-            unschedulable_reason(job(1, rig="group", hands=2, spread=True, **wishes), MACHINE_TYPES, SITE) or ""
+            unschedulable_reason(job(1, rig="group", hands=2, spread=True, **constraints), MACHINE_TYPES, SITE) or ""
+        )
+        assert (
+            unschedulable_reason(job(1, rig="group", hands=1, spread=True, **constraints), MACHINE_TYPES, SITE)
+            is None
+        )
+        assert (
+            unschedulable_reason(job(1, rig="array", hands=2, spread=True, **constraints), MACHINE_TYPES, SITE)
+            is None
         )
-        assert unschedulable_reason(job(1, rig="group", hands=1, spread=True, **wishes), MACHINE_TYPES, SITE) is None
-        assert unschedulable_reason(job(1, rig="array", hands=2, spread=True, **wishes), MACHINE_TYPES, SITE) is None
     assert unschedulable_reason(job(1, rig="group", hands=2, spread=True), MACHINE_TYPES, SITE) is None
 
 
-def test_a_gang_is_not_placed_while_a_task_of_an_older_attempt_may_be_there() -> None:
+def test_gang_is_not_placed_while_a_task_of_an_older_attempt_may_run() -> None:
     gang = Job(job(1, rig="group", hands=2), 0.0)
-    rooms = [Candidate("a", "big", "north", False, 16, 4, 64)]
-    assert len(PlacementRound(rooms, 3, random.Random(1)).place(gang, QuotaHeadroom(99.0, 99.0), 9)) == 2
+    candidates = [Candidate("a", "big", "north", False, 16, 4, 64)]
+    assert len(PlacementRound(candidates, 3, random.Random(1)).place(gang, QuotaHeadroom(99.0, 99.0), 9)) == 2
     transition_task(gang, 1, TaskState.PLACED, TaskPlacement("z", "north", 1, 0.0))
-    rooms = [Candidate("a", "big", "north", False, 16, 4, 64)]
-    assert PlacementRound(rooms, 3, random.Random(1)).place(gang, QuotaHeadroom(99.0, 99.0), 9) == []
+    candidates = [Candidate("a", "big", "north", False, 16, 4, 64)]
+    assert PlacementRound(candidates, 3, random.Random(1)).place(gang, QuotaHeadroom(99.0, 99.0), 9) == []
 
 
-def test_a_machine_that_reports_but_keeps_a_cancelled_task_is_fenced() -> None:
+def test_machine_that_keeps_running_a_cancelled_task_is_fenced() -> None:
     now = [0.0]
-    scheduler = make_term(now)
-    attempt = placed(scheduler, hands=1).placements[0].attempt
+    scheduler = scheduler_with_one_machine(now)
+    attempt = submit_and_place(scheduler, hands=1).placements[0].attempt
     scheduler.admission.cancel(PendingRequest(lambda status: None, None, "req-000001"))
     commit(scheduler)
     assert scheduler.cancellations.machines_to_fence() == set()
     now[0] = SITE.cancel_s * 0.5
-    apply_heartbeat(scheduler.cluster, report(2, TaskStatus("req-000001/0", attempt, "running")), now[0])
+    apply_heartbeat(scheduler.cluster, heartbeat(2, TaskStatus("req-000001/0", attempt, "running")), now[0])
     commit(scheduler)
     assert scheduler.cancellations.machines_to_fence() == {"vm-1"}
 
 
-def test_nobody_is_stopped_for_a_job_that_comes_later() -> None:
+def test_two_jobs_never_preempt_each_other() -> None:
     """Seen in an incident: a guaranteed best-effort job and a standard one displaced each other in a circle."""
     low = Job(job(1, rank="best_effort", crew="red"), 1.0)
     standard = Job(job(2, rank="standard", crew="blue"), 2.0)
@@ -424,13 +443,13 @@
         )
 
 
-def test_a_spot_notice_drains_at_once_although_nothing_else_happens() -> None:
+def test_termination_notice_alone_starts_a_drain() -> None:
     """Seen by reading: a report that differs only in its notice started no batch."""
     now = [0.0]
-    scheduler = make_term(now)
-    attempt = placed(scheduler, hands=1).placements[0].attempt
+    scheduler = scheduler_with_one_machine(now)
+    attempt = submit_and_place(scheduler, hands=1).placements[0].attempt
     running = TaskStatus("req-000001/0", attempt, "running")
-    apply_heartbeat(scheduler.cluster, report(2, running), 1.0)
+    apply_heartbeat(scheduler.cluster, heartbeat(2, running), 1.0)
     while scheduler.has_work:
         commit(scheduler)
     apply_heartbeat(scheduler.cluster, Heartbeat("vm-1", "h:1", "big", "north", False, 1, 3, 5, (running,), 8.0), 2.0)
@@ -439,9 +458,9 @@
     assert scheduler.cluster.jobs["req-000001"].placements[0].stop_grace_s == 2.0
 
 
-def test_a_lone_replica_moves_to_where_its_image_is_and_only_then() -> None:
+def test_consolidation_moves_a_replica_only_to_a_machine_with_its_image() -> None:
     now = [1000.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     scheduler.cluster.started_at = 0.0
     for number in (1, 2, 3):
         scheduler.admission.submit(
@@ -479,47 +498,49 @@
     assert scheduler.consolidation_candidate(now[0]) is None, "a move must not wait for a fetch"
 
 
-def test_an_image_whose_fetch_was_given_up_is_not_taken_for_cached() -> None:
+def test_image_with_an_unfinished_fetch_is_not_cached() -> None:
     """Seen in an incident: work was displaced on a machine for an image that it had never finished fetching."""
     now = [0.0]
-    scheduler = make_term(now)
-    attempt = placed(scheduler, hands=1).placements[0].attempt
+    scheduler = scheduler_with_one_machine(now)
+    attempt = submit_and_place(scheduler, hands=1).placements[0].attempt
     machine = scheduler.cluster.machines["vm-1"]
     assert "img-1" in machine.cached_images
-    apply_heartbeat(scheduler.cluster, report(2, TaskStatus("req-000001/0", attempt, "pulling")), 1.0)
-    apply_heartbeat(scheduler.cluster, report(3, TaskStatus("req-000001/0", attempt, "exited", "stopped")), 2.0)
+    apply_heartbeat(scheduler.cluster, heartbeat(2, TaskStatus("req-000001/0", attempt, "pulling")), 1.0)
+    apply_heartbeat(scheduler.cluster, heartbeat(3, TaskStatus("req-000001/0", attempt, "exited", "stopped")), 2.0)
     commit(scheduler)
     assert "img-1" not in machine.cached_images
-    scheduler = make_term(now)
-    attempt = placed(scheduler, hands=1).placements[0].attempt
+    scheduler = scheduler_with_one_machine(now)
+    attempt = submit_and_place(scheduler, hands=1).placements[0].attempt
     machine = scheduler.cluster.machines["vm-1"]
-    apply_heartbeat(scheduler.cluster, report(2, TaskStatus("req-000001/0", attempt, "running")), 1.0)
-    apply_heartbeat(scheduler.cluster, report(3, TaskStatus("req-000001/0", attempt, "exited", "stopped")), 2.0)
+    apply_heartbeat(scheduler.cluster, heartbeat(2, TaskStatus("req-000001/0", attempt, "running")), 1.0)
+    apply_heartbeat(scheduler.cluster, heartbeat(3, TaskStatus("req-000001/0", attempt, "exited", "stopped")), 2.0)
     commit(scheduler)
     assert "img-1" in machine.cached_images
 
 
-def test_machines_that_are_late_or_silent_are_given_up_and_idle_ones_returned() -> None:
+def test_late_silent_and_idle_machines_are_selected_for_scale_in() -> None:
     now = [1000.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     scheduler.cluster.started_at = 0.0
     late = scheduler.cluster.register_machine("vm-2", "big", "north", False, "", now[0])
     empty = CapacityPlan({}, set())
     assert scheduler.select_scale_in(empty, now[0]) == []
     now[0] += BIG.boot_s * scheduler.tuning.boot_timeout_boot_times + 0.1
-    heard = scheduler.cluster.machines["vm-1"]
-    heard.last_heartbeat_at = now[0]
+    reachable = scheduler.cluster.machines["vm-1"]
+    reachable.last_heartbeat_at = now[0]
     assert {machine.name for machine in scheduler.select_scale_in(empty, now[0])} == {"vm-1", "vm-2"}, (
         "one idle, one late"
     )
     assert scheduler.select_scale_in(CapacityPlan({}, {"vm-1"}), now[0]) == [late], "what the queue needs is kept"
-    heard.last_heartbeat_at = now[0] - SITE.lease_s * scheduler.tuning.machine_loss_timeout_leases - 0.1
-    assert heard in scheduler.select_scale_in(CapacityPlan({}, {"vm-1"}), now[0]), "silent for longer than its lease"
+    reachable.last_heartbeat_at = now[0] - SITE.lease_s * scheduler.tuning.machine_loss_timeout_leases - 0.1
+    assert reachable in scheduler.select_scale_in(CapacityPlan({}, {"vm-1"}), now[0]), (
+        "silent for longer than its lease"
+    )
 
 
-def test_what_the_cloud_refuses_is_asked_for_elsewhere_and_later_again() -> None:
+def test_refused_scale_out_uses_another_offer_and_is_retried_later() -> None:
     now = [0.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     scheduler.cluster.machines.clear()
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1, hands=1, builds=["big"]), "req-000001"))
     commit(scheduler)
--- a/tests/test_sharing_walk.py
+++ b/tests/test_sharing_walk.py
@@ -10,7 +10,7 @@
 
 from .sharing_simulation import ShardedSimulation
 from .simulation import LABELS, Simulation
-from .test_controller_fault_walk import FAULTS, Fault, accepted, some_job
+from .test_controller_fault_walk import FAULTS, Fault, accepted_job_ids, random_raw_job
 
 
 def move(simulation: Simulation, rng: random.Random) -> None:
@@ -93,7 +93,7 @@
         await simulation.wait_until_ready()
         for _ in range(8):
             number += 1
-            simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
+            simulation.submit_until_accepted(random_raw_job(rng, number, accepted_job_ids(simulation)))
             await simulation.advance(0.5)
         await simulation.advance(9.0)
         for _ in range(rng.randrange(6, 16)):
@@ -105,7 +105,7 @@
                 simulation.cancel_until_confirmed(f"req-{rng.randrange(1, number + 1):06d}")
             if rng.random() < 0.6:
                 number += 1
-                simulation.submit_until_accepted(some_job(rng, number, accepted(simulation)))
+                simulation.submit_until_accepted(random_raw_job(rng, number, accepted_job_ids(simulation)))
             for _ in range(3):
                 await simulation.poll(f"req-{rng.randrange(1, number + 1):06d}")
             await simulation.advance(rng.choice([0.1, 0.5, 3.0, 15.0]))
--- a/tests/test_stale_heartbeats_and_placement.py
+++ b/tests/test_stale_heartbeats_and_placement.py
@@ -20,8 +20,8 @@
 from .reference_model import ReferenceModel, ReferenceWorker
 from .samples import BIG, MACHINE_TYPES, job, platform
 from .scheduler_fixtures import new_scheduler
-from .test_fault_injection import busy_model, holder
-from .test_scheduler_units import commit, make_term, placed, report
+from .test_fault_injection import busy_model, worker_with_task
+from .test_scheduler_units import commit, heartbeat, scheduler_with_one_machine, submit_and_place
 
 SITE = platform()
 
@@ -29,10 +29,10 @@
 # -- a machine whose reports arrive while answers and commands do not reach it -------------------------------
 
 
-def test_an_unresponsive_machine_is_returned_and_its_work_goes_on_elsewhere() -> None:
+def test_unresponsive_machine_is_deleted_and_its_tasks_run_elsewhere() -> None:
     """Guards against offering starts for ever to a machine that looks alive and hears nothing."""
     model = busy_model()
-    worker = holder(model, 3)
+    worker = worker_with_task(model, 3)
     worker.inbound_cut = True
     model.run(6 * model.platform.lease_s)
     assert worker.terminated, "its own reports show that it heeds nothing"
@@ -41,22 +41,22 @@
     assert set(model.states().values()) <= {"done", "cancelled"}
 
 
-def test_a_machine_that_never_heard_us_is_given_nothing() -> None:
+def test_machine_that_received_no_response_gets_no_tasks() -> None:
     now = [100.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     first = Heartbeat("vm-2", "h:2", "big", "north", False, 1, 1, 0, ())
     machine = apply_heartbeat(scheduler.cluster, first, now[0])
     assert machine is not None and not scheduler.candidates.takes_tasks(machine, now[0])
     commands_for_heartbeat(scheduler.cluster, machine, first)
-    heard = Heartbeat("vm-2", "h:2", "big", "north", False, 1, 2, 5, ())
-    assert apply_heartbeat(scheduler.cluster, heard, now[0]) is machine and scheduler.candidates.takes_tasks(
+    acknowledged = Heartbeat("vm-2", "h:2", "big", "north", False, 1, 2, 5, ())
+    assert apply_heartbeat(scheduler.cluster, acknowledged, now[0]) is machine and scheduler.candidates.takes_tasks(
         machine, now[0]
     )
 
 
-def test_a_cancelled_task_on_an_unresponsive_machine_is_gone_in_time() -> None:
+def test_cancelled_task_on_an_unresponsive_machine_ends_in_time() -> None:
     model = busy_model()
-    worker = holder(model, 3)
+    worker = worker_with_task(model, 3)
     worker.inbound_cut = True
     model.cancel("req-000003")
     model.run(model.platform.cancel_s)
@@ -64,25 +64,25 @@
     assert all(task.job.id != "req-000003" for _, task in model.tasks_on_machines())
 
 
-def test_one_lost_answer_makes_no_machine_unresponsive() -> None:
+def test_one_lost_response_does_not_make_a_machine_unresponsive() -> None:
     now = [100.0]
-    scheduler = make_term(now)
-    placed(scheduler, hands=1)
+    scheduler = scheduler_with_one_machine(now)
+    submit_and_place(scheduler, hands=1)
     machine = scheduler.cluster.machines["vm-1"]
     for seq in (2, 3):
-        newest = report(seq)
+        newest = heartbeat(seq)
         apply_heartbeat(scheduler.cluster, newest, now[0])
         commands_for_heartbeat(scheduler.cluster, machine, newest)
     assert machine.unacknowledged_responses == 1
     attempt = scheduler.cluster.jobs["req-000001"].placements[0].attempt
-    apply_heartbeat(scheduler.cluster, report(4, TaskStatus("req-000001/0", attempt, "running")), now[0])
+    apply_heartbeat(scheduler.cluster, heartbeat(4, TaskStatus("req-000001/0", attempt, "running")), now[0])
     assert machine.unacknowledged_responses == 0 and scheduler.candidates.takes_tasks(machine, now[0])
 
 
-def test_many_unresponsive_at_once_are_not_returned() -> None:
+def test_many_machines_unresponsive_at_once_are_not_deleted() -> None:
     """Guards against a leader too slow to answer that takes the whole fleet for unresponsive."""
     now = [1000.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     scheduler.cluster.started_at = 0.0
     for number in range(2, 12):
         apply_heartbeat(scheduler.cluster, Heartbeat(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
@@ -98,13 +98,13 @@
 # -- late copies of reports ----------------------------------------------------------------------------------
 
 
-def test_a_late_copy_proves_nothing_to_a_new_leader() -> None:
+def test_new_leader_does_not_trust_a_late_duplicate_heartbeat() -> None:
     """Guards against a report of a machine long gone: it was taken for a machine with room."""
     now = [100.0]
     cluster = ClusterState(9, {}, dict(MACHINE_TYPES), now[0], SITE.lease_s)
     scheduler = new_scheduler(SITE, cluster, now)
-    copy = Heartbeat("vm-1", "h:1", "big", "north", False, 1, 7, 5, (), 3.0)
-    machine = apply_heartbeat(cluster, copy, now[0])
+    duplicate = Heartbeat("vm-1", "h:1", "big", "north", False, 1, 7, 5, (), 3.0)
+    machine = apply_heartbeat(cluster, duplicate, now[0])
     assert machine is not None
     assert not scheduler.candidates.takes_tasks(machine, now[0]) and scheduler.candidates.available(now[0]) == []
     assert machine.state is MachineState.UP, "an old notice drains nothing"
@@ -114,17 +114,21 @@
     assert not scheduler.cluster.jobs["req-000001"].placements
 
 
-def test_a_late_copy_starts_stops_and_forgets_nothing() -> None:
+def test_late_duplicate_heartbeat_changes_nothing() -> None:
     now = [0.0]
-    scheduler = make_term(now)
-    attempt = placed(scheduler, hands=1).placements[0].attempt
+    scheduler = scheduler_with_one_machine(now)
+    attempt = submit_and_place(scheduler, hands=1).placements[0].attempt
     running = TaskStatus("req-000001/0", attempt, "running")
-    early = report(2)
+    early = heartbeat(2)
     machine = apply_heartbeat(scheduler.cluster, early, 1.0)
     assert machine is not None
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, early)] == ["start"]
-    apply_heartbeat(scheduler.cluster, report(3, running), 2.0)
-    for late in (early, report(2, TaskStatus("req-000001/0", attempt, "exited", "done")), report(1, session=1)):
+    apply_heartbeat(scheduler.cluster, heartbeat(3, running), 2.0)
+    for late in (
+        early,
+        heartbeat(2, TaskStatus("req-000001/0", attempt, "exited", "done")),
+        heartbeat(1, worker_epoch=1),
+    ):
         assert apply_heartbeat(scheduler.cluster, late, 50.0) is None
         assert commands_for_heartbeat(scheduler.cluster, machine, late) == []
     commit(scheduler)
@@ -132,7 +136,7 @@
     assert scheduler.cluster.jobs["req-000001"].tasks_done == 0 and scheduler.cluster.jobs["req-000001"].placements
 
 
-def test_copies_of_every_report_break_no_rule() -> None:
+def test_duplicates_of_every_heartbeat_break_no_invariant() -> None:
     model = ReferenceModel(3, platform(), MACHINE_TYPES)
     model.elect()
     model.duplicate_rate = 1.0
@@ -151,7 +155,7 @@
 # -- a leader without store and peers, not without its workers -----------------------------------------------
 
 
-def test_a_leader_without_store_and_peers_decides_nothing_and_gives_its_workers_up() -> None:
+def test_isolated_leader_decides_nothing_and_steps_down() -> None:
     model = busy_model()
     old = model.leader
     before = {
@@ -165,8 +169,10 @@
     model.run(2 * model.platform.lease_s)
     assert old.stepped_down, "a worker that saw the new token told it"
     assert old.scheduler.counters.batches == batches
-    heard = [machine for machine in model.leader.scheduler.cluster.machines.values() if machine.fence_acknowledged]
-    assert len(heard) >= len(model.alive()) - 1, "the workers are with the new leader"
+    acknowledged = [
+        machine for machine in model.leader.scheduler.cluster.machines.values() if machine.fence_acknowledged
+    ]
+    assert len(acknowledged) >= len(model.alive()) - 1, "the workers are with the new leader"
     assert before <= {(worker.name, task.job.id, task.attempt) for worker, task in model.tasks_on_machines()}
     model.settle()
     assert set(model.states().values()) <= {"done", "cancelled"}
@@ -175,9 +181,9 @@
 # -- back within a fraction of a second ----------------------------------------------------------------------
 
 
-def test_a_machine_that_is_back_at_once_is_told_from_what_it_was() -> None:
+def test_quickly_restarted_worker_is_recognized_as_a_new_incarnation() -> None:
     model = busy_model()
-    worker: ReferenceWorker = holder(model, 3)
+    worker: ReferenceWorker = worker_with_task(model, 3)
     worker.restart()
     model.run(12.0)
     found = [(where.name, task.attempt) for where, task in model.tasks_on_machines() if task.job.id == "req-000003"]
@@ -186,7 +192,7 @@
     assert set(model.states().values()) <= {"done", "cancelled"}
 
 
-def test_controllers_that_come_back_at_once_lead_one_at_a_time() -> None:
+def test_quickly_restarted_controllers_lead_one_at_a_time() -> None:
     model = busy_model()
     tokens = []
     for label in "aabcaab":
@@ -200,10 +206,10 @@
     assert set(model.states().values()) <= {"done", "cancelled"}
 
 
-def test_troubles_together_break_no_rule_and_work_goes_on() -> None:
+def test_combined_faults_break_no_invariant_and_jobs_finish() -> None:
     model = busy_model(11)
     model.duplicate_rate = 0.5
-    holder(model, 1).inbound_cut = True
+    worker_with_task(model, 1).inbound_cut = True
     model.sticky_leader = model.leader
     model.elect("b")
     model.run(5.0)
@@ -220,7 +226,7 @@
 # -- the largest jobs ----------------------------------------------------------------------------------------
 
 
-def test_a_large_gang_starts_although_smaller_ones_keep_coming() -> None:
+def test_large_gang_starts_while_smaller_ones_keep_arriving() -> None:
     """Guards against a gang of many machines that starves behind a stream of smaller jobs of its rank."""
     site = platform()
     model = ReferenceModel(5, site, {"big": BIG})
@@ -246,9 +252,9 @@
     assert started is None or started.placements, "the large one has its machines"
 
 
-def test_what_a_gang_waits_for_is_kept_for_it() -> None:
+def test_machines_of_preempted_tasks_are_reserved_for_the_gang() -> None:
     now = [100.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     for number in (2, 3):
         apply_heartbeat(scheduler.cluster, Heartbeat(f"vm-{number}", "h", "big", "north", False, 1, 1, 5, ()), now[0])
     low = job(1, hands=3, cores=16.0, rank="best_effort", voyageS=500.0)
@@ -269,10 +275,10 @@
     assert len(scheduler.preemption.reservations) == len(stopped)
 
 
-def test_a_free_machine_is_kept_beside_one_that_comes_free() -> None:
+def test_free_machine_is_reserved_together_with_a_preempted_one() -> None:
     """Guards against smaller jobs taking the free machines of a gang one by one while the others come free."""
     now = [100.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     apply_heartbeat(scheduler.cluster, Heartbeat("vm-2", "h", "big", "north", False, 1, 1, 5, ()), now[0])
     low = job(1, hands=1, cores=16.0, rank="best_effort", voyageS=500.0)
     scheduler.admission.submit(PendingRequest(lambda status: None, low, low.id))
@@ -304,11 +310,13 @@
 # -- sizing and the store's changes, at size -----------------------------------------------------------------
 
 
-def test_what_is_expected_of_a_class_is_not_spread_over_zones_by_one_jobs_size() -> None:
+def test_forecast_demand_is_not_limited_per_zone_by_the_size_of_one_job() -> None:
     """Seen on the bench: rooms were rented in the dear zone, since one job's size was taken for the limit."""
-    dear = MachineType("dear", 16.0, 4.0, 64.0, 100.0, 1.0, 40.0, 30.0, 30.0, ("south",))
+    expensive = MachineType("dear", 16.0, 4.0, 64.0, 100.0, 1.0, 40.0, 30.0, 30.0, ("south",))
     cheap = MachineType("cheap", 16.0, 4.0, 64.0, 100.0, 1.0, 4.0, 3.0, 30.0, ("north",))
-    plan = plan_fleet([Demand(job(1, hands=4), 40, {})], [], {"dear": dear, "cheap": cheap}, lambda offer: False, 64)
+    plan = plan_fleet(
+        [Demand(job(1, hands=4), 40, {})], [], {"dear": expensive, "cheap": cheap}, lambda offer: False, 64
+    )
     assert plan.scale_out == {("cheap", "north", False): 10}
     expected = Demand(job(1, hands=4), 40, {})
     CandidatePool(Candidate(f"vm-{number}", "big", "north", False, 16.0, 4.0, 64.0) for number in range(10)).fill(
@@ -317,64 +325,72 @@
     assert expected.tasks == 0, "one zone may hold them all"
 
 
-def plain_fill(demand: Demand, rooms: list[Candidate]) -> int:
+def fill_one_by_one(demand: Demand, candidates: list[Candidate]) -> int:
     """The slow plain model: room by room, in the same order of preference."""
     spec, taken = demand.spec, 0
-    for room in sorted(rooms, key=lambda room: (not room.busy, room.fetch_weighted_cost(spec), room.gpus, room.cpus)):
+    for candidate in sorted(
+        candidates,
+        key=lambda candidate: (
+            not candidate.busy,
+            candidate.fetch_weighted_cost(spec),
+            candidate.gpus,
+            candidate.cpus,
+        ),
+    ):
         zone_left = demand.tasks - taken
         if demand.max_per_zone is not None:
-            zone_left = min(zone_left, demand.max_per_zone - demand.tasks_by_zone.get(room.zone, 0))
-        if not allowed(spec, room.machine_type, room.zone, room.spot) or not fits(
-            spec, room.cpus, room.gpus, room.memory_gb
+            zone_left = min(zone_left, demand.max_per_zone - demand.tasks_by_zone.get(candidate.zone, 0))
+        if not allowed(spec, candidate.machine_type, candidate.zone, candidate.spot) or not fits(
+            spec, candidate.cpus, candidate.gpus, candidate.memory_gb
         ):
             continue
-        count = capacity(spec, room.cpus, room.gpus, room.memory_gb, zone_left) if zone_left > 0 else 0
+        count = capacity(spec, candidate.cpus, candidate.gpus, candidate.memory_gb, zone_left) if zone_left > 0 else 0
         if count > 0:
-            room.allocate(spec, count)
-            demand.tasks_by_zone[room.zone] = demand.tasks_by_zone.get(room.zone, 0) + count
+            candidate.allocate(spec, count)
+            demand.tasks_by_zone[candidate.zone] = demand.tasks_by_zone.get(candidate.zone, 0) + count
             taken += count
     return taken
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.data())
-def test_candidates_in_groups_hold_what_each_by_itself_holds(data: st.DataObject) -> None:
-    rooms = []
+def test_grouped_candidates_take_as_many_tasks_as_single_ones(data: st.DataObject) -> None:
+    candidates = []
     for number in range(data.draw(st.integers(0, 24))):
         machine_type = data.draw(st.sampled_from([MACHINE_TYPES["big"], MACHINE_TYPES["small"]]))
-        share = data.draw(st.sampled_from([0.0, 0.5, 1.0]))
-        rooms.append(
+        free_fraction = data.draw(st.sampled_from([0.0, 0.5, 1.0]))
+        candidates.append(
             Candidate(
                 f"vm-{number:03d}",
                 machine_type.name,
                 data.draw(st.sampled_from(["north", "south"])),
                 data.draw(st.booleans()),
-                machine_type.cpus * share,
-                machine_type.gpus * share,
-                machine_type.memory_gb * share,
-                busy=share < 1.0,
+                machine_type.cpus * free_fraction,
+                machine_type.gpus * free_fraction,
+                machine_type.memory_gb * free_fraction,
+                busy=free_fraction < 1.0,
                 price=machine_type.price,
                 total_cpus=machine_type.cpus,
                 total_gpus=machine_type.gpus,
                 total_memory_gb=machine_type.memory_gb,
             )
         )
-    plain = [
+    single_candidates = [
         Candidate(
-            room.name,
-            room.machine_type,
-            room.zone,
-            room.spot,
-            room.cpus,
-            room.gpus,
-            room.memory_gb,
-            busy=room.busy,
-            price=room.price,
-            total_cpus=room.total_cpus,
-            total_gpus=room.total_gpus,
-            total_memory_gb=room.total_memory_gb,
+            candidate.name,
+            candidate.machine_type,
+            candidate.zone,
+            candidate.spot,
+            candidate.cpus,
+            candidate.gpus,
+            candidate.memory_gb,
+            busy=candidate.busy,
+            price=candidate.price,
+            total_cpus=candidate.total_cpus,
+            total_gpus=candidate.total_gpus,
+            total_memory_gb=candidate.total_memory_gb,
         )
-        for room in rooms
+        for candidate in candidates
     ]
     spec = job(
         1,
@@ -384,35 +400,37 @@
         spread=data.draw(st.booleans()),
         driftwood=data.draw(st.booleans()),
     )
-    grouped, single = Demand(spec, spec.tasks, {}), Demand(spec, spec.tasks, {})
+    grouped_demand, single_demand = Demand(spec, spec.tasks, {}), Demand(spec, spec.tasks, {})
     used: set[str] = set()
-    stock = CandidatePool(rooms)
-    stock.fill(grouped, used)
-    taken = plain_fill(single, plain)
-    assert spec.tasks - grouped.tasks == taken == sum(grouped.tasks_by_zone.values())
-    assert all(count <= spread_limit(spec) for count in grouped.tasks_by_zone.values())
+    pool = CandidatePool(candidates)
+    pool.fill(grouped_demand, used)
+    taken = fill_one_by_one(single_demand, single_candidates)
+    assert spec.tasks - grouped_demand.tasks == taken == sum(grouped_demand.tasks_by_zone.values())
+    assert all(count <= spread_limit(spec) for count in grouped_demand.tasks_by_zone.values())
     assert (taken > 0) == bool(used)
-    free = sum(room.gpus * len(names) for room, names in stock.groups.values())
-    assert abs(free - sum(room.gpus for room in plain)) < 1e-6
-    assert sorted(name for _, names in stock.groups.values() for name in names) == sorted(room.name for room in plain)
+    free = sum(candidate.gpus * len(names) for candidate, names in pool.groups.values())
+    assert abs(free - sum(candidate.gpus for candidate in single_candidates)) < 1e-6
+    assert sorted(name for _, names in pool.groups.values() for name in names) == sorted(
+        candidate.name for candidate in single_candidates
+    )
 
 
-def test_users_go_before_exits_and_exits_before_notes() -> None:
+def test_user_writes_come_before_placements_and_deferred_writes() -> None:
     now = [0.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     for number in range(4):
         scheduler.garbage_collector.put_later(f"driftcleat/machines/vm-{number}", number)
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
-    few = scheduler.platform.write_rps * scheduler.tuning.user_write_share
-    batch = scheduler.build_batch(few)
+    user_write_budget = scheduler.platform.write_rps * scheduler.tuning.user_write_share
+    batch = scheduler.build_batch(user_write_budget)
     assert batch.created == {"req-000001"} and not batch.puts, "what is left is kept for users"
     scheduler.apply_commit(batch, 9, [])
-    assert not scheduler.build_batch(few).changed_jobs, "a placement waits for more"
+    assert not scheduler.build_batch(user_write_budget).changed_jobs, "a placement waits for more"
     batch = scheduler.build_batch(scheduler.platform.write_rps)
     assert batch.changed_jobs == {"req-000001"} and len(batch.puts) == 4
 
 
-def test_small_machines_with_one_task_each_are_no_bargain_while_others_wait() -> None:
+def test_sizing_avoids_small_machines_that_hold_one_task_each() -> None:
     """Seen on the bench: two hundred machines were rented for one task each, their other places of no use to any."""
     little = MachineType("little", 24.0, 4.0, 96.0, 100.0, 1.0, 11.0, 2.9, 30.0, ("north",))
     large = MachineType("large", 96.0, 8.0, 576.0, 100.0, 1.0, 17.8, 4.3, 30.0, ("north",))
@@ -422,7 +440,7 @@
     assert plan.scale_out == {("large", "north", False): 10}
 
 
-def test_at_one_price_work_goes_where_controllers_are() -> None:
+def test_at_equal_prices_work_goes_to_zones_with_more_controllers() -> None:
     """Seen on the bench: a zone cut off with all controllers inside kept only a fifth of the replicas."""
     site = platform()
     assert (site.away("north"), site.away("south"), site.away("elsewhere")) == (1, 1, 2)
@@ -430,33 +448,33 @@
         [Demand(job(1, hands=4), 4, {})], [], {"big": BIG}, lambda offer: False, 9, lambda zone: int(zone == "north")
     )
     assert {offer.zone for offer in plan.scale_out} == {"south"}
-    rooms = [
+    candidates = [
         Candidate(f"vm-{number}", "big", "north", False, 8.0, 2.0, 32.0, controllers_elsewhere=number)
         for number in (1, 0, 2)
     ]
-    ((_, room),) = PlacementRound(rooms, 9, random.Random(1)).place(
+    ((_, candidate),) = PlacementRound(candidates, 9, random.Random(1)).place(
         Job(job(2, hands=1), 0.0), QuotaHeadroom(99.0, 99.0), 1
     )
-    assert room.name == "vm-0"
+    assert candidate.name == "vm-0"
 
 
-def test_replicas_that_must_come_up_soon_are_worth_a_faster_fetch() -> None:
+def test_critical_replicas_get_machines_with_a_faster_image_fetch() -> None:
     """Seen on the bench: half of all replicas waited longest for their images, on the cheaper machines."""
     fast = MachineType("fast", 16.0, 4.0, 64.0, 100.0, 0.15, 11.0, 3.0, 30.0, ("north",))
     cheap = MachineType("cheap", 16.0, 4.0, 64.0, 100.0, 0.12, 9.0, 3.0, 30.0, ("north",))
     types = {"fast": fast, "cheap": cheap}
-    for rig, rank, wanted in (
+    for rig, rank, expected_type in (
         ("daemon", "critical", "fast"),
         ("array", "critical", "cheap"),
         ("daemon", "standard", "cheap"),
     ):
         plan = plan_fleet([Demand(job(1, rig=rig, rank=rank, hands=4), 4, {})], [], types, lambda offer: False, 9)
-        assert {offer.machine_type for offer in plan.scale_out} == {wanted}
+        assert {offer.machine_type for offer in plan.scale_out} == {expected_type}
 
 
-def test_services_stop_lower_work_where_their_image_is_for_several_replicas_at_once() -> None:
+def test_service_preempts_tasks_on_several_machines_that_have_its_image() -> None:
     now = [100.0]
-    scheduler = make_term(now)
+    scheduler = scheduler_with_one_machine(now)
     for name, zone in (("vm-2", "north"), ("vm-3", "south")):
         apply_heartbeat(scheduler.cluster, Heartbeat(name, "h", "big", zone, False, 1, 1, 5, ()), now[0])
     low = job(1, hands=2, cores=16.0, rank="best_effort", mooringS=1.0, stowS=0.0, imageGb=0.1, hull="img-low")
--- a/tools/shares/run.py
+++ b/tools/shares/run.py
@@ -17,7 +17,7 @@
 from tests.protocol_doubles import wait_until
 from tests.reference_model import InMemoryStore
 from tests.samples import raw_settings
-from tests.test_controller_fault_walk import some_job
+from tests.test_controller_fault_walk import random_raw_job
 from tools.load.processes import LABELS, LoadSite, usage
 from tools.load.sizes import Size
 
@@ -96,7 +96,7 @@
     async def _submit(self) -> None:
         self.number += 1
         known = [job_id for job_id in self.told if self.site.model.specs[job_id].estimated_run_s > 0]
-        raw = some_job(self.rng, self.number, known[-20:])
+        raw = random_raw_job(self.rng, self.number, known[-20:])
         raw |= {"voyageS": 0.0 if raw["rig"] == "daemon" else self.rng.choice([2.0, 5.0]), "imageGb": 0.0}
         spec = self.site.model.specs.setdefault(f"req-{self.number:06d}", parse(raw))
         for _ in range(60):
