--- a/tests/test_controller_fault_walk.py
+++ b/tests/test_controller_fault_walk.py
@@ -1,4 +1,4 @@
-"""A random walk over pairs of troubles: real controllers, election and all, against the plain model of the rules."""
+"""A random walk over pairs of faults: real controllers with leader election, checked by the reference model."""
 
 import random
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 
 def partition_zone(simulation: Simulation, rng: random.Random) -> None:
-    """Controller c and the workers of its zone are alone together."""
+    """Partition zone south: controller c loses the store, its peers and users; workers in the zone reach only c."""
     simulation.isolate("c")
     simulation.partitioned_from["users"].add("c")
     for worker in simulation.alive():
@@ -51,10 +51,10 @@
 
 
 def resume_hung_workers(simulation: Simulation) -> None:
-    """Machines go on.
+    """Resume all hung machines.
 
-    Only the cloud can end a task on a machine that hangs for longer than a cancellation has: with no controller
-    to ask it, or no cloud, no service could keep the rule.
+    Only the cloud can end a task on a machine that hangs for longer than `cancel_s`. Without a controller to request
+    that, or without the cloud, no scheduler could end a cancelled task in time.
     """
     for worker in simulation.alive():
         worker.hung = False
@@ -73,7 +73,7 @@
 
 
 def toggle_on_some_workers(name: str) -> "Fault":
-    """Some machines fall into a state, or leave it."""
+    """Return a fault that toggles a flag of up to three random workers; `hung` only while machines can be fenced."""
 
     def inject(simulation: Simulation, rng: random.Random) -> None:
         if name == "hung" and not (simulation.cloud_up and simulation.processes):
@@ -159,7 +159,7 @@
 
 
 def random_raw_job(rng: random.Random, number: int, known: list[str]) -> dict[str, object]:
-    """Return a submission; services are those with no estimate. Some need jobs that were accepted."""
+    """Return a random submission that depends on up to two of the `known` jobs; services have no time estimate."""
     rig = rng.choice(["array", "array", "group", "daemon"])
     spread = rng.random() < 0.15
     return raw_job(
@@ -180,7 +180,7 @@
 
 
 def accepted_job_ids(simulation: Simulation) -> list[str]:
-    """Return the accepted jobs that others may need."""
+    """Return the accepted jobs on which others may depend: all but services."""
     return sorted(job_id for job_id in simulation.statuses if simulation.specs[job_id].kind is not JobKind.SERVICE)
 
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -1,4 +1,4 @@
-"""What work costs, in counts that repeat exactly: guards of what was gained for small controllers."""
+"""Costs of the scheduler as deterministic counts, so that controllers on a small share of a core stay fast enough."""
 
 import random
 import subprocess
@@ -25,7 +25,7 @@
 from .scheduler_fixtures import commit_all, commit_next, commit_submissions, scheduler_with_machines
 from .simulation import Simulation
 
-# Loaded only by what needs them: each costs a start milliseconds of a core, of which a controller has a small share.
+# Each costs a start milliseconds of processor time, and a controller has a small share of a core.
 MODULES_NOT_LOADED_AT_START = (
     "aiohttp",
     "click",
@@ -44,13 +44,15 @@
     loaded = subprocess.run([sys.executable, "-c", code], check=True, capture_output=True, text=True).stdout.split()
     assert "driftcleat.controller.controller" in loaded
     assert not set(MODULES_NOT_LOADED_AT_START) & set(loaded)
-    assert not any(name.startswith("driftcleat.sharing") for name in loaded), "off, sharing costs nothing"
+    assert not any(name.startswith("driftcleat.sharing") for name in loaded), (
+        "without sharing, its modules are not loaded"
+    )
 
 
 def test_sizing_groups_equal_jobs_and_machines() -> None:
-    """Guards against rounds of sizing that grow with the queue: they were a quarter of a leader's processor time."""
+    """Guards against sizing whose work grows with the queue: it took a quarter of a leader's processor time."""
     scheduler, _ = scheduler_with_machines(200)
-    # Whole machines, of two ranks, and one gang whose tasks depend on one another's zones.
+    # Jobs that need a whole machine, of two priorities, and one gang that must stay in one zone.
     whole_machine = {"accelerators": 4.0, "cores": 16.0, "hands": 1, "imageGb": 0.0}
     whole = [
         job(number, rank=("high", "standard")[number % 2], crew="blue", **whole_machine) for number in range(1, 41)
@@ -59,7 +61,7 @@
     commit_submissions(scheduler, *whole, gang)
     assert len(scheduler.queue.queued().jobs) == 41
     demands = scheduler.demand.queued.demands()
-    # The team's limit of six accelerators leaves room for one of these.
+    # The team's quota of 6 GPUs allows only one of the whole-machine jobs.
     assert sorted(demand.tasks for demand in demands) == [1, 2]
     free = scheduler.demand.free_capacity.pool()
     assert len(free.groups) == 2 and sum(len(names) for _, names in free.groups.values()) == 200
@@ -101,7 +103,7 @@
 
 
 def test_unchanged_heartbeat_is_answered_without_an_asyncio_task() -> None:
-    """Guards against a task for each of several hundred reports a second."""
+    """Guards against an asyncio task for each of several hundred heartbeats per second."""
 
     async def scenario(simulation: Simulation) -> None:
         simulation.submit_until_accepted(raw_job(1, rig="daemon", hands=1, voyageS=0.0))
@@ -119,7 +121,7 @@
 
 
 def test_unchanged_heartbeat_parses_no_task_name(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a walk over a machine's tasks with each of its reports: most say what the last one said."""
+    """Guards against iterating over a machine's tasks for each heartbeat, although most equal the previous one."""
     scheduler, now = scheduler_with_machines(1)
     machine = scheduler.cluster.machines["vm-0"]
     spec = job(1, hands=8, crew="red", accelerators=0.0, cores=1.0, imageGb=0.0)
@@ -145,11 +147,11 @@
         parse_counts.append(parse.call_count)
         commit_all(scheduler)
     assert parse_counts[0] > 0 and parse_counts[2:] == [0, 0, 0]
-    # What changes is looked at again.
+    # A changed heartbeat is checked again.
     heartbeat = Heartbeat("vm-0", "h", "big", "north", False, 1, 7, 5, tasks[:-1])
     apply_heartbeat(scheduler.cluster, heartbeat, now[0])
     assert [command.action for command in commands_for_heartbeat(scheduler.cluster, machine, heartbeat)] == ["start"]
-    # So is an equal report once the job is cancelled.
+    # So is an unchanged heartbeat once the job is cancelled.
     unchanged = Heartbeat("vm-0", "h", "big", "north", False, 1, 8, 5, tasks)
     for seq in (8, 9, 10):
         unchanged = Heartbeat("vm-0", "h", "big", "north", False, 1, seq, 5, tasks)
@@ -163,7 +165,7 @@
 
 
 def test_rounds_that_are_always_truncated_reach_every_job() -> None:
-    """Guards against a round that uses its time up before its first job, over and over."""
+    """Guards against rounds that use up their time budget before they place the first job, again and again."""
     scheduler, now = scheduler_with_machines(40)
     commit_submissions(
         scheduler, *(job(number, hands=1, accelerators=0.0, cores=1.0, imageGb=0.0) for number in range(1, 21))
@@ -180,7 +182,7 @@
 
 
 def test_no_placement_round_while_no_write_is_available() -> None:
-    """Guards against a look at every machine for a batch that can hold no place."""
+    """Guards against checking every machine for a batch that has no room for a placement."""
     scheduler, _ = scheduler_with_machines(10)
     commit_submissions(scheduler, job(1, hands=1, accelerators=0.0, cores=1.0, imageGb=0.0))
     assert scheduler.build_batch(available_operations=0.0).is_empty and scheduler.counters.rounds == 0
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Jobs that need others: the graph against a plain model, and whole lives of pipelines in the plain world."""
+"""Dependencies among jobs: the graph against a simple implementation, and chains of jobs in the reference model."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 class ReferenceGraph:
-    """The slow plain model: a dictionary of jobs, everything recomputed from scratch each time."""
+    """A slow dependency graph that recomputes every value from a dictionary of jobs."""
 
     def __init__(self) -> None:
         self.dependencies: dict[str, tuple[str, ...]] = {}
@@ -44,7 +44,7 @@
         return min([self.own[job_id].level, *(self.level(other) for other in self._dependents(job_id))])
 
     def required_finish(self, job_id: str) -> float:
-        """Return when a job should be done for the deadlines of those that need it."""
+        """Return when a job must be done so that its dependents can meet their deadlines."""
         others = self._dependents(job_id)
         return min(
             (min(self.own[other].deadline, self.required_finish(other)) - self.own[other].run_s for other in others),
@@ -141,11 +141,11 @@
         assert caught.value.field == "tows"
 
 
-# -- in the plain world --------------------------------------------------------------------------------------
+# In the reference model.
 
 
 def submit_chain(model: ReferenceModel, first: int, stages: int = 3, **last: object) -> list[str]:
-    """Submit a chain; return its ids."""
+    """Submit a chain of jobs, each dependent on the previous one; `last` changes the last job. Return the job ids."""
     ids: list[str] = []
     for number in range(first, first + stages):
         more = last if number == first + stages - 1 else {}
@@ -157,17 +157,19 @@
 
 
 def known_states(scheduler: Scheduler, job_ids: list[str]) -> set[str]:
-    """Return the states of those jobs that a term knows."""
+    """Return the states of those jobs that the scheduler knows."""
     views = [scheduler.admission.lookup(job_id) for job_id in job_ids]
     return {status.state for status in views if status is not None}
 
 
 def test_chain_runs_in_order_and_pending_stages_are_not_queued() -> None:
-    """`ReferenceModel` raises if a task starts before all that its job needs is done."""
+    """`ReferenceModel` raises if a task starts before all dependencies of its job are done."""
     model = ReferenceModel(3, platform(), MACHINE_TYPES)
     model.elect()
     ids = submit_chain(model, 1, 4)
-    assert model.leader.scheduler.layout.version_2_active, "only who knows that all are new hands in such a job"
+    assert model.leader.scheduler.layout.version_2_active, (
+        "dependencies are accepted only once all controllers support data version 2"
+    )
     assert [model.statuses[job_id] for job_id in ids[1:]] == ["pending"] * 3
     queued = model.leader.scheduler.queue.queued()
     assert not {job.id for job in queued.jobs} & set(ids[1:]) and not queued.order.guaranteed & set(ids[1:])
@@ -188,7 +190,7 @@
     assert {status.state for job_id in chains[0] if (status := scheduler.admission.lookup(job_id)) is not None} == {
         "cancelled"
     }
-    # The next leader finishes it from the records alone.
+    # The next leader finishes the cancellation from the stored records.
     model.leader.crashed = True
     model.elect("b")
     assert known_states(model.leader.scheduler, chains[0]) <= {"cancelled"}
@@ -197,16 +199,16 @@
     late = job(30, hands=1, tows=[chains[0][2]])
     model.submit(late)
     model.run(2.0)
-    assert model.statuses[late.id] == "cancelled", "who names a cancelled job is accepted, and cancelled"
+    assert model.statuses[late.id] == "cancelled", "a job that depends on a cancelled one is accepted and cancelled"
     model.settle()
     assert [model.states()[job_id] for job_id in chains[1]] == ["done"] * 4
 
 
 def test_next_leader_finishes_a_partly_committed_cancellation() -> None:
-    """The records hold a cancelled job that is gone and active ones below it."""
+    """The store holds the dependents of a cancelled job as active, while the job's own record is already deleted."""
     model = ReferenceModel(6, platform(txn_ops=4), MACHINE_TYPES)
     model.elect()
-    # No machine has eight accelerators: it has no task anywhere, so its record is replaced at once.
+    # No machine has 8 GPUs: the job has no task on a machine, so its record is replaced at once.
     ids = submit_chain(model, 1, 1, accelerators=8.0)
     for number in range(2, 12):
         model.submit(job(number, hands=1, tows=ids))
@@ -216,7 +218,7 @@
         model.step(0.01)
     model.leader.crashed = True
     left = [key for key in model.store.data if key.startswith("driftcleat/jobs/")]
-    assert len(left) > 5 and f"driftcleat/jobs/{ids[0]}" not in left, "their own records are still open"
+    assert len(left) > 5 and f"driftcleat/jobs/{ids[0]}" not in left, "the records of the dependents are still there"
     model.elect("b")
     assert {
         model.leader.scheduler.admission.lookup(f"req-{number:06d}").state  # type: ignore[union-attr]
@@ -243,13 +245,14 @@
 
 
 def test_deadline_propagates_to_the_first_stage_of_a_chain() -> None:
-    """The last stage alone names a deadline; it counts from that stage's own submission.
+    """Only the last stage has a deadline, which counts from its own submission.
 
-    A job that has to start soon for it goes before an older one of its rank, and one that has time does not.
+    A first stage that must start soon to meet it precedes an older job of the same priority; without the deadline it
+    does not.
     """
     model = ReferenceModel(9, platform(), MACHINE_TYPES)
     model.elect()
-    # No machine has eight accelerators: everything stays queued.
+    # No machine has 8 GPUs, so all jobs stay queued.
     wide = {"hands": 1, "cores": 1.0, "accelerators": 8.0, "voyageS": 10.0}
     model.submit(job(1, **wide))
     model.run(5.0)
@@ -275,7 +278,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_random_dependency_graphs_break_no_invariant(seed: int) -> None:
-    """Random graphs, cancellations, ends and changes of leader; few changes a transaction."""
+    """Random graphs, cancellations and leader changes, with small limits on the changes in a transaction."""
     rng = random.Random(seed)
     model = ReferenceModel(seed, platform(txn_ops=rng.choice([4, 8, 24])), MACHINE_TYPES)
     model.elect()
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Each trouble of the brief, alone, against the stand-ins: the rules hold and work goes on afterwards."""
+"""Single faults in the reference model: no invariant is violated, and all jobs finish afterwards."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 def busy_model(seed: int = 7) -> ReferenceModel:
-    """Return a world with an array, a gang, a service and a spot array under way."""
+    """Return a model in which an array, a gang, a service and a spot array run."""
     model = ReferenceModel(seed, platform(), MACHINE_TYPES)
     model.elect()
     model.submit(job(1, hands=3, voyageS=30.0))
@@ -22,7 +22,7 @@
 
 
 def worker_with_task(model: ReferenceModel, number: int) -> ReferenceWorker:
-    """Return a machine that holds a task of a job."""
+    """Return a worker that holds a task of job `number`."""
     return next(worker for worker, task in model.tasks_on_machines() if task.job.id == f"req-{number:06d}")
 
 
@@ -137,7 +137,7 @@
         model.elect()
     model.submit(job(900, hands=2))
     model.run(60.0)
-    assert model.states()["req-000003"] == "running", "the service is back"
+    assert model.states()["req-000003"] == "running", "the service runs again"
     model.settle()
     assert set(model.states().values()) <= {"done", "cancelled"}
     assert model.statuses["req-000900"] == "done"
@@ -156,7 +156,7 @@
 
 
 def test_cancelled_task_on_a_hung_machine_ends_in_time() -> None:
-    """Guards against waiting for a machine that will never obey: the cloud has to fence it."""
+    """Guards against waiting for a hung machine, which never executes the stop: the cloud must delete it."""
     model = busy_model()
     worker = worker_with_task(model, 3)
     worker.hung = True
@@ -175,13 +175,13 @@
     for _ in range(200):
         model.step()
         attempts = {task.attempt for _, task in model.tasks_on_machines() if task.job.id == "req-000002"}
-        assert len(attempts) <= 1, "two attempts of a gang at once"
+        assert len(attempts) <= 1, "tasks of two attempts of a gang run at once"
         seen |= attempts
     assert len(seen) > 1
 
 
 def test_drain_stops_all_tasks_of_a_gang_with_the_grace_period() -> None:
-    """A drain of one machine stops the whole gang with time to save, every task at once."""
+    """Draining one machine stops all tasks of the gang at once, with time to write a checkpoint."""
     model = busy_model()
     scheduler = model.leader.scheduler
     batch = scheduler.build_batch()
--- a/tests/test_fault_interactions.py
+++ b/tests/test_fault_interactions.py
@@ -1,4 +1,4 @@
-"""Where two troubles meet: the meetings of docs/meetings.md that no other test brings about, on a simulated site."""
+"""Interactions of two faults that no other test covers, on a simulated site."""
 
 from collections.abc import Awaitable, Callable
 
@@ -10,7 +10,7 @@
 
 
 def run_in_simulation(seed: int = 1) -> Callable[[Callable[[Simulation], Awaitable[None]]], Callable[[], None]]:
-    """Play a test's story on a site of its own."""
+    """Return a decorator that runs a test's scenario in a simulation of its own."""
 
     def decorate(scenario: Callable[[Simulation], Awaitable[None]]) -> Callable[[], None]:
         def run() -> None:
@@ -23,7 +23,7 @@
 
 
 async def start_services(simulation: Simulation, count: int = 2) -> list[str]:
-    """Return services of two replicas that run."""
+    """Submit `count` services of two replicas, wait until all replicas run and return the job ids."""
     ids = [f"req-{number:06d}" for number in range(1, count + 1)]
     for number in range(1, count + 1):
         simulation.submit_until_accepted(
@@ -35,17 +35,17 @@
 
 
 def task_count(simulation: Simulation, job_id: str) -> int:
-    """Return how many tasks of a job are on machines."""
+    """Return the number of a job's tasks on machines."""
     return sum(task.job.id == job_id for _, task in simulation.tasks_on_machines())
 
 
 def other_controllers(*labels: str | None) -> list[str]:
-    """Return the other controllers."""
+    """Return the labels of all controllers but these."""
     return [label for label in LABELS if label not in labels]
 
 
 async def wait_for_next_leader(simulation: Simulation, *before: str | None) -> str:
-    """Wait for a leader that is none of these."""
+    """Wait for a leader other than these controllers and return its label."""
     return str(
         await simulation.run_until(
             lambda: label if (label := simulation.leader_label()) not in (None, *before) else None
@@ -54,7 +54,7 @@
 
 
 async def fail_over(simulation: Simulation) -> str:
-    """The leader ends and another leads; return the one that ended."""
+    """Crash the leader, wait for the next one and return the label of the crashed one."""
     old = str(simulation.leader_label())
     simulation.crash(old)
     await wait_for_next_leader(simulation, old)
@@ -62,7 +62,7 @@
 
 
 async def assert_cancelled_in_time(simulation: Simulation, *job_ids: str) -> None:
-    """All tasks of cancelled jobs are gone when the time of their cancellations is up; `Simulation` watches, too."""
+    """Assert that no task of these cancelled jobs runs `cancel_s` seconds after the last cancellation, plus 1 s."""
     for job_id in job_ids:
         assert simulation.statuses[job_id] == "cancelled"
     await simulation.advance(
@@ -72,23 +72,21 @@
 
 
 def pin_workers_to(simulation: Simulation, label: str) -> None:
-    """Every worker reaches this controller alone."""
+    """Let every worker reach this controller only."""
     for worker in simulation.alive():
         simulation.worker_controllers[worker.name] = label
         worker.only_controller = label  # type: ignore[attr-defined]
 
 
-# -- the gap -------------------------------------------------------------------------------------------------
+# Cancellations that the next leader commits before an outage of the store, and leases that the old leader keeps.
 
 
 @run_in_simulation()
 async def test_old_leader_steps_down_once_a_peer_knows_a_higher_fencing_token(simulation: Simulation) -> None:
-    """The gap: the store refuses the leader alone.
+    """The store rejects the leader only; the next leader confirms cancellations, then the store rejects all.
 
-    The next confirms cancellations and is then refused like all, while workers report to the old one. All peers
-    are refused, yet one of them has led since.
-
-    The cloud is down, so the new leader has no address to show its token to.
+    Workers still send their heartbeats to the old leader. All its peers are rejected too, but one of them has led
+    since. The cloud is down, so the new leader learns no worker address to send its fencing token to.
     """
     ids = await start_services(simulation)
     old = simulation.leader_label()
@@ -101,13 +99,13 @@
         await simulation.cancel_until_confirmed(job_id, new)
     simulation.store_double.down_for.add("all")
     await assert_cancelled_in_time(simulation, *ids)
-    assert simulation.role(new) is Role.UNCONFIRMED_LEADER, "it kept what it had to keep"
+    assert simulation.role(new) is Role.UNCONFIRMED_LEADER, "the outage does not make the new leader step down"
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
 async def test_leader_continues_if_the_store_fails_before_another_is_elected(simulation: Simulation) -> None:
-    """Guards against work that ends with its leases: the leader gave up as soon as a peer was served."""
+    """Guards against a leader that steps down once the store has served a peer, so that all worker leases expire."""
     await start_services(simulation)
     old = simulation.leader_label()
     assert old is not None
@@ -124,9 +122,9 @@
 
 @run_in_simulation()
 async def test_peers_restarted_since_do_not_confirm_the_old_leader(simulation: Simulation) -> None:
-    """Controllers hand over, all but the old leader end and are back at once, inside an outage.
+    """During a store outage all controllers but the old leader restart, also the one that confirmed cancellations.
 
-    Who was the leader and confirmed a cancellation has forgotten it, and the old one is told of no higher token.
+    The new leader has lost its state, so the old one learns of no higher fencing token from its peers.
     """
     ids = await start_services(simulation)
     old = simulation.leader_label()
@@ -149,10 +147,10 @@
 
 @run_in_simulation()
 async def test_lease_keeping_periods_of_leader_and_follower_do_not_add_up(simulation: Simulation) -> None:
-    """A zone with the leader, a follower and workers is cut off.
+    """A zone with the leader, a follower and workers is partitioned; the next leader outside confirms cancellations.
 
-    The next leader outside confirms cancellations. The old one keeps the leases to its bound, and the follower
-    must not begin one of its own then. The cloud is down.
+    The old leader keeps the worker leases alive until its time limit. The follower must not keep them alive for a
+    period of its own after that. The cloud is down.
     """
     ids = await start_services(simulation)
     old = simulation.leader_label()
@@ -172,10 +170,10 @@
 
 @run_in_simulation()
 async def test_unconfirmed_leader_executes_committed_cancellations(simulation: Simulation) -> None:
-    """The next leader confirms and is refused before it has heard one worker.
+    """The next leader confirms cancellations and loses the store before it has received any heartbeat.
 
-    They all stay with the old one, cut off from everybody but them: it still lists the machines, shows them its
-    token and stops the tasks.
+    All workers stay with the old leader, which reaches nobody else. The new leader lists the machines from the cloud,
+    sends them its fencing token and stops the tasks.
     """
     ids = await start_services(simulation)
     old = simulation.leader_label()
@@ -187,16 +185,16 @@
     for job_id in ids:
         await simulation.cancel_until_confirmed(job_id, new)
     simulation.store_double.down_for.add("all")
-    assert len(simulation.tasks_on_machines()) == 4, "nothing could be stopped yet"
+    assert len(simulation.tasks_on_machines()) == 4, "no task could be stopped yet"
     await simulation.advance(simulation.platform.report_s * 4)
-    assert not simulation.tasks_on_machines(), "long before the old leader's bound"
+    assert not simulation.tasks_on_machines(), "stopped long before the old leader's time limit"
     assert simulation.role(new) is Role.UNCONFIRMED_LEADER
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
 async def test_unconfirmed_leader_fences_a_hung_machine(simulation: Simulation) -> None:
-    """A cancelled task on a machine that hangs for longer than a cancellation has, inside an outage of the store."""
+    """A cancelled task is on a machine that hangs for longer than `cancel_s`, during a store outage."""
     ids = await start_services(simulation)
     leader = simulation.leader_label()
     for worker, task in simulation.tasks_on_machines():
@@ -207,19 +205,19 @@
     simulation.store_double.down_for.add("all")
     await assert_cancelled_in_time(simulation, ids[0])
     assert simulation.role(str(leader)) is Role.UNCONFIRMED_LEADER
-    assert [worker.name for worker in simulation.alive()] == idle, "it decides nothing else"
+    assert [worker.name for worker in simulation.alive()] == idle, "it terminates no other machine"
     assert task_count(simulation, ids[1]) == (2 if idle else 0)
     await simulation.verify_recovery()
 
 
 @run_in_simulation()
 async def test_machine_is_not_fenced_for_a_cancelled_task_that_exited(simulation: Simulation) -> None:
-    """Guards against machines returned for tasks long gone, while the batch that would say so waits for the store."""
+    """Guards against deleting machines for tasks that have exited while the batch with the exits is not committed."""
     ids = await start_services(simulation)
     machines = {worker.name for worker in simulation.alive()}
     restarted = next(worker for worker, task in simulation.tasks_on_machines() if task.job.id == ids[0])
     await simulation.cancel_until_confirmed(ids[0])
-    # One machine does not even report the exits: it is back with a new session and no tasks.
+    # One machine does not report the exit: its worker restarts with a new worker epoch and no tasks.
     restarted.restart()
     simulation.store_double.down_for.add("all")
     await assert_cancelled_in_time(simulation, ids[0])
@@ -230,10 +228,9 @@
 
 @run_in_simulation()
 async def test_cancellation_whose_commit_response_is_lost_is_executed(simulation: Simulation) -> None:
-    """The store takes the cancellation.
+    """The store commits the cancellation, but the response is lost, and then rejects the leader only.
 
-    Refuses the leader alone before it hears so, and is down for all a second later. A follower has read the
-    record and told the user.
+    A follower reads the record and tells the user before the store is down for all controllers.
     """
     ids = await start_services(simulation)
     leader = simulation.leader_label()
@@ -256,10 +253,10 @@
 
 @run_in_simulation()
 async def test_leader_that_may_have_been_replaced_starts_nothing(simulation: Simulation) -> None:
-    """The old leader has placed a job whose start has not gone out, loses store and peers.
+    """The old leader has placed a job and sent no start when it loses the store and its peers.
 
-    The next confirms the job's cancellation. A machine that still reports to the old one must not be told to
-    start it.
+    The next leader confirms the job's cancellation. A worker that still sends heartbeats to the old leader must not
+    be told to start the job.
     """
     await start_services(simulation, 1)
     old = simulation.leader_label()
@@ -283,10 +280,9 @@
 
 @run_in_simulation()
 async def test_follower_does_not_keep_the_lease_of_a_machine_that_missed_a_stop(simulation: Simulation) -> None:
-    """A cancelled task's machine hears nothing for a while.
+    """The machine of a cancelled task receives nothing, then the leader crashes during a store and cloud outage.
 
-    Then the leader ends, inside an outage of the store and the cloud. The isolated follower keeps leases from its
-    last contact on, but not this machine's.
+    A follower keeps worker leases alive for a while after its last contact with the leader, but not this machine's.
     """
     ids = await start_services(simulation)
     leader = simulation.leader_label()
@@ -307,9 +303,9 @@
 
 @run_in_simulation()
 async def test_restarted_follower_keeps_no_leases_for_a_leader_known_only_from_a_peer(simulation: Simulation) -> None:
-    """It has learnt the last leader's token from a peer and never heard a leader itself.
+    """A restarted follower knows the last leader's fencing token from a peer and has had no contact with a leader.
 
-    How old what it would keep is, it cannot know.
+    It cannot know how old the state is for which it would keep leases alive.
     """
     ids = await start_services(simulation)
     leader = simulation.leader_label()
@@ -338,12 +334,9 @@
     await simulation.verify_recovery()
 
 
-# -- a leader cut from the store and from the others ---------------------------------------------------------
-
-
 @run_in_simulation()
 async def test_isolated_leader_ends_its_worker_leases_within_the_cancellation_time(simulation: Simulation) -> None:
-    """Nobody else reaches the workers and the cloud is down: only the leader's own bound ends their leases."""
+    """No other controller reaches the workers and the cloud is down: only the leader's time limit ends the leases."""
     ids = await start_services(simulation)
     old = simulation.leader_label()
     assert old is not None
@@ -357,12 +350,12 @@
     await simulation.verify_recovery()
 
 
-# -- many leaders, long absences -----------------------------------------------------------------------------
+# Many leaders, and outages longer than a lease.
 
 
 @run_in_simulation(3)
 async def test_ten_leaders_in_two_minutes_with_a_store_outage(simulation: Simulation) -> None:
-    """Transactions of each may be carried out under the next ones; no batch of a term before may count."""
+    """The store may execute a leader's transactions in later terms; it must reject batches of an earlier term."""
     simulation.late_write_rate = 0.3
     for number in range(1, 7):
         simulation.submit_until_accepted(
@@ -404,7 +397,7 @@
 
 @run_in_simulation()
 async def test_all_controllers_down_for_longer_than_a_lease(simulation: Simulation) -> None:
-    """Leases end, sessions change: what ran is proven off by the new sessions and starts once more, once."""
+    """Leases expire and worker epochs change; the new epochs prove that no task runs, and each starts once more."""
     ids = await start_services(simulation)
     for label in LABELS:
         simulation.crash(label)
@@ -421,7 +414,7 @@
 async def test_tasks_keep_running_if_the_leader_crashes_while_machines_are_unreachable(
     simulation: Simulation,
 ) -> None:
-    """Some are cut off, some do not hear the new leader, for less than a lease: their tasks are where they were."""
+    """Some machines are partitioned and some receive nothing, for less than a lease: all tasks keep running there."""
     await start_services(simulation)
     before = {(worker.name, task.job.id, task.index, task.attempt) for worker, task in simulation.tasks_on_machines()}
     worker_names = sorted({worker.name for worker, _ in simulation.tasks_on_machines()})
@@ -444,12 +437,12 @@
     await simulation.verify_recovery()
 
 
-# -- the end of a job's last task ----------------------------------------------------------------------------
+# The end of a job's last task.
 
 
 @run_in_simulation(5)
 async def test_cancel_poll_and_resubmit_race_with_the_end_of_the_last_task(simulation: Simulation) -> None:
-    """Whatever is told first stays so; `Simulation` raises if an answer takes another back."""
+    """The first final status sent to a user stays; `Simulation` raises if a response contradicts an earlier one."""
     raws = {
         f"req-{number:06d}": raw_job(
             number, hands=1, voyageS=8.0, cores=0.5, accelerators=0.1, crew=("red", "blue")[number % 2]
@@ -492,22 +485,22 @@
         await simulation.advance(11.0)
         simulation.start(await fail_over(simulation))
     await simulation.verify_recovery()
-    assert simulation.task_starts == starts, "no task that was done started again"
+    assert simulation.task_starts == starts, "no finished task started again"
     assert set(simulation.statuses.values()) == {"done"}
 
 
-# -- bound to a zone, at the limit ---------------------------------------------------------------------------
+# Single-zone jobs and team quotas.
 
 
 @run_in_simulation()
 async def test_single_zone_array_that_loses_machines_stays_in_its_zone(simulation: Simulation) -> None:
-    """Where some of its tasks may still be, the others must go: also while a machine cannot be asked."""
+    """All tasks must go to the zone where some of them may still run, also while a machine there is unreachable."""
     simulation.submit_until_accepted(raw_job(1, hands=4, voyageS=200.0, cores=16.0, accelerators=1.0, together=True))
     await simulation.run_until(lambda: len(simulation.tasks_on_machines()) == 4)
     await simulation.advance(3.0)
     worker_names = sorted({worker.name for worker, _ in simulation.tasks_on_machines()})
     zone = simulation.workers[worker_names[0]].zone
-    # No room is left in that zone: the cloud has no more, and a machine comes up in the other.
+    # That zone is full: the cloud creates no more machines, and one boots in the other zone.
     simulation.max_machines = 0
     for worker in simulation.alive():
         if worker.name not in worker_names[1:]:
@@ -518,7 +511,7 @@
     await simulation.advance(25.0)
     simulation.boot(ScaleOutRecord("big", "south" if zone == "north" else "north", False, 1, 0.0))
     await simulation.advance(20.0)
-    assert len(simulation.tasks_on_machines()) < 4, "what was lost waits for its zone"
+    assert len(simulation.tasks_on_machines()) < 4, "lost tasks wait for a machine in their zone"
     simulation.max_machines = 14
     await simulation.verify_recovery()
     assert simulation.statuses["req-000001"] == "done"
@@ -526,10 +519,10 @@
 
 @run_in_simulation()
 async def test_team_quota_holds_while_the_leader_changes(simulation: Simulation) -> None:
-    """Team red may use 8 GPUs and does.
+    """Team red uses all of its 8 GPUs when the leader changes, and one of its jobs is cancelled.
 
-    Some of its machines cannot be asked by the new leader, and a job of it is cancelled meanwhile. What may still
-    be there counts, so nothing more of it starts.
+    The new leader cannot reach some of the machines. Tasks that may still run count against the quota, so no further
+    task of the team starts until they have ended.
     """
     simulation.submit_until_accepted(raw_job(1, rig="daemon", hands=4, voyageS=0.0, accelerators=1.0, cores=1.0))
     simulation.submit_until_accepted(raw_job(2, rig="daemon", hands=4, voyageS=0.0, accelerators=1.0, cores=1.0))
@@ -548,12 +541,12 @@
     assert simulation.statuses["req-000003"] == "done"
 
 
-# -- the store's late answers, slow links --------------------------------------------------------------------
+# Late transactions of the store, and slow links.
 
 
 @run_in_simulation(7)
 async def test_transactions_executed_late_overwrite_nothing_newer(simulation: Simulation) -> None:
-    """They come after newer ones of the same controller; each batch is conditional on the one before it."""
+    """A transaction may execute after newer ones of its controller; each batch requires the previous batch marker."""
     simulation.late_write_rate = 0.4
     for number in range(1, 25):
         simulation.submit_until_accepted(
@@ -575,7 +568,7 @@
                 simulation.crash(old)
                 simulation.start(old)
     for _ in range(3):
-        # What a leader reads must be what the one before it had committed.
+        # A leader must read what the previous one committed.
         await simulation.advance(13.0)
         simulation.start(await fail_over(simulation))
     await simulation.verify_recovery()
@@ -589,13 +582,15 @@
     await simulation.advance(1.0)
     await simulation.cancel_until_confirmed(ids[0])
     await simulation.advance(simulation.platform.lease_s / 4)
-    assert not task_count(simulation, ids[0]) and task_count(simulation, ids[1]) == 2, "stopped, not lapsed"
+    assert not task_count(simulation, ids[0]) and task_count(simulation, ids[1]) == 2, (
+        "stopped by a command, before its lease expires"
+    )
     await simulation.verify_recovery()
 
 
 @run_in_simulation(2)
 async def test_urgent_jobs_start_in_time_on_a_full_cluster_with_a_slow_store(simulation: Simulation) -> None:
-    """What is urgent begins within four minutes, what cannot be taken is told at once, all is done in the end."""
+    """Urgent jobs start within four minutes on a full cluster, and all jobs are done once there is capacity."""
     simulation.max_machines, simulation.store_delay_s, simulation.delayed_command_rate = 4, 0.3, 0.1
     for number in range(1, 25):
         urgent = number % 6 == 0
@@ -620,12 +615,12 @@
     await simulation.verify_recovery()
 
 
-# -- bad input -----------------------------------------------------------------------------------------------
+# Bad requests and response times.
 
 
 @run_in_simulation()
 async def test_bad_requests_are_answered_at_once_during_faults(simulation: Simulation) -> None:
-    """What can be told without the state service is told; else 503 with when to come back, and nothing is held."""
+    """Errors that need no state service are reported; other requests get 503 with a retry delay, none waits."""
     ids = await start_services(simulation, 1)
     lacking = {key: value for key, value in raw_job(7).items() if key != "crew"}
     calls = [
@@ -667,7 +662,7 @@
     simulation.store_double.heal()
     simulation.store_delay_s = 0.5
     await simulation.advance(5.0)
-    # The question about an unknown job has a test of its own, below.
+    # The status of an unknown job has a test of its own, below.
     await send_all_calls(store_available=False, skipped_path="/v1/jobs/req-000099")
     assert set(simulation.statuses) == set(ids)
     await simulation.verify_recovery()
@@ -677,9 +672,9 @@
 async def test_status_of_an_unknown_job_is_answered_in_time_with_a_slow_store(
     simulation: Simulation,
 ) -> None:
-    """Users wait 2 s: what cannot be said by then is 503, not silence.
+    """Users wait 2 s for a status; a response that takes longer must be 503 before then.
 
-    A follower waits for the leader's answer, and then reads two records itself: one deadline bounds the sum.
+    A follower waits for the leader's response and then reads two records itself; one deadline limits the sum.
     """
     await start_services(simulation, 1)
     simulation.store_delay_s = 0.5
@@ -696,10 +691,10 @@
 async def test_every_request_is_answered_within_the_user_timeout_with_a_slow_store(
     simulation: Simulation,
 ) -> None:
-    """Users wait 2 s for an answer to a question and 5 s for one to a submission or cancellation.
+    """Users wait 2 s for a status and 5 s for the response to a submission or cancellation.
 
-    `Simulation.request` as well (0: no answer). Looking up the job, each job that it needs and the decision count as
-    one request.
+    `Simulation.request` applies these timeouts and returns 0 without a response. The lookups of the job and of each
+    of its dependencies and the decision share the deadline of one request.
     """
     leader = simulation.leader_label()
     dependencies = [f"req-{number:06d}" for number in range(1, 25)]
@@ -709,7 +704,7 @@
         await simulation.advance(1.0)
         for job_id in dependencies:
             await simulation.poll(job_id, leader)
-    # The next leader knows these jobs from the store alone.
+    # The next leader knows these jobs only from the store.
     await fail_over(simulation)
     simulation.store_delay_s = 0.3
     await simulation.advance(3.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What holds at thousands of machines: bounds from settings, long passes in slices, users who give way to reports."""
+"""Thousands of machines: limits that follow the settings, work in slices, and precedence of heartbeats over users."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
 
 
 class HangingPeers:
-    """A leader that answers nothing until it is told to."""
+    """A peer client whose leader does not respond until `release` is set."""
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
@@ -46,7 +46,7 @@
 
 
 def user_api(peers: HangingPeers, max_in_progress: int, max_forwarded: int) -> UserApi:
-    """Return a follower's side for users."""
+    """Return the user API of a follower with these limits on its requests."""
     current: Any = SimpleNamespace(scheduler=None, may_decide=False, leader="b")
     none: Any = None
     clock = asyncio.get_running_loop().time
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize(("in_progress", "forwarded"), [(2, 9), (9, 2)])
 def test_user_requests_over_the_limit_are_rejected_except_cancellations(in_progress: int, forwarded: int) -> None:
-    """Guards against users' requests that take the connections and the time that reports need."""
+    """Guards against user requests that take the connections and the processor time that heartbeats need."""
 
     async def run() -> None:
         peers = HangingPeers()
@@ -74,7 +74,7 @@
         peers.release.set()
         for answer in await asyncio.gather(*waiting, cancelling):
             assert answer is not None and answer.status == 200
-        # The places are free again.
+        # The limit has capacity again.
         assert users.requests_shed == 2
         later = await users.handle("GET", "/v1/jobs/req-000001", b"")
         assert later is not None and later.status == 200
@@ -89,7 +89,7 @@
 
 
 def fleet_manager(cloud_rps: float) -> FleetManager:
-    """Return the loops around a cloud with that rate, without the cloud."""
+    """Return a fleet manager whose cloud client allows `cloud_rps` requests per second and sends none."""
     none: Any = None
     cloud: Any = SimpleNamespace(rate_limit=TokenBucket(cloud_rps, lambda: 0.0))
     return FleetManager(SITE, Tuning(), cloud, none, none, none, none, none, lambda: 0.0)
@@ -111,12 +111,12 @@
         7,
     ]
     assert len({request.name for request in scheduler.scale_out.new_requests}) == 3, (
-        "a name is never used for two requests"
+        "each request has a name of its own"
     )
 
 
 def test_machine_listing_uses_a_bounded_part_of_the_cloud_request_rate() -> None:
-    """Guards against the return for a cancelled task that waits behind the pages of thousands of machines."""
+    """Guards against the deletion for a cancelled task that waits behind the list pages of thousands of machines."""
     for machines in (100, 700, 4000, 6000):
         loops = fleet_manager(2.0)
         pages = machines // 500 + 1
@@ -133,7 +133,7 @@
 
 
 def test_records_are_decoded_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a leader that loses its lease while it decodes the records of thousands of machines' work."""
+    """Guards against a leader that loses its lease while it decodes the job records of thousands of machines."""
     monkeypatch.setattr(decoding, "decode_head", lambda item: SimpleNamespace(id=item))
     monkeypatch.setattr(decoding, "_load_chunk", lambda jobs, item: False)
 
@@ -176,18 +176,18 @@
     body = wire.encode(sent)
     assert len(body) < MAX_PEER_BODY_BYTES
     assert wire.decode(body, messages.PeerMessage) == sent  # type: ignore[arg-type]
-    # A version before reads the same array, and knows no bound of names.
+    # The previous version reads the same array and has no limit on the number of job ids.
     assert json.loads(body)[0] == message
 
 
 def test_largest_forwarded_request_is_accepted() -> None:
-    """Every byte of a body may take two once it stands in a message's string."""
+    """Each byte of a body may take two bytes once it is escaped in a message's string."""
     body = ("{" + "\t" * 65_000 + "}").encode()
     assert len(wire.encode(messages.ForwardRequest("POST", "/v1/jobs", body.decode()))) < MAX_PEER_BODY_BYTES
 
 
 def test_work_of_a_recovery_grows_at_most_linearly_with_the_machines() -> None:
-    """Counts of looks at machines in the round after a take-over, 4,000 against 400 machines."""
+    """Compares how many machines the placement round after a recovery checks, with 4,000 and with 400 machines."""
     calls: dict[int, int] = {}
     for machines in (400, 4000):
         scheduler, _ = scheduler_with_machines(machines)
@@ -202,17 +202,17 @@
 
 
 def test_overload_pause_needs_missing_heartbeats_and_a_late_event_loop() -> None:
-    """Guards against 2,003 leases that ran out while tasks were placed, seen at 4,000 machines on a small share."""
+    """Guards against leases that expire while tasks are placed: 2,003 at 4,000 machines, on a share of a core."""
     overload = OverloadDetector(3.0)
     overload.record_interval(3200, 4000, 0.5)
     halfway = overload.pause_s
     assert 0 < halfway < 3.0
     overload.record_interval(400, 4000, 0.5)
-    assert halfway < overload.pause_s <= 3.0, "work gets on at least once a report interval"
-    # Machines behind a cut are missing too, but the event loop is idle.
+    assert halfway < overload.pause_s <= 3.0, "work continues at least once per heartbeat interval"
+    # Heartbeats of partitioned machines are missing too, but the event loop is idle.
     overload.record_interval(400, 4000, 0.001)
     assert overload.pause_s == 0.0
-    # The event loop is late, and every report comes all the same.
+    # The event loop is late, but nearly all heartbeats arrive.
     overload.record_interval(400, 4000, 0.5)
     overload.record_interval(3990, 4000, 0.5)
     assert overload.pause_s == 0.0
@@ -231,14 +231,14 @@
 
 
 def test_no_preemption_search_for_an_image_that_no_machine_has(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a look at every task of thousands of machines in each round: a third of its time."""
+    """Guards against checking every task of thousands of machines in each round, a third of the round's time."""
     calls = Mock(side_effect=PreemptibleTasks)
     monkeypatch.setattr("driftcleat.scheduler.preemption_planning.PreemptibleTasks", calls)
     scheduler, now = scheduler_with_machines(20)
     commit_submissions(scheduler, job(1, rig="daemon", hands=2, accelerators=0.0, imageGb=4.0, rank="critical"))
     commit_all(scheduler)
     assert len(scheduler.cluster.jobs["req-000001"].placements) == 2 and calls.call_count == 0
-    # Once a machine has the image, it is looked at.
+    # Machines that have the image are searched.
     now[0] += 60.0
     for number, machine in enumerate(scheduler.cluster.machines.values()):
         machine.last_heartbeat_at = now[0]
--- a/tests/test_scheduler_fault_walk.py
+++ b/tests/test_scheduler_fault_walk.py
@@ -1,4 +1,4 @@
-"""The real core in a hostile world, compared with a plain model of the rules."""
+"""Random faults against the real scheduler, checked by the invariants of the reference model."""
 
 import random
 from typing import Any
@@ -12,9 +12,9 @@
 
 
 def random_job(rng: random.Random, number: int) -> Any:
-    """Return some job."""
+    """Return a random job."""
     rig = rng.choice(["array", "array", "group", "daemon"])
-    # A gang that is to be spread and to stay in one zone can never start: no user means that.
+    # A gang that must be spread over zones and stay in one zone is unschedulable, so none is submitted.
     spread = rng.random() < 0.2
     harbor = None if spread and rig == "group" else rng.choice([None, None, "north"])
     return job(
@@ -36,7 +36,7 @@
 
 
 def inject_fault(model: ReferenceModel, rng: random.Random) -> None:
-    """Something goes wrong, or stops doing so."""
+    """Inject a random fault, or end one or all of them."""
     alive = model.alive()
     fault = rng.randrange(16)
     worker: ReferenceWorker | None = rng.choice(alive) if alive else None
@@ -54,7 +54,7 @@
     elif fault == 5:
         model.store_up = not model.store_up
     elif fault in (6, 7):
-        # The old leader may live on and answer reports until a worker tells it of the new token.
+        # The old leader may run on and answer heartbeats until a worker sends it the new fencing token.
         model.leader.crashed = rng.random() < 0.5
         model.elect(rng.choice("abc"))
     elif fault == 9 and worker is not None:
@@ -64,11 +64,11 @@
     elif fault == 11:
         model.duplicate_rate = rng.choice([0.0, 0.3, 1.0])
     elif fault == 12:
-        # It loses store and peers, not its workers: it goes on answering until one has seen the new token.
+        # The leader loses the store and its peers, but answers its workers until one sends the new fencing token.
         model.sticky_leader = model.leader
         model.elect(rng.choice("abc"))
     elif fault == 13:
-        # Back within a fraction of a second, and once more before it has done anything.
+        # The leader restarts twice within a fraction of a second, before it has made a decision.
         for _ in range(2):
             model.leader.crashed = True
             model.elect("a")
@@ -98,7 +98,7 @@
             inject_fault(model, rng)
         if model.leader.stepped_down:
             model.elect()
-        # An outage of the cloud longer than a cancellation's time cannot be survived by any fence.
+        # No machine can be fenced in time during a cloud outage longer than `cancel_s`.
         model.run(rng.uniform(0.5, 6.0))
         if not model.cloud_up and rng.random() < 0.5:
             model.cloud_up = True
@@ -113,7 +113,7 @@
 
 
 def test_model_detects_a_task_that_runs_twice() -> None:
-    """The plain model must be able to fail: break the core on purpose."""
+    """Checks the reference model itself: a second start of a task is a violation."""
     model = ReferenceModel(1, platform(), MACHINE_TYPES)
     model.elect()
     model.submit(job(1, hands=1, voyageS=100.0))
--- a/tests/test_scheduler_units.py
+++ b/tests/test_scheduler_units.py
@@ -1,4 +1,4 @@
-"""Small facts about the core, each of which guards against a failure that was seen or feared."""
+"""Unit tests of the scheduler and its parts: heartbeats, commits, placement, sizing, preemption and scale-in."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -45,7 +45,7 @@
 
 
 def scheduler_with_one_machine(now: list[float], clock: Callable[[], float] | None = None) -> Scheduler:
-    """Return a term with one empty machine `vm-1` that has reported; `clock` stands for the time in `now`."""
+    """Return a scheduler with one idle machine, `vm-1`; without `clock` it reads the time from `now[0]`."""
     cluster = ClusterState(5, {}, dict(MACHINE_TYPES), now[0])
     scheduler = new_scheduler(SITE, cluster, now, clock)
     apply_heartbeat(cluster, heartbeat(1), now[0])
@@ -53,18 +53,18 @@
 
 
 def heartbeat(seq: int, *tasks: TaskStatus, worker_epoch: int = 1, fencing_token: int = 5) -> Heartbeat:
-    """Return a report of `vm-1`."""
+    """Return a heartbeat of `vm-1` with sequence number `seq` and the statuses of its tasks."""
     return Heartbeat("vm-1", "h:1", "big", "north", False, worker_epoch, seq, fencing_token, tasks)
 
 
 def commit(scheduler: Scheduler, revision: int = 9) -> None:
-    """Build a batch and have it taken."""
+    """Build a batch and apply it as committed at a revision of the store."""
     batch = scheduler.build_batch()
     scheduler.apply_commit(batch, revision, [])
 
 
 def submit_and_place(scheduler: Scheduler, **changes: object) -> Job:
-    """Submit a job and place its tasks."""
+    """Submit a job as `req-000001`, place its tasks and return it."""
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1, **changes), "req-000001"))
     commit(scheduler)
     commit(scheduler)
@@ -85,7 +85,7 @@
     commit(scheduler)
     scheduler.cluster.machines_to_reconcile.add("vm-1")
     commit(scheduler)
-    # The start may be on its way: the task still counts as there.
+    # The response with the start may still be on its way, so the task counts as running there.
     assert scheduler.cluster.jobs["req-000001"].placements
     apply_heartbeat(scheduler.cluster, heartbeat(3), 2.0)
     commit(scheduler)
@@ -107,10 +107,10 @@
 
 
 def test_no_start_is_sent_for_a_placement_being_released() -> None:
-    """A machine is back at once and reports nothing.
+    """Guards against a task that runs twice after its worker restarted and reports no tasks.
 
-    The batch that takes its task off waits for the store, and a further report arrives. A start told now would
-    meet the one elsewhere that the next batch decides.
+    The batch that releases the placement waits for the store when another heartbeat arrives. If that heartbeat were
+    answered with a start, the task would run here and where the next batch places it.
     """
     now = [0.0]
     scheduler = scheduler_with_one_machine(now)
@@ -128,7 +128,9 @@
     restarted = heartbeat(1, worker_epoch=2)
     apply_heartbeat(scheduler.cluster, restarted, 2.0)
     batch = scheduler.build_batch()
-    assert [(old is not None, new) for _, _, old, new in batch.task_transitions] == [(True, None)], "it is proven off"
+    assert [(old is not None, new) for _, _, old, new in batch.task_transitions] == [(True, None)], (
+        "the new worker epoch proves that the task is not running"
+    )
     commands_for_heartbeat(scheduler.cluster, machine, restarted)
     later = heartbeat(2, worker_epoch=2)
     apply_heartbeat(scheduler.cluster, later, 3.0)
@@ -181,13 +183,15 @@
     commit(scheduler)
     commit(scheduler)
     assert not scheduler.cluster.jobs["req-000001"].placements
-    assert apply_heartbeat(scheduler.cluster, heartbeat(9), 1.0) is None, "a late report does not bring it back"
-    assert not scheduler.cluster.machines, "nothing of it is kept"
+    assert apply_heartbeat(scheduler.cluster, heartbeat(9), 1.0) is None, (
+        "a late heartbeat does not add the machine again"
+    )
+    assert not scheduler.cluster.machines, "no state of the machine is kept"
 
 
 def test_truncated_placement_round_continues_where_it_stopped() -> None:
     ticks: Iterator[float] = iter([])
-    # Where no tick is left, the clock stands at what `now` says.
+    # The clock returns `now[0]` once no tick is left.
     now = [0.0]
     scheduler = scheduler_with_one_machine(now, lambda: next(ticks, now[0]))
     for number in range(1, 4):
@@ -226,7 +230,7 @@
 
 @pytest.mark.parametrize(("tasks", "rig"), [(5, "array"), (3000, "array"), (100_000, "array"), (700, "group")])
 def test_large_jobs_stay_within_the_store_limits(tasks: int, rig: str) -> None:
-    """Every batch must fit txn_ops, value size and 64 KiB, and what is written must be read back the same."""
+    """Every batch must fit txn_ops, value size and 64 KiB, and decoding its records must return the same job."""
     site = platform(txn_ops=12)
     store = InMemoryStore(site)
     fencing_token = store.put_leader("a")
@@ -283,7 +287,7 @@
 
 
 def any_candidate_fits(spec: JobSpec, candidates: list[Candidate]) -> bool:
-    """The plain model of `find`: does any candidate take a task?"""
+    """Return whether a task fits any candidate, checking each of them."""
     return any(
         allowed(spec, candidate.machine_type, candidate.zone, candidate.spot)
         and fits(spec, candidate.cpus, candidate.gpus, candidate.memory_gb)
@@ -344,7 +348,7 @@
 
 
 def test_sizing_keeps_a_one_zone_gang_in_one_zone() -> None:
-    """Seen with the plain model: two half rooms in two zones were counted, nothing was rented."""
+    """Guards against a gang that starves: half its room in each of two zones was added up, and no machine created."""
     spec = job(1, rig="group", hands=4, accelerators=2.0, together=True)
     candidates = [Candidate("a", "big", "north", False, 16, 4, 64), Candidate("b", "big", "south", False, 16, 4, 64)]
     plan = plan_fleet([Demand(spec, 4, {})], candidates, MACHINE_TYPES, lambda offer: False, 10)
@@ -352,7 +356,7 @@
 
 
 def test_burst_of_submissions_is_not_taken_for_an_arrival_rate() -> None:
-    """Seen on a first morning: the jobs of the first second were expected to come again every second."""
+    """Guards against a forecast that expects the submissions of the first second again every second."""
     arrivals = ArrivalRates(80.0, 2.0)
     for number in range(40):
         arrivals.record(job(number), 10.0)
@@ -390,7 +394,7 @@
     assert "fits no" in (unschedulable_reason(job(1, harbor="moon"), MACHINE_TYPES, SITE) or "")
     assert "limit" in (unschedulable_reason(job(1, rig="group", hands=9), MACHINE_TYPES, SITE) or "")
     assert unschedulable_reason(job(1, rig="array", hands=9), MACHINE_TYPES, SITE) is None
-    # A gang whose own wishes contradict one another would wait for ever; an array's tasks may come one by one.
+    # A gang with contradictory constraints would wait forever; the tasks of an array may run one after another.
     for constraints in ({"together": True}, {"harbor": "north"}):
         assert "spread" in (
             unschedulable_reason(job(1, rig="group", hands=2, spread=True, **constraints), MACHINE_TYPES, SITE) or ""
@@ -429,10 +433,12 @@
 
 
 def test_two_jobs_never_preempt_each_other() -> None:
-    """Seen in an incident: a guaranteed best-effort job and a standard one displaced each other in a circle."""
+    """Guards against a guaranteed best-effort job and a standard job that preempt each other in a loop."""
     low = Job(job(1, rank="best_effort", crew="red"), 1.0)
     standard = Job(job(2, rank="standard", crew="blue"), 2.0)
-    assert FairShareOrder({low.id}).may_preempt(low, standard), "a guarantee beats what others borrow"
+    assert FairShareOrder({low.id}).may_preempt(low, standard), (
+        "a guaranteed job may preempt one that is not guaranteed"
+    )
     assert not FairShareOrder({low.id, standard.id}).may_preempt(low, standard)
     assert not FairShareOrder({low.id}).may_preempt(standard, low)
     assert FairShareOrder(set()).may_preempt(standard, low)
@@ -444,7 +450,7 @@
 
 
 def test_termination_notice_alone_starts_a_drain() -> None:
-    """Seen by reading: a report that differs only in its notice started no batch."""
+    """Guards against a heartbeat that differs only in its termination notice and causes no batch."""
     now = [0.0]
     scheduler = scheduler_with_one_machine(now)
     attempt = submit_and_place(scheduler, hands=1).placements[0].attempt
@@ -482,24 +488,24 @@
         for key in machine.tasks:
             machine.task_phases[key] = "running"
     assert scheduler.consolidation_candidate(now[0]) is None, (
-        "nothing is thin: one is full, the other more than half used"
+        "no machine is underused: one is full, the other more than half used"
     )
     for key in list(spare.tasks)[:2]:
         spare.remove_task(key, cluster.jobs[key[0]].spec, 0.0, cluster.image_of)
     full.remove_task(next(iter(full.tasks)), cluster.jobs["req-000004"].spec, 0.0, cluster.image_of)
     assert scheduler.consolidation_candidate(now[0]) is None, (
-        "the other machine is empty: moving there would gain nothing"
+        "the other machine is empty: moving a task there would free no machine"
     )
     full.add_task(("req-000001", 0), TaskPlacement("vm-2", "north", 1), cluster.jobs["req-000001"].spec)
     full.task_phases[("req-000001", 0)] = "running"
     assert scheduler.consolidation_candidate(now[0]) in (spare, full)
     full.cached_images.clear()
     spare.cached_images.clear()
-    assert scheduler.consolidation_candidate(now[0]) is None, "a move must not wait for a fetch"
+    assert scheduler.consolidation_candidate(now[0]) is None, "a moved task must not wait for an image fetch"
 
 
 def test_image_with_an_unfinished_fetch_is_not_cached() -> None:
-    """Seen in an incident: work was displaced on a machine for an image that it had never finished fetching."""
+    """Guards against preempting tasks on a machine for an image whose fetch it never finished."""
     now = [0.0]
     scheduler = scheduler_with_one_machine(now)
     attempt = submit_and_place(scheduler, hands=1).placements[0].attempt
@@ -529,12 +535,14 @@
     reachable = scheduler.cluster.machines["vm-1"]
     reachable.last_heartbeat_at = now[0]
     assert {machine.name for machine in scheduler.select_scale_in(empty, now[0])} == {"vm-1", "vm-2"}, (
-        "one idle, one late"
+        "vm-1 is idle, vm-2 did not start in time"
+    )
+    assert scheduler.select_scale_in(CapacityPlan({}, {"vm-1"}), now[0]) == [late], (
+        "a machine that queued jobs need is kept"
     )
-    assert scheduler.select_scale_in(CapacityPlan({}, {"vm-1"}), now[0]) == [late], "what the queue needs is kept"
     reachable.last_heartbeat_at = now[0] - SITE.lease_s * scheduler.tuning.machine_loss_timeout_leases - 0.1
     assert reachable in scheduler.select_scale_in(CapacityPlan({}, {"vm-1"}), now[0]), (
-        "silent for longer than its lease"
+        "no heartbeat for longer than its lease"
     )
 
 
--- a/tests/test_stale_heartbeats_and_placement.py
+++ b/tests/test_stale_heartbeats_and_placement.py
@@ -1,4 +1,4 @@
-"""What was added to the protocol: unresponsive machines, late copies, split leaders, quick returns, large jobs."""
+"""Unresponsive machines, duplicate heartbeats, isolated leaders, quick restarts, large gangs and sizing."""
 
 import random
 
@@ -26,16 +26,16 @@
 SITE = platform()
 
 
-# -- a machine whose reports arrive while answers and commands do not reach it -------------------------------
+# Unresponsive machines: heartbeats arrive, but responses and commands do not reach the worker.
 
 
 def test_unresponsive_machine_is_deleted_and_its_tasks_run_elsewhere() -> None:
-    """Guards against offering starts for ever to a machine that looks alive and hears nothing."""
+    """Guards against placing tasks forever on a machine that sends heartbeats but receives no commands."""
     model = busy_model()
     worker = worker_with_task(model, 3)
     worker.inbound_cut = True
     model.run(6 * model.platform.lease_s)
-    assert worker.terminated, "its own reports show that it heeds nothing"
+    assert worker.terminated, "its heartbeats show that it received no command"
     assert any(task.job.id == "req-000003" and task.state == "running" for _, task in model.tasks_on_machines())
     model.settle()
     assert set(model.states().values()) <= {"done", "cancelled"}
@@ -80,7 +80,7 @@
 
 
 def test_many_machines_unresponsive_at_once_are_not_deleted() -> None:
-    """Guards against a leader too slow to answer that takes the whole fleet for unresponsive."""
+    """Guards against a leader that answers too slowly and takes all machines for unresponsive."""
     now = [1000.0]
     scheduler = scheduler_with_one_machine(now)
     scheduler.cluster.started_at = 0.0
@@ -95,11 +95,11 @@
     assert scheduler.select_scale_in(empty, now[0]) == []
 
 
-# -- late copies of reports ----------------------------------------------------------------------------------
+# Late duplicates of heartbeats.
 
 
 def test_new_leader_does_not_trust_a_late_duplicate_heartbeat() -> None:
-    """Guards against a report of a machine long gone: it was taken for a machine with room."""
+    """Guards against placing tasks on a deleted machine because a late duplicate of its heartbeat arrived."""
     now = [100.0]
     cluster = ClusterState(9, {}, dict(MACHINE_TYPES), now[0], SITE.lease_s)
     scheduler = new_scheduler(SITE, cluster, now)
@@ -107,7 +107,7 @@
     machine = apply_heartbeat(cluster, duplicate, now[0])
     assert machine is not None
     assert not scheduler.candidates.takes_tasks(machine, now[0]) and scheduler.candidates.available(now[0]) == []
-    assert machine.state is MachineState.UP, "an old notice drains nothing"
+    assert machine.state is MachineState.UP, "a stale termination notice starts no drain"
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
     commit(scheduler)
     commit(scheduler)
@@ -132,7 +132,7 @@
         assert apply_heartbeat(scheduler.cluster, late, 50.0) is None
         assert commands_for_heartbeat(scheduler.cluster, machine, late) == []
     commit(scheduler)
-    assert machine.last_heartbeat_at == 2.0, "it revives nothing"
+    assert machine.last_heartbeat_at == 2.0, "a late duplicate does not renew the machine's last heartbeat"
     assert scheduler.cluster.jobs["req-000001"].tasks_done == 0 and scheduler.cluster.jobs["req-000001"].placements
 
 
@@ -152,7 +152,7 @@
     assert set(model.states().values()) <= {"done", "cancelled"} and model.task_starts >= 20
 
 
-# -- a leader without store and peers, not without its workers -----------------------------------------------
+# A leader that loses the store and its peers, but not its workers.
 
 
 def test_isolated_leader_decides_nothing_and_steps_down() -> None:
@@ -167,18 +167,18 @@
     model.elect("b")
     batches = old.scheduler.counters.batches
     model.run(2 * model.platform.lease_s)
-    assert old.stepped_down, "a worker that saw the new token told it"
+    assert old.stepped_down, "a heartbeat showed it the new fencing token"
     assert old.scheduler.counters.batches == batches
     acknowledged = [
         machine for machine in model.leader.scheduler.cluster.machines.values() if machine.fence_acknowledged
     ]
-    assert len(acknowledged) >= len(model.alive()) - 1, "the workers are with the new leader"
+    assert len(acknowledged) >= len(model.alive()) - 1, "the workers acknowledged the new leader"
     assert before <= {(worker.name, task.job.id, task.attempt) for worker, task in model.tasks_on_machines()}
     model.settle()
     assert set(model.states().values()) <= {"done", "cancelled"}
 
 
-# -- back within a fraction of a second ----------------------------------------------------------------------
+# Restarts within a fraction of a second.
 
 
 def test_quickly_restarted_worker_is_recognized_as_a_new_incarnation() -> None:
@@ -223,17 +223,17 @@
     assert set(model.states().values()) <= {"done", "cancelled"} and model.statuses["req-000030"] == "done"
 
 
-# -- the largest jobs ----------------------------------------------------------------------------------------
+# Large gangs.
 
 
 def test_large_gang_starts_while_smaller_ones_keep_arriving() -> None:
-    """Guards against a gang of many machines that starves behind a stream of smaller jobs of its rank."""
+    """Guards against a gang of many machines that starves behind a stream of smaller jobs of its priority."""
     site = platform()
     model = ReferenceModel(5, site, {"big": BIG})
     model.elect()
     for _ in range(6):
         model.boot(ScaleOutRecord("big", "north", False, 1, 0.0))
-    # The cloud has no more: what comes free is all there is.
+    # The cloud has no more machines, so the gang can only use machines that become free.
     model.leader.scheduler.scale_out.request = lambda plan: None  # type: ignore[method-assign]
     for number in range(1, 7):
         model.submit(
@@ -249,7 +249,7 @@
         )
         model.run(4.0)
     started = model.leader.scheduler.cluster.jobs.get("req-000099")
-    assert started is None or started.placements, "the large one has its machines"
+    assert started is None or started.placements, "the large gang is placed"
 
 
 def test_machines_of_preempted_tasks_are_reserved_for_the_gang() -> None:
@@ -276,7 +276,7 @@
 
 
 def test_free_machine_is_reserved_together_with_a_preempted_one() -> None:
-    """Guards against smaller jobs taking the free machines of a gang one by one while the others come free."""
+    """Guards against smaller jobs that take a gang's free machines while it waits for preempted ones."""
     now = [100.0]
     scheduler = scheduler_with_one_machine(now)
     apply_heartbeat(scheduler.cluster, Heartbeat("vm-2", "h", "big", "north", False, 1, 1, 5, ()), now[0])
@@ -294,7 +294,7 @@
     now[0] += 1.0
     for _ in range(3):
         commit(scheduler)
-    assert not scheduler.cluster.jobs[small.id].placements, "what is held is for the gang"
+    assert not scheduler.cluster.jobs[small.id].placements, "the machines are reserved for the gang"
     now[0] += 60.0
     for name in ("vm-1", "vm-2"):
         known = scheduler.cluster.machines[name].last_heartbeat
@@ -304,29 +304,29 @@
         )
     for _ in range(3):
         commit(scheduler)
-    assert scheduler.cluster.jobs[small.id].placements, "not for ever"
+    assert scheduler.cluster.jobs[small.id].placements, "the reservation expires"
 
 
-# -- sizing and the store's changes, at size -----------------------------------------------------------------
+# Sizing of many machines, and the order of writes.
 
 
 def test_forecast_demand_is_not_limited_per_zone_by_the_size_of_one_job() -> None:
-    """Seen on the bench: rooms were rented in the dear zone, since one job's size was taken for the limit."""
-    expensive = MachineType("dear", 16.0, 4.0, 64.0, 100.0, 1.0, 40.0, 30.0, 30.0, ("south",))
+    """Guards against machines in the expensive zone because one job's size was taken as the limit of each zone."""
+    expensive = MachineType("expensive", 16.0, 4.0, 64.0, 100.0, 1.0, 40.0, 30.0, 30.0, ("south",))
     cheap = MachineType("cheap", 16.0, 4.0, 64.0, 100.0, 1.0, 4.0, 3.0, 30.0, ("north",))
     plan = plan_fleet(
-        [Demand(job(1, hands=4), 40, {})], [], {"dear": expensive, "cheap": cheap}, lambda offer: False, 64
+        [Demand(job(1, hands=4), 40, {})], [], {"expensive": expensive, "cheap": cheap}, lambda offer: False, 64
     )
     assert plan.scale_out == {("cheap", "north", False): 10}
     expected = Demand(job(1, hands=4), 40, {})
     CandidatePool(Candidate(f"vm-{number}", "big", "north", False, 16.0, 4.0, 64.0) for number in range(10)).fill(
         expected, set()
     )
-    assert expected.tasks == 0, "one zone may hold them all"
+    assert expected.tasks == 0, "one zone may hold all tasks"
 
 
 def fill_one_by_one(demand: Demand, candidates: list[Candidate]) -> int:
-    """The slow plain model: room by room, in the same order of preference."""
+    """Place tasks candidate by candidate, in the same order of preference as the pool; return their number."""
     spec, taken = demand.spec, 0
     for candidate in sorted(
         candidates,
@@ -423,15 +423,15 @@
     scheduler.admission.submit(PendingRequest(lambda status: None, job(1), "req-000001"))
     user_write_budget = scheduler.platform.write_rps * scheduler.tuning.user_write_share
     batch = scheduler.build_batch(user_write_budget)
-    assert batch.created == {"req-000001"} and not batch.puts, "what is left is kept for users"
+    assert batch.created == {"req-000001"} and not batch.puts, "the remaining writes are reserved for users"
     scheduler.apply_commit(batch, 9, [])
-    assert not scheduler.build_batch(user_write_budget).changed_jobs, "a placement waits for more"
+    assert not scheduler.build_batch(user_write_budget).changed_jobs, "a placement waits for a larger budget"
     batch = scheduler.build_batch(scheduler.platform.write_rps)
     assert batch.changed_jobs == {"req-000001"} and len(batch.puts) == 4
 
 
 def test_sizing_avoids_small_machines_that_hold_one_task_each() -> None:
-    """Seen on the bench: two hundred machines were rented for one task each, their other places of no use to any."""
+    """Guards against creating 200 machines for one task each, whose remaining resources no other task fits."""
     little = MachineType("little", 24.0, 4.0, 96.0, 100.0, 1.0, 11.0, 2.9, 30.0, ("north",))
     large = MachineType("large", 96.0, 8.0, 576.0, 100.0, 1.0, 17.8, 4.3, 30.0, ("north",))
     types = {machine_type.name: machine_type for machine_type in (little, large)}
@@ -441,7 +441,7 @@
 
 
 def test_at_equal_prices_work_goes_to_zones_with_more_controllers() -> None:
-    """Seen on the bench: a zone cut off with all controllers inside kept only a fifth of the replicas."""
+    """Guards against a partitioned zone with all controllers and only a fifth of the replicas inside."""
     site = platform()
     assert (site.away("north"), site.away("south"), site.away("elsewhere")) == (1, 1, 2)
     plan = plan_fleet(
@@ -459,7 +459,7 @@
 
 
 def test_critical_replicas_get_machines_with_a_faster_image_fetch() -> None:
-    """Seen on the bench: half of all replicas waited longest for their images, on the cheaper machines."""
+    """Guards against critical replicas on cheaper machines, where half of them waited longest for their images."""
     fast = MachineType("fast", 16.0, 4.0, 64.0, 100.0, 0.15, 11.0, 3.0, 30.0, ("north",))
     cheap = MachineType("cheap", 16.0, 4.0, 64.0, 100.0, 0.12, 9.0, 3.0, 30.0, ("north",))
     types = {"fast": fast, "cheap": cheap}
