--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -74,7 +74,7 @@
         peers.release.set()
         for answer in await asyncio.gather(*waiting, cancelling):
             assert answer is not None and answer.status == 200
-        # The limit has capacity again.
+        # Completed requests no longer count against the limit.
         assert users.requests_shed == 2
         later = await users.handle("GET", "/v1/jobs/req-000001", b"")
         assert later is not None and later.status == 200
