--- a/driftcleat/api/cancellations.py
+++ b/driftcleat/api/cancellations.py
@@ -3,11 +3,11 @@
 from functools import partial
 
 from driftcleat import wire
-from driftcleat.api.answers import Answer, RetryResponses
 from driftcleat.api.commit_wait import CommitWaiter
 from driftcleat.api.forwarding import LeaderForwarder
 from driftcleat.api.job_records import FINAL_STATES, JobRecords
 from driftcleat.api.leader_lookup import LeaderLookup
+from driftcleat.api.responses import Response, RetryResponses
 from driftcleat.api.user_requests import UserRequest
 from driftcleat.leadership import ActiveTerm
 from driftcleat.scheduler import PendingRequest, Scheduler
@@ -33,7 +33,7 @@
         self._forwarder = forwarder
         self._responses = responses
 
-    async def cancel(self, request: UserRequest) -> Answer:
+    async def cancel(self, request: UserRequest) -> Response:
         """Return the response to a cancellation: 200 with the final state, also of a job that ended before."""
         job_id = request.job_id
         status = self._records.cached_final_status(job_id)
@@ -43,7 +43,7 @@
                 return await self._forwarder.forward(request)
             status = await self._leader_lookup.status(scheduler, job_id)
             if status is None:
-                return Answer.error(404, "no such job")
+                return Response.error(404, "no such job")
             if status.state not in FINAL_STATES:
                 if scheduler.admission.full:
                     return self._responses.too_many_pending()
@@ -52,4 +52,4 @@
                 )
             if status is None or status.state not in FINAL_STATES:
                 return self._responses.unavailable("not decided")
-        return Answer(200, wire.encode(JobStatus(job_id, status.state)))
+        return Response(200, wire.encode(JobStatus(job_id, status.state)))
--- a/driftcleat/api/commit_wait.py
+++ b/driftcleat/api/commit_wait.py
@@ -9,7 +9,7 @@
 from driftcleat.wire.users import JobStatus
 
 # Completes a pending request with the job's committed status.
-Answerer = Callable[[JobStatus | None], None]
+StatusCallback = Callable[[JobStatus | None], None]
 
 
 class CommitWaiter:
@@ -23,7 +23,7 @@
     async def commit(
         self,
         enqueue: Callable[[PendingRequest], None],
-        make_request: Callable[[Answerer], PendingRequest],
+        make_request: Callable[[StatusCallback], PendingRequest],
         deadline: Deadline,
     ) -> JobStatus | None:
         """Enqueue a request; return the job's status after the commit, None if there is none in time."""
--- a/driftcleat/api/dependencies.py
+++ b/driftcleat/api/dependencies.py
@@ -1,8 +1,8 @@
 """States of the jobs that a job depends on, from the cluster state and the store."""
 
-from driftcleat.api.answers import Answer, RequestRefusedError, RetryResponses
 from driftcleat.api.job_records import FINAL_STATES, JobRecords
 from driftcleat.api.leader_lookup import LeaderLookup
+from driftcleat.api.responses import RequestRefusedError, Response, RetryResponses
 from driftcleat.cluster import JobState
 from driftcleat.scheduler import Scheduler
 from driftcleat.store.errors import StoreUnavailableError
@@ -30,11 +30,11 @@
             job = scheduler.cluster.jobs.get(dependency)
             if job is not None:
                 if job.spec.kind is JobKind.SERVICE:
-                    raise RequestRefusedError(Answer.error(422, f"tows: {dependency} is a service", "tows"))
+                    raise RequestRefusedError(Response.error(422, f"tows: {dependency} is a service", "tows"))
                 continue
             status = await self._leader_lookup.status(scheduler, dependency)
             if status is None:
-                raise never_accepted(dependency)
+                raise unknown_dependency_error(dependency)
             if status.state in FINAL_STATES:
                 ended[dependency] = status.state
         return ended
@@ -65,6 +65,6 @@
         return False
 
 
-def never_accepted(dependency: str) -> RequestRefusedError:
+def unknown_dependency_error(dependency: str) -> RequestRefusedError:
     """Return the refusal of a submission with a dependency that does not exist."""
-    return RequestRefusedError(Answer.error(422, f"tows: {dependency} was never accepted", "tows"))
+    return RequestRefusedError(Response.error(422, f"tows: {dependency} was never accepted", "tows"))
--- a/driftcleat/api/forwarding.py
+++ b/driftcleat/api/forwarding.py
@@ -3,7 +3,7 @@
 import logging
 from typing import Protocol
 
-from driftcleat.api.answers import Answer, RetryResponses
+from driftcleat.api.responses import Response, RetryResponses
 from driftcleat.api.user_requests import UserRequest, is_cancellation
 from driftcleat.leadership import ActiveTerm
 from driftcleat.peers.client import PeerError
@@ -56,7 +56,7 @@
         """Return whether another controller is known as the leader."""
         return self._active_term.leader not in (None, self._label)
 
-    async def forward(self, request: UserRequest, body: bytes = b"") -> Answer:
+    async def forward(self, request: UserRequest, body: bytes = b"") -> Response:
         """Return the leader's response to a request; of a poll or a cancellation the body is not sent."""
         leader = self._active_term.leader
         if request.forwarded or leader is None or leader == self._label:
@@ -77,4 +77,4 @@
             self._in_progress -= 1
         if not isinstance(answer, peer_messages.ForwardResponse):
             return self._responses.unavailable("the leader's answer is not one")
-        return Answer(answer.status, answer.body.encode(), answer.retry_after_s)
+        return Response(answer.status, answer.body.encode(), answer.retry_after_s)
--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.api.answers import Answer
-from driftcleat.api.server import Reply
+from driftcleat.api.responses import Response
+from driftcleat.api.server import ResponseOrAwaitable
 from driftcleat.cluster import Machine, apply_heartbeat, commands_for_heartbeat
 from driftcleat.leadership import ActiveTerm
 from driftcleat.net import ConnectionLimiter
@@ -42,7 +42,7 @@
         # How many it has received as a leader.
         self.heartbeats_received = 0
 
-    def handle(self, body: bytes) -> Reply:
+    def handle(self, body: bytes) -> ResponseOrAwaitable:
         """Answer one heartbeat."""
         election = self._active_term.election
         partition_token = election.lease_keeping_token
@@ -54,7 +54,7 @@
         except wire.WireError as error:
             self._metrics.malformed_heartbeats += 1
             log.info("heartbeat rejected: malformed: %s", error)
-            return Answer.error(400, str(error))
+            return Response.error(400, str(error))
         if partition_token is not None:
             return self._extend_lease(heartbeat, partition_token)
         token = election.fencing_token
@@ -66,7 +66,7 @@
             return _respond(token)
         return self._apply(scheduler, heartbeat, received_at)
 
-    def _apply(self, scheduler: Scheduler, heartbeat: Heartbeat, received_at: float) -> Reply:
+    def _apply(self, scheduler: Scheduler, heartbeat: Heartbeat, received_at: float) -> ResponseOrAwaitable:
         """Apply a heartbeat to the cluster state and answer it."""
         machine = apply_heartbeat(scheduler.cluster, heartbeat, received_at)
         self._metrics.record_part("reports", self._clock() - received_at)
@@ -91,7 +91,7 @@
 
     async def _answer_after_commit(
         self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, received_at: float
-    ) -> Answer:
+    ) -> Response:
         await self._await_commit(scheduler, machine.name, heartbeat)
         return self._answer(scheduler, machine, heartbeat, received_at)
 
@@ -110,7 +110,7 @@
             except TimeoutError:
                 return
 
-    def _answer(self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, received_at: float) -> Answer:
+    def _answer(self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, received_at: float) -> Response:
         """Respond with the commands for a machine, if this term still lasts."""
         election = self._active_term.election
         if self._active_term.scheduler is not scheduler or not election.may_answer_heartbeats:
@@ -125,7 +125,7 @@
         self._metrics.heartbeat_latency.record(ended_at - received_at)
         return answer
 
-    def _extend_lease(self, heartbeat: Heartbeat, token: int) -> Answer:
+    def _extend_lease(self, heartbeat: Heartbeat, token: int) -> Response:
         """Extend the lease of a worker in our partition, unless it has seen a newer leader."""
         election = self._active_term.election
         if heartbeat.fencing_token > token:
@@ -138,15 +138,15 @@
         }
         return _respond(token) if election.may_extend_worker_lease(live_jobs) else _redirect_to(None)
 
-    def _redirect(self) -> Answer:
+    def _redirect(self) -> Response:
         """Send a worker to the leader, if another controller is known to be it."""
         leader = self._active_term.leader
         return _redirect_to(leader if leader != self._label else None)
 
 
-def _redirect_to(leader: str | None) -> Answer:
-    return Answer(421, wire.encode(Redirect(leader)))
+def _redirect_to(leader: str | None) -> Response:
+    return Response(421, wire.encode(Redirect(leader)))
 
 
-def _respond(token: int, commands: list[Command] | None = None) -> Answer:
-    return Answer(200, wire.encode(HeartbeatResponse(token, commands or [])))
+def _respond(token: int, commands: list[Command] | None = None) -> Response:
+    return Response(200, wire.encode(HeartbeatResponse(token, commands or [])))
--- a/driftcleat/api/job_status.py
+++ b/driftcleat/api/job_status.py
@@ -1,11 +1,11 @@
 """Polls of a job's status: from the cache, the leader's cluster state, or the records."""
 
 from driftcleat import wire
-from driftcleat.api.answers import Answer, RetryResponses
 from driftcleat.api.dependencies import DependencyLookup
 from driftcleat.api.forwarding import LeaderForwarder
 from driftcleat.api.job_records import FINAL_STATES, JobRecords
 from driftcleat.api.leader_lookup import LeaderLookup
+from driftcleat.api.responses import Response, RetryResponses
 from driftcleat.api.user_requests import UserRequest
 from driftcleat.cluster import Job, JobState
 from driftcleat.leadership import ActiveTerm
@@ -33,7 +33,7 @@
         self._forwarder = forwarder
         self._responses = responses
 
-    async def poll(self, request: UserRequest) -> Answer:
+    async def poll(self, request: UserRequest) -> Response:
         """Return the response to a poll."""
         scheduler = self._active_term.scheduler
         status = self._status_in_memory(request.job_id, scheduler)
@@ -57,7 +57,7 @@
                 return None
         return status
 
-    async def _poll_records(self, job_id: str, scheduler: Scheduler | None) -> Answer:
+    async def _poll_records(self, job_id: str, scheduler: Scheduler | None) -> Response:
         """Answer from the records: the head first, so that a job that ends between the two reads is still found."""
         try:
             if scheduler is None or not self._active_term.may_decide:
@@ -75,7 +75,7 @@
             return self._respond(status)
         if scheduler is not None and not self._leader_lookup.is_current(scheduler):
             return self._responses.unavailable("leadership changed")
-        return Answer.error(404, "no such job")
+        return Response.error(404, "no such job")
 
     async def _recorded_state(self, job: Job) -> str:
         """Return the state that users see of a job with this head record."""
@@ -83,10 +83,10 @@
             return "cancelled"
         return "running" if job.placements else "pending"
 
-    def _respond(self, status: JobStatus) -> Answer:
+    def _respond(self, status: JobStatus) -> Response:
         """Return the response with a status, which is cached if it is final."""
         self._records.cache_if_final(status)
-        return Answer(
+        return Response(
             200,
             wire.encode(
                 {
--- a/driftcleat/api/leader_lookup.py
+++ b/driftcleat/api/leader_lookup.py
@@ -1,8 +1,8 @@
 """The leader's lookup of a job: in its own cluster state, then in the store."""
 
 from driftcleat import wire
-from driftcleat.api.answers import RequestRefusedError, RetryResponses
 from driftcleat.api.job_records import JobRecords
+from driftcleat.api.responses import RequestRefusedError, RetryResponses
 from driftcleat.leadership import ActiveTerm
 from driftcleat.scheduler import Scheduler
 from driftcleat.store.errors import StoreError
--- a/driftcleat/api/requests.py
+++ b/driftcleat/api/requests.py
@@ -9,10 +9,10 @@
 
 import httptools
 
-from driftcleat.api.answers import Answer
+from driftcleat.api.responses import Response
 
 # What the head of a request may take beside its body.
-MAX_HEAD = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,11 +32,11 @@
     What cannot be a request ends the order with the answer to give before the connection is closed.
     """
 
-    __slots__ = ("_body", "_body_size", "_broken", "_items", "_most_body", "_parser", "_received", "_url")
+    __slots__ = ("_body", "_body_size", "_broken", "_items", "_max_body_bytes", "_parser", "_received", "_url")
 
-    def __init__(self, most_body: int) -> None:
-        self._most_body = most_body
-        self._items: deque[HttpRequest | Answer] = deque()
+    def __init__(self, max_body_bytes: int) -> None:
+        self._max_body_bytes = max_body_bytes
+        self._items: deque[HttpRequest | Response] = deque()
         self._parser = httptools.HttpRequestParser(self)
         self._url = b""
         self._body: list[bytes] = []
@@ -45,15 +45,15 @@
         self._broken = False
 
     @property
-    def ready(self) -> bool:
+    def has_items(self) -> bool:
         """Whether there is anything to answer."""
         return bool(self._items)
 
-    def take(self) -> HttpRequest | Answer:
+    def pop(self) -> HttpRequest | Response:
         """Return the next request, or the last answer of a connection whose requests cannot be told apart."""
         return self._items.popleft()
 
-    def drop_all(self) -> None:
+    def discard_all(self) -> None:
         """Nothing more is wanted."""
         self._items.clear()
         self._broken = True
@@ -69,24 +69,24 @@
             # Only the one request is read: what follows one to speak another protocol could not be understood.
             self._broken = True
         except httptools.HttpParserError as error:
-            self._break(Answer.error(400, f"not HTTP: {error}"))
+            self._break(Response.error(400, f"not HTTP: {error}"))
         else:
             self._check_size()
 
-    def too_large_answer(self) -> Answer:
+    def too_large_response(self) -> Response:
         """Return the answer to a request whose body is above the limit."""
-        return Answer.error(413, f"the body is above {self._most_body} bytes", "body")
+        return Response.error(413, f"the body is above {self._max_body_bytes} bytes", "body")
 
     def _check_size(self) -> None:
         """Give up a request that goes on and on."""
-        if self._received <= self._most_body + MAX_HEAD:
+        if self._received <= self._max_body_bytes + MAX_HEAD_BYTES:
             return
         if self._body_size:
-            self._break(self.too_large_answer())
+            self._break(self.too_large_response())
         else:
-            self._break(Answer.error(400, f"not HTTP: the head is above {MAX_HEAD} bytes"))
+            self._break(Response.error(400, f"not HTTP: the head is above {MAX_HEAD_BYTES} bytes"))
 
-    def _break(self, answer: Answer) -> None:
+    def _break(self, answer: Response) -> None:
         self._broken = True
         self._items.append(answer)
 
@@ -105,7 +105,7 @@
     def on_body(self, data: bytes) -> None:
         """Keep a part of the body, unless it is above the limit."""
         self._body_size += len(data)
-        if self._body_size <= self._most_body:
+        if self._body_size <= self._max_body_bytes:
             self._body.append(data)
 
     def on_message_complete(self) -> None:
@@ -115,10 +115,10 @@
         try:
             path = _path(self._url)
         except httptools.HttpParserInvalidURLError as error:
-            self._break(Answer.error(400, f"not HTTP: {error}"))
+            self._break(Response.error(400, f"not HTTP: {error}"))
             return
         keep_alive = parser.should_keep_alive() and not parser.should_upgrade()
-        too_large = self._body_size > self._most_body
+        too_large = self._body_size > self._max_body_bytes
         body = b"" if too_large else b"".join(self._body)
         self._body = []
         self._items.append(HttpRequest(parser.get_method().decode(), path, body, keep_alive, too_large))
--- a/driftcleat/api/answers.py
+++ b/driftcleat/api/responses.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """An HTTP response: a status with a JSON body."""
 
     status: int
@@ -28,7 +28,7 @@
         field: str | None = None,
         retry_after_s: int | None = None,
         close: bool = False,
-    ) -> "Answer":
+    ) -> "Response":
         """Return the response for an error; `field` names the field of the request that is invalid."""
         return cls(status, wire.encode(ErrorResponse(text, field)), retry_after_s, close)
 
@@ -36,7 +36,7 @@
 class RequestRefusedError(DriftcleatError):
     """A request that is not carried out; `response` is what its user gets."""
 
-    def __init__(self, response: Answer) -> None:
+    def __init__(self, response: Response) -> None:
         super().__init__(f"request refused: status {response.status}")
         self.response = response
 
@@ -48,24 +48,24 @@
     # Value of the Retry-After header, in seconds.
     retry_s: int
 
-    def unavailable(self, reason: str) -> Answer:
+    def unavailable(self, reason: str) -> Response:
         """Return the response when the request cannot be carried out now."""
-        return Answer.error(503, reason, retry_after_s=self.retry_s)
+        return Response.error(503, reason, retry_after_s=self.retry_s)
 
-    def unavailable_here(self, reason: str) -> Answer:
+    def unavailable_here(self, reason: str) -> Response:
         """Return the response when another controller may be able to serve the client: the connection is closed."""
-        return Answer.error(503, reason, retry_after_s=self.retry_s, close=True)
+        return Response.error(503, reason, retry_after_s=self.retry_s, close=True)
 
-    def store_unavailable(self) -> Answer:
+    def store_unavailable(self) -> Response:
         """Return the response when records cannot be read."""
         return self.unavailable("the state service does not answer")
 
-    def too_many_pending(self) -> Answer:
+    def too_many_pending(self) -> Response:
         """Return the response when the queue of requests that wait for a commit is full."""
-        return Answer.error(429, "too many requests are waiting", retry_after_s=self.retry_s)
+        return Response.error(429, "too many requests are waiting", retry_after_s=self.retry_s)
 
 
-def encode_answer(answer: Answer, close: bool, with_body: bool = True) -> bytes:
+def encode_response(answer: Response, close: bool, with_body: bool = True) -> bytes:
     """Return the bytes of a response; without its body for a HEAD request."""
     retry = f"Retry-After: {answer.retry_after_s}\r\n" if answer.retry_after_s is not None else ""
     closing = "Connection: close\r\n" if close else ""
--- a/driftcleat/api/server.py
+++ b/driftcleat/api/server.py
@@ -5,23 +5,23 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from driftcleat.api.answers import Answer, encode_answer
 from driftcleat.api.requests import HttpRequest, RequestReader
+from driftcleat.api.responses import Response, encode_response
 from driftcleat.net import ConnectionLimiter
 from driftcleat.net.limiter import ClientKind
-from driftcleat.wire.users import MAX_BODY
+from driftcleat.wire.users import MAX_BODY_BYTES
 
 log = logging.getLogger(__name__)
 
 # What a handler returns: the answer if it can be given at once, else what to wait for.
-Reply = Answer | Awaitable[Answer]
-Handler = Callable[[str, str, bytes], Reply]
+ResponseOrAwaitable = Response | Awaitable[Response]
+Handler = Callable[[str, str, bytes], ResponseOrAwaitable]
 
 # Connections without a whole request for so long are closed.
-IDLE_S = 75.0
-SWEEPS_AN_IDLE_TIME = 5
+IDLE_TIMEOUT_S = 75.0
+IDLE_CHECKS_PER_TIMEOUT = 5
 # When to come back after an error of our own.
-RETRY_S = 1
+RETRY_AFTER_S = 1
 
 
 class Connection(asyncio.Protocol):
@@ -31,7 +31,7 @@
 
     def __init__(self, listener: "Listener", loop: asyncio.AbstractEventLoop) -> None:
         self._listener, self._loop = listener, loop
-        self._reader = RequestReader(listener.most_body)
+        self._reader = RequestReader(listener.max_body_bytes)
         self._busy = False
         self._reading = self._writable = True
         self.transport: asyncio.Transport | None = None
@@ -42,14 +42,14 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the connection, if the limiter has room for it."""
         self.transport = transport  # type: ignore[assignment]  # TCP's is one for both directions
-        if not self._listener.opened(self):
+        if not self._listener.admit(self):
             # Every connection is busy: better none than one that the state service or a peer then lacks.
             self.abort()
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """The connection is closed, by whomever. A request under way is carried out all the same."""
         self.transport = None
-        self._listener.gone(self)
+        self._listener.remove(self)
 
     def data_received(self, data: bytes) -> None:
         """Take what came in; a request that is complete is answered."""
@@ -76,7 +76,7 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        wanted = not self._reader.ready
+        wanted = not self._reader.has_items
         if wanted is not self._reading:
             self._reading = wanted
             if wanted:
@@ -86,15 +86,15 @@
 
     def _next_request(self) -> None:
         """Answer the requests that are complete, until one has to wait."""
-        while not self._busy and self._writable and self._reader.ready:
-            item = self._reader.take()
-            if isinstance(item, Answer):
+        while not self._busy and self._writable and self._reader.has_items:
+            item = self._reader.pop()
+            if isinstance(item, Response):
                 self._write(item, close=True)
                 return
             self._busy = True
-            self._listener.began(self, item.path)
+            self._listener.request_started(self, item.path)
             if item.too_large:
-                self._answer(item, self._reader.too_large_answer())
+                self._answer(item, self._reader.too_large_response())
                 continue
             self._handle(item)
 
@@ -103,37 +103,37 @@
             reply = self._listener.handler(request.method, request.path, request.body)
         except Exception:
             log.exception("request %s %s failed", request.method, request.path)
-            reply = Answer.error(503, "internal error", retry_after_s=RETRY_S)
-        if isinstance(reply, Answer):
+            reply = Response.error(503, "internal error", retry_after_s=RETRY_AFTER_S)
+        if isinstance(reply, Response):
             self._answer(request, reply)
         else:
             self._listener.spawn(self._answer_later(request, reply))
 
-    async def _answer_later(self, request: HttpRequest, reply: Awaitable[Answer]) -> None:
+    async def _answer_later(self, request: HttpRequest, reply: Awaitable[Response]) -> None:
         try:
             answer = await reply
         except (ConnectionError, TimeoutError):
-            answer = Answer.error(503, "the connection broke", retry_after_s=RETRY_S)
+            answer = Response.error(503, "the connection broke", retry_after_s=RETRY_AFTER_S)
         except Exception:
             log.exception("request %s %s failed", request.method, request.path)
-            answer = Answer.error(503, "internal error", retry_after_s=RETRY_S)
+            answer = Response.error(503, "internal error", retry_after_s=RETRY_AFTER_S)
         self._answer(request, answer)
         self._next_request()
         self._pace_reading()
 
-    def _answer(self, request: HttpRequest, answer: Answer) -> None:
+    def _answer(self, request: HttpRequest, answer: Response) -> None:
         self._busy = False
         self.last_used = self._loop.time()
-        last = self._listener.ended(self)
+        last = self._listener.request_finished(self)
         self._write(answer, last or answer.close or not request.keep_alive, request.method != "HEAD")
 
-    def _write(self, answer: Answer, close: bool, with_body: bool = True) -> None:
+    def _write(self, answer: Response, close: bool, with_body: bool = True) -> None:
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        transport.write(encode_answer(answer, close, with_body))
+        transport.write(encode_response(answer, close, with_body))
         if close:
-            self._reader.drop_all()
+            self._reader.discard_all()
             transport.close()
 
     # -- closing ------------------------------------------------------------------------------------------
@@ -156,10 +156,10 @@
 class Listener:
     """One address that is served, its connections and their limiter."""
 
-    def __init__(self, handler: Handler, most: int, most_body: int, workers: str | None) -> None:
-        self.handler, self.most_body = handler, most_body
-        self.limiter: ConnectionLimiter[Connection] = ConnectionLimiter(most, Connection.close)
-        self._workers_path = workers
+    def __init__(self, handler: Handler, max_connections: int, max_body_bytes: int, worker_path: str | None) -> None:
+        self.handler, self.max_body_bytes = handler, max_body_bytes
+        self.limiter: ConnectionLimiter[Connection] = ConnectionLimiter(max_connections, Connection.close)
+        self._workers_path = worker_path
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._sweeper: asyncio.Task[None] | None = None
@@ -185,12 +185,12 @@
     async def _sweep(self) -> None:
         """Close connections that have been idle for long: one loop for all, no timer for each."""
         while True:
-            await asyncio.sleep(IDLE_S / SWEEPS_AN_IDLE_TIME)
-            before = asyncio.get_running_loop().time() - IDLE_S
+            await asyncio.sleep(IDLE_TIMEOUT_S / IDLE_CHECKS_PER_TIMEOUT)
+            before = asyncio.get_running_loop().time() - IDLE_TIMEOUT_S
             for connection in [known for known in self.limiter.open if known.is_idle(before)]:
                 connection.close()
 
-    async def cleanup(self) -> None:
+    async def stop(self) -> None:
         """Stop serving."""
         if self._sweeper is not None:
             self._sweeper.cancel()
@@ -210,31 +210,35 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def opened(self, connection: Connection) -> bool:
+    def admit(self, connection: Connection) -> bool:
         """Take in a connection; False if there is no room for it."""
         return self.limiter.opened(connection)
 
-    def began(self, connection: Connection, path: str) -> None:
+    def request_started(self, connection: Connection, path: str) -> None:
         """A request has come in."""
         kind = ClientKind.WORKER if path == self._workers_path else ClientKind.USER
         self.limiter.began(connection, kind)
 
-    def ended(self, connection: Connection) -> bool:
+    def request_finished(self, connection: Connection) -> bool:
         """A request is answered; True if the connection has to be closed after it."""
         return self.limiter.ended(connection)
 
-    def gone(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         """A connection is closed."""
         self.limiter.gone(connection)
 
 
 async def serve(
-    address: str, handler: Handler, most: int, most_body: int = MAX_BODY, workers: str | None = None
+    address: str,
+    handler: Handler,
+    max_connections: int,
+    max_body_bytes: int = MAX_BODY_BYTES,
+    worker_path: str | None = None,
 ) -> Listener:
     """Listen on HOST:PORT; every request goes to `handler(method, path, body)`.
 
-    At most `most` connections are open at once; those that ask for the path `workers` are workers'.
+    At most `max_connections` connections are open at once; those that ask for the path `worker_path` are workers'.
     """
-    listener = Listener(handler, most, most_body, workers)
+    listener = Listener(handler, max_connections, max_body_bytes, worker_path)
     await listener.start(address)
     return listener
--- a/driftcleat/api/submissions.py
+++ b/driftcleat/api/submissions.py
@@ -4,11 +4,11 @@
 from typing import Any
 
 from driftcleat import wire
-from driftcleat.api.answers import Answer, RequestRefusedError, RetryResponses
 from driftcleat.api.commit_wait import CommitWaiter
 from driftcleat.api.dependencies import DependencyLookup
 from driftcleat.api.forwarding import LeaderForwarder
 from driftcleat.api.leader_lookup import LeaderLookup
+from driftcleat.api.responses import RequestRefusedError, Response, RetryResponses
 from driftcleat.api.user_requests import UserRequest
 from driftcleat.leadership import ActiveTerm
 from driftcleat.scheduler import PendingRequest, Scheduler, unschedulable_reason
@@ -38,20 +38,20 @@
         self._forwarder = forwarder
         self._responses = responses
 
-    async def submit(self, request: UserRequest) -> Answer:
+    async def submit(self, request: UserRequest) -> Response:
         """Return the response to a submission: 200 for a job accepted before, 201 for a new one."""
         try:
             raw = parse_object(request.body)
             job_id = parse_job_id(raw)
         except InvalidFieldError as error:
-            return Answer.error(400, str(error), error.field)
+            return Response.error(400, str(error), error.field)
         scheduler = self._active_term.scheduler
         if scheduler is None or not self._active_term.may_decide:
             return await self._forwarder.forward(request, request.body)
         # A job accepted before is known whatever its repeat looks like, so it is looked up before validation.
         status = await self._leader_lookup.status(scheduler, job_id)
         if status is not None:
-            return Answer(200, wire.encode(JobStatus(status.id, status.state)))
+            return Response(200, wire.encode(JobStatus(status.id, status.state)))
         spec = self._validate(scheduler, raw)
         ended = await self._dependencies.ended_dependencies(scheduler, spec)
         if scheduler.admission.full:
@@ -63,20 +63,20 @@
         )
         if status is None:
             return self._responses.unavailable("not decided")
-        return Answer(201, wire.encode(JobStatus(status.id, status.state)))
+        return Response(201, wire.encode(JobStatus(status.id, status.state)))
 
     def _validate(self, scheduler: Scheduler, raw: dict[str, Any]) -> JobSpec:
         """Return the specification; `RequestRefusedError` if it is invalid, can never run, or cannot be stored."""
         try:
             spec = parse_submission(raw)
         except InvalidFieldError as error:
-            raise RequestRefusedError(Answer.error(400, str(error), error.field)) from None
+            raise RequestRefusedError(Response.error(400, str(error), error.field)) from None
         if not scheduler.cluster.machine_types:
             raise RequestRefusedError(self._responses.unavailable("the machine types are not known yet"))
         reason = unschedulable_reason(spec, scheduler.cluster.machine_types, self._platform)
         if reason is not None:
-            raise RequestRefusedError(Answer.error(422, reason))
+            raise RequestRefusedError(Response.error(422, reason))
         if not scheduler.layout.spec_fits(spec):
             field = "tows" if spec.dependencies else "builds"
-            raise RequestRefusedError(Answer.error(400, f"{field}: more is named than can be stored", field))
+            raise RequestRefusedError(Response.error(400, f"{field}: more is named than can be stored", field))
         return spec
--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -8,7 +8,6 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from driftcleat.api.answers import Answer, RequestRefusedError, RetryResponses
 from driftcleat.api.cancellations import Cancellations
 from driftcleat.api.commit_wait import CommitWaiter
 from driftcleat.api.deadline import Deadline
@@ -17,6 +16,7 @@
 from driftcleat.api.job_records import JobRecords
 from driftcleat.api.job_status import JobStatusPolls
 from driftcleat.api.leader_lookup import LeaderLookup
+from driftcleat.api.responses import RequestRefusedError, Response, RetryResponses
 from driftcleat.api.submissions import Submissions
 from driftcleat.api.user_requests import UserRequest, is_cancellation
 from driftcleat.leadership import ActiveTerm
@@ -43,7 +43,7 @@
     """The method of a path, and what answers its requests."""
 
     method: str
-    answer: Callable[[UserRequest], Awaitable[Answer]]
+    answer: Callable[[UserRequest], Awaitable[Response]]
     names_job: bool = True
 
 
@@ -95,7 +95,7 @@
         """Return how many requests were refused since too many others were in progress."""
         return self._requests_shed + self._forwarder.requests_shed
 
-    def unavailable(self, reason: str) -> Answer:
+    def unavailable(self, reason: str) -> Response:
         """Return the response to a request that cannot be carried out now: it says when to retry."""
         return self._responses.unavailable(reason)
 
@@ -117,7 +117,7 @@
             * (FORWARDED_FRACTION if forwarded else 1.0)
         )
 
-    async def handle(self, method: str, path: str, body: bytes, forwarded: bool = False) -> Answer | None:
+    async def handle(self, method: str, path: str, body: bytes, forwarded: bool = False) -> Response | None:
         """Answer a request under /v1 before its deadline; None if there is no such path.
 
         Guards against steps that are each bounded, while their sum is longer than a user waits.
@@ -141,13 +141,13 @@
         finally:
             self._in_progress -= 1
 
-    async def _answer(self, route: _Route | None, request: UserRequest) -> Answer | None:
+    async def _answer(self, route: _Route | None, request: UserRequest) -> Response | None:
         if route is None:
             return None
         if request.method != route.method:
-            return Answer.error(405, f"only {route.method} is allowed here")
+            return Response.error(405, f"only {route.method} is allowed here")
         if route.names_job and not is_job_id(request.job_id):
-            return Answer.error(404, "no such job")
+            return Response.error(404, "no such job")
         return await route.answer(request)
 
 
--- a/driftcleat/cloud/autoscaler.py
+++ b/driftcleat/cloud/autoscaler.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 # The shortest pause between two rounds, and the longest wait for a change before one, in report intervals.
-ROUND_PAUSE = 1 / 4
+MIN_ROUND_PAUSE_INTERVALS = 1 / 4
 # The name of a round's processor time in `/metrics`.
 METRICS_PART = "sizing"
 
@@ -51,7 +51,7 @@
 
     async def run(self) -> None:
         """Scale when the state has changed, and at least every half report interval unless rounds take long."""
-        min_pause_s = self._platform.report_s * ROUND_PAUSE
+        min_pause_s = self._platform.report_s * MIN_ROUND_PAUSE_INTERVALS
         pause_s = min_pause_s
         while True:
             await asyncio.sleep(pause_s)
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -6,8 +6,8 @@
 import time
 from collections.abc import Awaitable, Callable
 
-from driftcleat.api import Answer
-from driftcleat.api.server import Reply
+from driftcleat.api import Response
+from driftcleat.api.server import ResponseOrAwaitable
 from driftcleat.controller.assembly import BuildContext, Factories, TermCallbacks, build_parts
 from driftcleat.controller.recovery import recover
 from driftcleat.controller.routes import Routes
@@ -156,18 +156,18 @@
 
     # -- requests -----------------------------------------------------------------------------------------
 
-    def reply_front(self, method: str, path: str, body: bytes) -> Reply:
+    def reply_front(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
         """Answer a request at `bind`, at once if possible."""
         return self._routes.reply_front(method, path, body)
 
-    async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle_front(self, method: str, path: str, body: bytes) -> Response:
         """Answer a request at `bind`."""
         return await self._routes.handle_front(method, path, body)
 
-    async def handle_back(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle_back(self, method: str, path: str, body: bytes) -> Response:
         """Answer a request at `back`."""
         return await self._routes.handle_back(method, path, body)
 
-    async def answer_peer(self, body: bytes) -> Answer:
+    async def answer_peer(self, body: bytes) -> Response:
         """Answer another controller's message."""
         return await self._routes.answer_peer(body)
--- a/driftcleat/controller/network.py
+++ b/driftcleat/controller/network.py
@@ -9,7 +9,7 @@
 from driftcleat.controller.clients import ControllerClients, make_clients
 from driftcleat.net import SocketBudget
 from driftcleat.settings import Platform
-from driftcleat.wire.users import MAX_BODY
+from driftcleat.wire.users import MAX_BODY_BYTES
 
 # Where workers send their heartbeats.
 HEARTBEAT_PATH = "/agent/beat"
@@ -46,7 +46,7 @@
         sockets = SocketBudget(platform.fd_limit, len(platform.peers))
         process_clients = make_clients(platform, sockets, clock)
         self.clients = process_clients.for_controller(platform)
-        self.front = Listener(front, sockets.front, MAX_BODY, HEARTBEAT_PATH)
+        self.front = Listener(front, sockets.front, MAX_BODY_BYTES, HEARTBEAT_PATH)
         self._back = Listener(back, sockets.back, MAX_PEER_BODY, None)
         self._platform = platform
         self._connections = process_clients.connections
@@ -59,7 +59,7 @@
                 stack.push_async_callback(client.close)
             for address, listener in ((self._platform.bind, self.front), (self._platform.back, self._back)):
                 await listener.start(address)
-                stack.push_async_callback(listener.cleanup)
+                stack.push_async_callback(listener.stop)
             yield
 
 
--- a/driftcleat/controller/routes.py
+++ b/driftcleat/controller/routes.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 
 from driftcleat import wire
-from driftcleat.api import Answer
-from driftcleat.api.server import Reply
+from driftcleat.api import Response
+from driftcleat.api.server import ResponseOrAwaitable
 from driftcleat.controller.assembly import ControllerParts
 from driftcleat.controller.network import HEARTBEAT_PATH
 from driftcleat.controller.status import StatusReport
-from driftcleat.peers.client import PATH as PEER_PATH
+from driftcleat.peers.client import PEER_PATH
 from driftcleat.settings import Platform, Tuning
 
 READY_PATH = "/ready"
@@ -33,23 +33,25 @@
         self._ready_s = platform.lease_s * tuning.readiness_grace_leases
         self._leader_reached_at = float("-inf")
 
-    def reply_front(self, method: str, path: str, body: bytes) -> Reply:
+    def reply_front(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
         """Answer a request at `bind`: heartbeats, which are most of them, without a task if possible."""
         if path == HEARTBEAT_PATH and method == "POST":
             return self._heartbeats.handle(body)
         return self.handle_front(method, path, body)
 
-    async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle_front(self, method: str, path: str, body: bytes) -> Response:
         """Answer a request at `bind`."""
         if path == HEARTBEAT_PATH:
             if method != "POST":
                 return _method_not_allowed("POST")
             reply = self._heartbeats.handle(body)
-            return reply if isinstance(reply, Answer) else await reply
+            return reply if isinstance(reply, Response) else await reply
         if path == READY_PATH:
             if method != "GET":
                 return _method_not_allowed("GET")
-            return Answer(200, b'{"ready":true}') if await self._is_ready() else self._users.unavailable("not ready")
+            return (
+                Response(200, b'{"ready":true}') if await self._is_ready() else self._users.unavailable("not ready")
+            )
         started_at = self._clock()
         answer = await self._users.handle(method, path, body)
         self._metrics.user_request_latency.record(self._clock() - started_at)
@@ -65,22 +67,22 @@
             self._leader_reached_at = self._clock()
         return self._clock() - self._leader_reached_at < self._ready_s
 
-    async def handle_back(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle_back(self, method: str, path: str, body: bytes) -> Response:
         """Answer a request at `back`."""
         if path == PEER_PATH:
             return await self.answer_peer(body) if method == "POST" else _method_not_allowed("POST")
         if path in STATUS_PATHS:
-            return Answer(200, wire.encode(self._status.read())) if method == "GET" else _method_not_allowed("GET")
+            return Response(200, wire.encode(self._status.read())) if method == "GET" else _method_not_allowed("GET")
         return _not_found()
 
-    async def answer_peer(self, body: bytes) -> Answer:
+    async def answer_peer(self, body: bytes) -> Response:
         """Answer another controller's message."""
-        return await self._peer_api.answer(body)
+        return await self._peer_api.handle(body)
 
 
-def _method_not_allowed(allowed: str) -> Answer:
-    return Answer.error(405, f"only {allowed} is allowed here")
+def _method_not_allowed(allowed: str) -> Response:
+    return Response.error(405, f"only {allowed} is allowed here")
 
 
-def _not_found() -> Answer:
-    return Answer.error(404, "no such path")
+def _not_found() -> Response:
+    return Response.error(404, "no such path")
--- a/driftcleat/peers/client.py
+++ b/driftcleat/peers/client.py
@@ -9,7 +9,7 @@
 from driftcleat.store.records import DATA_VERSION
 from driftcleat.wire import peers as messages
 
-PATH = "/peer"
+PEER_PATH = "/peer"
 HTTP_OK = 200
 
 
@@ -20,7 +20,7 @@
 class PeerClient:
     """Sends messages to the other controllers."""
 
-    def __init__(self, client: HttpClient, platform: Platform, path: str = PATH) -> None:
+    def __init__(self, client: HttpClient, platform: Platform, path: str = PEER_PATH) -> None:
         self.path = path
         self._client = client
         self.label = platform.label
@@ -54,7 +54,7 @@
         )
         return [answer for answer in answers if isinstance(answer, messages.Pong)]
 
-    async def views(self, timeout_s: float) -> list[messages.ViewResponse]:
+    async def request_views(self, timeout_s: float) -> list[messages.ViewResponse]:
         """Request the views of the store and the leader of all other controllers; return the responses in time."""
         answers = await asyncio.gather(
             *(
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from driftcleat import wire
-from driftcleat.api.answers import Answer
+from driftcleat.api.responses import Response
 from driftcleat.api.users import UserApi
 from driftcleat.leadership import ActiveTerm
 from driftcleat.runtime.metrics import Metrics
@@ -27,7 +27,7 @@
 # Fraction of the leader lease's time to live that a read of the store may take before a view is sent without it.
 STORE_READ_FRACTION = 0.3
 # The age of what never happened.
-NEVER_S = -1.0
+NO_AGE_S = -1.0
 
 
 class PeerApi:
@@ -51,29 +51,29 @@
         # The data version that each controller can write, as it announced it.
         self._data_versions: dict[str, int] = {}
 
-    async def answer(self, body: bytes) -> Answer:
+    async def handle(self, body: bytes) -> Response:
         """Answer one message."""
         try:
             message: messages.PeerMessage = wire.decode(body, messages.PeerMessage)  # type: ignore[arg-type]
         except wire.WireError as error:
             self._metrics.malformed_peer_messages += 1
             log.info("controller message rejected: malformed: %s", error)
-            return Answer.error(400, str(error))
+            return Response.error(400, str(error))
         if isinstance(message, messages.ForwardRequest):
-            return Answer(200, wire.encode(await self._handle_forwarded(message)))
+            return Response(200, wire.encode(await self._handle_forwarded(message)))
         if isinstance(message, messages.Ping):
             self.record_data_version(message.sender, message.data_version)
-            return Answer(200, wire.encode(self._pong()))
+            return Response(200, wire.encode(self._pong()))
         if isinstance(message, messages.ViewRequest):
             self.record_data_version(message.sender, message.data_version)
-            return Answer(200, wire.encode(await self._view()))
-        return Answer.error(400, "not a question")
+            return Response(200, wire.encode(await self._view()))
+        return Response.error(400, "not a question")
 
     async def _handle_forwarded(self, message: messages.ForwardRequest) -> messages.ForwardResponse:
         """Answer a user's request that another controller forwards."""
         answer = await self._users.handle(message.method, message.path, message.body.encode(), forwarded=True)
         if answer is None:
-            answer = Answer.error(404, "no such path")
+            answer = Response.error(404, "no such path")
         return messages.ForwardResponse(answer.status, answer.body.decode(), answer.retry_after_s)
 
     def record_data_version(self, label: str, version: int) -> None:
@@ -121,7 +121,7 @@
 
     def _age(self, moment: float | None) -> float:
         """Return the seconds since a moment; negative if there is none."""
-        return self._clock() - moment if moment is not None else NEVER_S
+        return self._clock() - moment if moment is not None else NO_AGE_S
 
     def _leader_status(self) -> messages.LeaderStatus | None:
         """Return our status as a leader, with the cancelled jobs that are still placed; None if we do not lead."""
--- a/driftcleat/peers/survey.py
+++ b/driftcleat/peers/survey.py
@@ -40,7 +40,7 @@
     async def ask_all(self) -> PeerSurvey:
         """Ask all other controllers for their views of the store and the leader."""
         asked_at = self._clock()
-        views = await self._peers.views(self._active_term.election.ttl_s * VIEW_TIMEOUT_FRACTION)
+        views = await self._peers.request_views(self._active_term.election.ttl_s * VIEW_TIMEOUT_FRACTION)
         highest = max(views, key=lambda view: view.fencing_token, default=None)
         contact = _leader_contact(asked_at, [view.leader_status for view in views])
         return PeerSurvey(
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from driftcleat import wire
-from driftcleat.api import Answer, Listener, serve
-from driftcleat.api.server import Reply
+from driftcleat.api import Listener, Response, serve
+from driftcleat.api.server import ResponseOrAwaitable
 from driftcleat.controller.clients import make_clients
 from driftcleat.controller.controller import LOOP_RESTART_PAUSE
 from driftcleat.controller.network import HEARTBEAT_PATH, MAX_PEER_BODY
 from driftcleat.leadership import Election
 from driftcleat.net import HttpClient, SocketBudget
 from driftcleat.peers import PeerClient
-from driftcleat.peers.client import PATH
+from driftcleat.peers.client import PEER_PATH
 from driftcleat.runtime.background import Background, run_for_ever
 from driftcleat.settings import Platform, Tuning
 from driftcleat.sharing.allotments import Allotment
@@ -99,7 +99,7 @@
             task.cancel()
         await asyncio.gather(*self._engine_tasks.values(), return_exceptions=True)
         for server in servers:
-            await server.cleanup()
+            await server.stop()
         for client in clients:
             await client.close()
 
@@ -112,7 +112,7 @@
 
     def make_peers(self, share: int) -> PeerClient:
         """Return the client with which a share's engines talk to one another."""
-        path = PATH if share == FIRST_SHARE else f"{PATH}/{share}"
+        path = PEER_PATH if share == FIRST_SHARE else f"{PEER_PATH}/{share}"
         return PeerClient(self._peer_client, self.platform, path)
 
     def make_sharing_client(self, path: str) -> PeerClient:
@@ -231,24 +231,24 @@
 
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
         """Open the addresses that are served."""
-        self.front = await serve(self.platform.bind, self.reply_front, sockets.front, workers=HEARTBEAT_PATH)
+        self.front = await serve(self.platform.bind, self.reply_front, sockets.front, worker_path=HEARTBEAT_PATH)
         back = await serve(self.platform.back, self.handle_back, sockets.back, MAX_PEER_BODY)
         return [back, self.front]
 
-    def reply_front(self, method: str, path: str, body: bytes) -> Reply:
+    def reply_front(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
         """Answer a request at `bind`; reports go to the engine of their machine's share."""
         if path != HEARTBEAT_PATH or method != "POST":
             return self.handle_front(method, path, body)
         try:
             machine = wire.decode(body, ReportingMachine).name
         except wire.WireError as error:
-            return Answer.error(400, str(error))
+            return Response.error(400, str(error))
         share = self.view.share_of(machine)
         if share is None:
             return self._report_of_unknown(machine, body)
         return self.engines[share].heartbeats.handle(body) if self.is_set_up(share) else self._starting()
 
-    async def _report_of_unknown(self, machine: str, body: bytes) -> Answer:
+    async def _report_of_unknown(self, machine: str, body: bytes) -> Response:
         """Our replica may be late: ask the store. A machine that nobody has registered yet comes back."""
         try:
             share = await self.registry.look_up(machine) if self.view.loaded else None
@@ -258,35 +258,35 @@
         if share is None or not self.is_set_up(share):
             return self._starting()
         reply = self.engines[share].heartbeats.handle(body)
-        return reply if isinstance(reply, Answer) else await reply
+        return reply if isinstance(reply, Response) else await reply
 
-    def _starting(self) -> Answer:
-        return Answer.error(503, "not known yet", retry_after_s=1)
+    def _starting(self) -> Response:
+        return Response.error(503, "not known yet", retry_after_s=1)
 
     def is_set_up(self, share: int) -> bool:
         """Whether the engine of a share serves."""
         return share in self.engines and self.engines[share].is_serving
 
-    async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle_front(self, method: str, path: str, body: bytes) -> Response:
         """Answer a request at `bind`."""
         if path == HEARTBEAT_PATH:
             reply = self.reply_front(method, path, body) if method == "POST" else None
             if reply is None:
-                return Answer.error(405, "only POST is allowed here")
-            return reply if isinstance(reply, Answer) else await reply
+                return Response.error(405, "only POST is allowed here")
+            return reply if isinstance(reply, Response) else await reply
         if not self.is_set_up(FIRST_SHARE):
             return self._starting()
         if path == "/ready":
             return await self.first_engine.handle_front(method, path, body)
         return await self.router.handle(method, path, body)
 
-    async def handle_back(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle_back(self, method: str, path: str, body: bytes) -> Response:
         """Answer a request at `back`."""
-        if path.startswith(PATH + "/"):
-            share = path[len(PATH) + 1 :]
+        if path.startswith(PEER_PATH + "/"):
+            share = path[len(PEER_PATH) + 1 :]
             if not share.isascii() or not share.isdigit() or int(share) not in self.engines:
-                return Answer.error(404, "no such share")
-            return await self.engines[int(share)].handle_back(method, PATH, body)
+                return Response.error(404, "no such share")
+            return await self.engines[int(share)].handle_back(method, PEER_PATH, body)
         answer = await self.operators.handle(method, path, body)
         if answer is not None:
             return answer
--- a/driftcleat/sharing/needs.py
+++ b/driftcleat/sharing/needs.py
@@ -8,11 +8,11 @@
 
 from driftcleat import wire
 from driftcleat.api import UserApi
-from driftcleat.api.answers import RequestRefusedError, RetryResponses
-from driftcleat.api.dependencies import DependencyLookup, never_accepted
+from driftcleat.api.dependencies import DependencyLookup, unknown_dependency_error
 from driftcleat.api.forwarding import ForwardingClient
 from driftcleat.api.job_records import FINAL_STATES, JobRecords
 from driftcleat.api.leader_lookup import LeaderLookup
+from driftcleat.api.responses import RequestRefusedError, RetryResponses
 from driftcleat.leadership import ActiveTerm
 from driftcleat.scheduler import Scheduler
 from driftcleat.settings import Platform, Tuning
@@ -65,7 +65,7 @@
             except (StoreError, wire.WireError):
                 raise RequestRefusedError(self._responses.store_unavailable()) from None
             if state is None:
-                raise never_accepted(dependency)
+                raise unknown_dependency_error(dependency)
             if state in FINAL_STATES:
                 ended[dependency] = state
         own_spec = msgspec.structs.replace(spec, dependencies=own or None)
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from driftcleat import wire
-from driftcleat.api import Answer
+from driftcleat.api import Response
 from driftcleat.peers.client import PeerError
 from driftcleat.sharing.messages import LetGo, MoveAnswer, MoveRequest, SharingMessage, Status
 from driftcleat.sharing.sharing_client import PATH, SharingClient
@@ -58,15 +58,15 @@
         self._client = SharingClient(host)
         self.malformed = 0
 
-    async def handle(self, method: str, path: str, body: bytes) -> Answer | None:
+    async def handle(self, method: str, path: str, body: bytes) -> Response | None:
         """Answer a request; None if the path is not ours."""
         wanted = {PATH: "POST", "/shares": "GET", "/shares/move": "POST"}.get(path)
         if wanted is None:
             return None
         if method != wanted:
-            return Answer.error(405, f"only {wanted} is allowed here")
+            return Response.error(405, f"only {wanted} is allowed here")
         if path == "/shares":
-            return Answer(200, wire.encode(self.view()))
+            return Response(200, wire.encode(self.view()))
         try:
             if path == PATH:
                 return await self._answer(wire.decode(body, SharingMessage))  # type: ignore[arg-type]
@@ -74,20 +74,20 @@
         except wire.WireError as error:
             self.malformed += 1
             log.info("malformed message about shares: %s", error)
-            return Answer.error(400, str(error))
+            return Response.error(400, str(error))
 
-    async def _answer(self, message: SharingMessage) -> Answer:
+    async def _answer(self, message: SharingMessage) -> Response:
         """Answer another controller."""
         host = self._host
         if isinstance(message, Status):
-            return Answer(200, wire.encode(host.duties.take_status(message)))
+            return Response(200, wire.encode(host.duties.take_status(message)))
         if isinstance(message, LetGo):
-            return Answer(200, wire.encode(await host.transfers.let_go(message)))
+            return Response(200, wire.encode(await host.transfers.let_go(message)))
         if isinstance(message, MoveRequest):
-            return Answer(200, wire.encode(await host.duties.move(message)))
-        return Answer.error(400, "not a question")
+            return Response(200, wire.encode(await host.duties.move(message)))
+        return Response.error(400, "not a question")
 
-    async def _order(self, order: MoveOrder) -> Answer:
+    async def _order(self, order: MoveOrder) -> Response:
         """Carry out an operator's order, or pass it on to the coordinator."""
         host = self._host
         request = MoveRequest(order.share, order.receiver)
@@ -95,15 +95,15 @@
         if host.may_decide:
             answer: SharingMessage = await host.duties.move(request)
         elif coordinator is None or coordinator == host.platform.label:
-            return Answer.error(503, "there is no coordinator now", retry_after_s=1)
+            return Response.error(503, "there is no coordinator now", retry_after_s=1)
         else:
             try:
                 answer = await self._client.send(coordinator, request, host.platform.report_s)
             except PeerError as error:
-                return Answer.error(503, f"the coordinator {coordinator}: {error}", retry_after_s=1)
+                return Response.error(503, f"the coordinator {coordinator}: {error}", retry_after_s=1)
         if not isinstance(answer, MoveAnswer):
-            return Answer.error(503, "the coordinator's answer is not one", retry_after_s=1)
-        return Answer(200, b"{}") if answer.begun else Answer.error(409, answer.why)
+            return Response.error(503, "the coordinator's answer is not one", retry_after_s=1)
+        return Response(200, b"{}") if answer.begun else Response.error(409, answer.why)
 
     def view(self) -> SharesView:
         """Return all shares as this controller sees them."""
--- a/driftcleat/sharing/routing.py
+++ b/driftcleat/sharing/routing.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from driftcleat import wire
-from driftcleat.api import Answer
+from driftcleat.api import Response
 from driftcleat.sharing.keys import FIRST_SHARE
 from driftcleat.store.errors import StoreError
 from driftcleat.wire.job_ids import is_job_id
@@ -24,14 +24,14 @@
     def __init__(self, host: "SharingHost") -> None:
         self._host = host
 
-    async def handle(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle(self, method: str, path: str, body: bytes) -> Response:
         """Answer a user's request."""
         host = self._host
         users = host.first_engine.users
         try:
             async with asyncio.timeout(users.time_limit_s(method, False)):
                 share = await self._share_for(method, path, body)
-                if isinstance(share, Answer):
+                if isinstance(share, Response):
                     return share
                 if not host.is_set_up(share):
                     return users.unavailable("starting")
@@ -41,7 +41,7 @@
         except TimeoutError:
             return users.unavailable("no answer in time")
 
-    async def _share_for(self, method: str, path: str, body: bytes) -> int | Answer:
+    async def _share_for(self, method: str, path: str, body: bytes) -> int | Response:
         """Return the share whose engine answers a request, or the answer if no share is needed for it."""
         host = self._host
         if not host.view.loaded:
@@ -54,15 +54,15 @@
         if not path.startswith(JOBS_PATH + "/") or not is_job_id(job_id):
             return FIRST_SHARE
         home = await host.claims.home(job_id, host.first_engine.users.max_store_wait_s)
-        return home if home is not None else Answer.error(404, "no such job")
+        return home if home is not None else Response.error(404, "no such job")
 
-    async def _share_for_submission(self, body: bytes) -> int | Answer:
+    async def _share_for_submission(self, body: bytes) -> int | Response:
         host = self._host
         try:
             raw = parse_object(body)
             job_id = parse_job_id(raw)
         except InvalidFieldError as error:
-            return Answer.error(400, str(error), error.field)
+            return Response.error(400, str(error), error.field)
         known = host.claims.known(job_id)
         if known is not None:
             return known
@@ -71,7 +71,7 @@
         except InvalidFieldError as error:
             # A job accepted before is known whatever its repeat looks like.
             home = await host.claims.home(job_id, host.first_engine.users.max_store_wait_s)
-            return home if home is not None else Answer.error(400, str(error), error.field)
+            return home if home is not None else Response.error(400, str(error), error.field)
         # Most submissions are new: the claim is tried without a look for an older one, which would cost three reads.
         return await host.claims.claim(job_id, await self._choose(spec))
 
--- a/driftcleat/wire/users.py
+++ b/driftcleat/wire/users.py
@@ -5,7 +5,7 @@
 import msgspec
 
 # The most bytes of a request's body.
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 
 
 class JobKind(StrEnum):
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -8,7 +8,7 @@
 import pytest
 
 from driftcleat import wire
-from driftcleat.api import Answer
+from driftcleat.api import Response
 from driftcleat.capacity.failure_detector import FailureDetector
 from driftcleat.cluster import Machine, MachineState, apply_heartbeat, commands_for_heartbeat, transition_machine
 from driftcleat.scheduler import PendingRequest
@@ -109,7 +109,7 @@
         worker = simulation.tasks_on_machines()[0][0]
         before = len(controller.background.tasks)
         reply = controller.reply_front("POST", "/agent/beat", wire.encode(worker.next_heartbeat()))
-        assert isinstance(reply, Answer) and reply.status == 200
+        assert isinstance(reply, Response) and reply.status == 200
         assert wire.decode(reply.body, HeartbeatResponse).commands == []
         assert len(controller.background.tasks) == before
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from driftcleat.api import Answer, Listener, serve
+from driftcleat.api import Listener, Response, serve
 from driftcleat.api import server as server_module
-from driftcleat.api.answers import encode_answer
-from driftcleat.api.server import Reply
+from driftcleat.api.responses import encode_response
+from driftcleat.api.server import ResponseOrAwaitable
 
 from .protocol_doubles import free_port
 
@@ -58,7 +58,7 @@
         self.listener: Listener
         self.port = 0
 
-    def handle(self, method: str, path: str, body: bytes) -> Reply:
+    def handle(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
         """Answer at once, or later if the path says so."""
         self.asked.append((method, path, body))
         if path == "/later":
@@ -66,14 +66,14 @@
         if path == "/broken":
             raise ValueError("broken")
         if path == "/large":
-            return Answer(200, LARGE)
+            return Response(200, LARGE)
         if path == "/last":
-            return Answer(503, b"{}", retry_after_s=3, close=True)
-        return Answer(200, b'{"ok":true}')
+            return Response(503, b"{}", retry_after_s=3, close=True)
+        return Response(200, b'{"ok":true}')
 
-    async def _later(self) -> Answer:
+    async def _later(self) -> Response:
         await self.hold.wait()
-        return Answer(201, b"{}")
+        return Response(201, b"{}")
 
     async def connect(self) -> Client:
         """Open a connection."""
@@ -88,11 +88,11 @@
             server = Server()
             server.port = free_port()
             address = f"127.0.0.1:{server.port}"
-            server.listener = await serve(address, server.handle, most, MOST_BODY, workers="/report")
+            server.listener = await serve(address, server.handle, most, MOST_BODY, worker_path="/report")
             try:
                 await test(server)
             finally:
-                await server.listener.cleanup()
+                await server.listener.stop()
 
         def run() -> None:
             asyncio.run(inside())
@@ -237,7 +237,7 @@
 
 
 def test_idle_connections_are_closed_after_their_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_module, "IDLE_S", 0.2)
+    monkeypatch.setattr(server_module, "IDLE_TIMEOUT_S", 0.2)
 
     @served()
     async def play(server: Server) -> None:
@@ -253,6 +253,6 @@
 
 
 def test_an_answer_is_whole_on_the_wire() -> None:
-    assert encode_answer(Answer(421, b"{}"), close=False) == (
+    assert encode_response(Response(421, b"{}"), close=False) == (
         b"HTTP/1.1 421 Misdirected Request\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
     )
