--- a/driftcleat/api/__init__.py
+++ b/driftcleat/api/__init__.py
@@ -1,4 +1,4 @@
-"""The users' and workers' interfaces and the servers that listen on `bind` and `back`."""
+"""The interfaces for users and workers, and the HTTP server that listens on the addresses `bind` and `back`."""
 
 from driftcleat.api.heartbeats import HeartbeatApi
 from driftcleat.api.responses import Response
--- a/driftcleat/api/cancellations.py
+++ b/driftcleat/api/cancellations.py
@@ -34,7 +34,7 @@
         self._responses = responses
 
     async def cancel(self, request: UserRequest) -> Response:
-        """Return the response to a cancellation: 200 with the final state, also of a job that ended before."""
+        """Return the response to a cancellation: 200 with the final state, even if the job had ended before."""
         job_id = request.job_id
         status = self._records.cached_final_status(job_id)
         if status is None:
--- a/driftcleat/api/commit_wait.py
+++ b/driftcleat/api/commit_wait.py
@@ -26,7 +26,7 @@
         make_request: Callable[[StatusCallback], PendingRequest],
         deadline: Deadline,
     ) -> JobStatus | None:
-        """Enqueue a request; return the job's status after the commit, None if there is none in time."""
+        """Enqueue a request; return the job's status after the commit, None if it is not committed in time."""
         future: asyncio.Future[JobStatus | None] = asyncio.get_running_loop().create_future()
         enqueue(make_request(lambda status: None if future.done() else future.set_result(status)))
         self._outstanding.add(future)
@@ -39,7 +39,7 @@
             self._outstanding.discard(future)
 
     def drop_outstanding(self) -> None:
-        """Complete all waiting requests without a status: whether they are committed is unknown, users retry."""
+        """Complete all waiting requests with None: whether they are committed is unknown, so their users retry."""
         for future in self._outstanding:
             if not future.done():
                 future.set_result(None)
--- a/driftcleat/api/dependencies.py
+++ b/driftcleat/api/dependencies.py
@@ -1,4 +1,4 @@
-"""States of the jobs that a job depends on, from the cluster state and the store."""
+"""Lookup of the jobs that a job depends on, in the cluster state and the store."""
 
 from driftcleat.api.job_records import FINAL_STATES, JobRecords
 from driftcleat.api.leader_lookup import LeaderLookup
@@ -8,12 +8,12 @@
 from driftcleat.store.errors import StoreUnavailableError
 from driftcleat.wire.users import JobKind, JobSpec
 
-# Dependencies read at most for the status of one job.
+# Maximum number of dependencies that are read from the store for the status of one job.
 MAX_DEPENDENCY_READS = 24
 
 
 class DependencyLookup:
-    """Looks up dependencies; a subclass may know of jobs that are not in this cluster state."""
+    """Looks up dependencies; a subclass may also find jobs of other schedulers."""
 
     def __init__(self, records: JobRecords, leader_lookup: LeaderLookup, responses: RetryResponses) -> None:
         self._records = records
@@ -23,7 +23,7 @@
     async def ended_dependencies(self, scheduler: Scheduler, spec: JobSpec) -> dict[str, str]:
         """Return the final states, by job id, of those dependencies of a submission that have ended.
 
-        `RequestRefusedError` if a dependency is not a job that can be depended on, or cannot be looked up.
+        `RequestRefusedError` if a dependency is a service or unknown, or if it cannot be looked up.
         """
         ended: dict[str, str] = {}
         for dependency in spec.dependencies or ():
@@ -40,9 +40,9 @@
         return ended
 
     async def has_cancelled_dependency(self, spec: JobSpec) -> bool:
-        """Return whether a direct or indirect dependency is cancelled: an active job counts as cancelled then.
+        """Return whether a direct or indirect dependency is cancelled: if so, the job counts as cancelled too.
 
-        `StoreUnavailableError` if that takes more than `MAX_DEPENDENCY_READS` reads.
+        `StoreUnavailableError` if there are more than `MAX_DEPENDENCY_READS` dependencies.
         """
         seen: set[str] = set()
         unread = list(spec.dependencies or ())
@@ -66,5 +66,5 @@
 
 
 def unknown_dependency_error(dependency: str) -> RequestRefusedError:
-    """Return the refusal of a submission with a dependency that does not exist."""
+    """Return the error that refuses a submission with a dependency that does not exist."""
     return RequestRefusedError(Response.error(422, f"tows: {dependency} was never accepted", "tows"))
--- a/driftcleat/api/forwarding.py
+++ b/driftcleat/api/forwarding.py
@@ -12,21 +12,21 @@
 
 log = logging.getLogger(__name__)
 
-# Fraction of a poll's remaining time that the leader has for it; the rest is left to read the records.
+# Fraction of a poll's remaining time after which forwarding times out; the rest is left to read the records.
 LEADER_POLL_FRACTION = 0.7
 
 
 class ForwardingClient(Protocol):
-    """Sends a request to another controller; `PeerError` if there is no usable response."""
+    """A client that sends messages to other controllers."""
 
     async def send(
         self, label: str, message: peer_messages.ForwardRequest, timeout_s: float
     ) -> peer_messages.PeerMessage:
-        """Send a request; return the response."""
+        """Send a message to the controller `label`; return the response, `PeerError` if there is no usable one."""
 
 
 class LeaderForwarder:
-    """Forwards requests to the leader, a bounded number at once."""
+    """Forwards requests to the leader, a bounded number concurrently."""
 
     def __init__(
         self,
@@ -43,12 +43,12 @@
         self._responses = responses
         self._max_in_progress = max_in_progress
         self._in_progress = 0
-        # Requests refused since too many others waited for the leader.
+        # Number of requests refused because too many others were waiting for the leader.
         self.requests_shed = 0
 
     @property
     def is_saturated(self) -> bool:
-        """Return whether as many requests as allowed wait for the leader."""
+        """Return whether the maximum number of requests is waiting for the leader."""
         return self._in_progress >= self._max_in_progress
 
     @property
@@ -57,7 +57,10 @@
         return self._active_term.leader not in (None, self._label)
 
     async def forward(self, request: UserRequest, body: bytes = b"") -> Response:
-        """Return the leader's response to a request; of a poll or a cancellation the body is not sent."""
+        """Return the leader's response to a request, which is sent with `body`.
+
+        If there is none, the response asks the client to retry. Cancellations are forwarded beyond the limit too.
+        """
         leader = self._active_term.leader
         if request.forwarded or leader is None or leader == self._label:
             return self._responses.unavailable_here("no leader")
@@ -69,12 +72,12 @@
         timeout_s = request.deadline.left_s * (LEADER_POLL_FRACTION if request.method == "GET" else 1.0)
         self._in_progress += 1
         try:
-            answer = await self._peers.send(leader, message, timeout_s)
+            response = await self._peers.send(leader, message, timeout_s)
         except PeerError as error:
             log.debug("user request not forwarded: %s", error)
             return self._responses.unavailable_here("the leader does not answer")
         finally:
             self._in_progress -= 1
-        if not isinstance(answer, peer_messages.ForwardResponse):
+        if not isinstance(response, peer_messages.ForwardResponse):
             return self._responses.unavailable("the leader's answer is not one")
-        return Response(answer.status, answer.body.encode(), answer.retry_after_s)
+        return Response(response.status, response.body.encode(), response.retry_after_s)
--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats: applied to the cluster state, and answered with the commands that follow from it."""
+"""Handling of workers' heartbeats: they are applied to the cluster state and answered with commands."""
 
 import asyncio
 import logging
@@ -20,7 +20,7 @@
 
 
 class HeartbeatApi:
-    """Answers heartbeats: at once, unless one reports exits that are worth waiting for their commit."""
+    """Answers heartbeats: at once, or after the commit of the exits that a heartbeat reports."""
 
     def __init__(
         self,
@@ -37,13 +37,13 @@
         self._metrics = metrics
         self._clock = clock
         self._connections = connections
-        # When this controller last received a heartbeat as a leader.
+        # Time when the last heartbeat was applied, or when the term started; minus infinity before the first term.
         self.last_heartbeat_at = float("-inf")
-        # How many it has received as a leader.
+        # Number of heartbeats applied.
         self.heartbeats_received = 0
 
     def handle(self, body: bytes) -> ResponseOrAwaitable:
-        """Answer one heartbeat."""
+        """Answer one heartbeat: as the leader, as a partitioned follower that extends leases, or with a redirect."""
         election = self._active_term.election
         partition_token = election.lease_keeping_token
         if not election.may_answer_heartbeats and partition_token is None:
@@ -84,19 +84,22 @@
         has_exits = scheduler.cluster.has_uncommitted_exits(machine)
         if has_exits or scheduler.has_work:
             self._active_term.wake_committer()
-            # A response that waits keeps its connection: with too many of them, all are answered at once.
+            # A delayed response keeps its connection open: if there are too many connections, none is delayed.
             if has_exits and not self._connections.crowded:
-                return self._answer_after_commit(scheduler, machine, heartbeat, received_at)
-        return self._answer(scheduler, machine, heartbeat, received_at)
+                return self._respond_after_commit(scheduler, machine, heartbeat, received_at)
+        return self._respond_with_commands(scheduler, machine, heartbeat, received_at)
 
-    async def _answer_after_commit(
+    async def _respond_after_commit(
         self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, received_at: float
     ) -> Response:
         await self._await_commit(scheduler, machine.name, heartbeat)
-        return self._answer(scheduler, machine, heartbeat, received_at)
+        return self._respond_with_commands(scheduler, machine, heartbeat, received_at)
 
     async def _await_commit(self, scheduler: Scheduler, machine_name: str, heartbeat: Heartbeat) -> None:
-        """Wait until the exits of a heartbeat are committed: the response can then forget them and start others."""
+        """Wait until the exits of a heartbeat are committed: the response can then forget them and start other tasks.
+
+        Returns early after the maximum delay, after a newer heartbeat of the machine, or if the term ends.
+        """
         deadline = self._clock() + self._max_wait_s
         while self._active_term.may_decide and self._active_term.scheduler is scheduler:
             machine = scheduler.cluster.machines.get(machine_name)
@@ -110,36 +113,38 @@
             except TimeoutError:
                 return
 
-    def _answer(self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, received_at: float) -> Response:
-        """Respond with the commands for a machine, if this term still lasts."""
+    def _respond_with_commands(
+        self, scheduler: Scheduler, machine: Machine, heartbeat: Heartbeat, received_at: float
+    ) -> Response:
+        """Return the response with the commands for a machine; a redirect if the term has ended."""
         election = self._active_term.election
         if self._active_term.scheduler is not scheduler or not election.may_answer_heartbeats:
             return _redirect_to(None)
-        began_at = self._clock()
-        answer = _respond(
+        started_at = self._clock()
+        response = _respond(
             election.fencing_token,
             commands_for_heartbeat(scheduler.cluster, machine, heartbeat, election.may_send_starts),
         )
         ended_at = self._clock()
-        self._metrics.record_part("orders", ended_at - began_at)
+        self._metrics.record_part("orders", ended_at - started_at)
         self._metrics.heartbeat_latency.record(ended_at - received_at)
-        return answer
+        return response
 
     def _extend_lease(self, heartbeat: Heartbeat, token: int) -> Response:
-        """Extend the lease of a worker in our partition, unless it has seen a newer leader."""
+        """Extend the lease of a worker in our partition, unless it saw a newer leader or runs a cancelled job."""
         election = self._active_term.election
         if heartbeat.fencing_token > token:
             election.observe_higher_token(heartbeat.fencing_token)
             return _redirect_to(None)
         live_jobs = {
-            split[0]
+            parsed[0]
             for task in heartbeat.tasks
-            if task.phase != TaskPhase.EXITED and (split := parse_task_name(task.task))
+            if task.phase != TaskPhase.EXITED and (parsed := parse_task_name(task.task))
         }
         return _respond(token) if election.may_extend_worker_lease(live_jobs) else _redirect_to(None)
 
     def _redirect(self) -> Response:
-        """Send a worker to the leader, if another controller is known to be it."""
+        """Return a redirect to the leader, without a name if no other controller is known as the leader."""
         leader = self._active_term.leader
         return _redirect_to(leader if leader != self._label else None)
 
--- a/driftcleat/api/job_records.py
+++ b/driftcleat/api/job_records.py
@@ -10,7 +10,7 @@
 from driftcleat.store.records import EndedJobRecord
 from driftcleat.wire.users import JobStatus
 
-# States that a job never leaves.
+# Job states that never change.
 FINAL_STATES = ("done", "cancelled")
 MAX_CACHED_FINAL_STATES = 5000
 
@@ -19,7 +19,7 @@
     """Reads records of jobs; reads raise `StoreError`, or `wire.WireError` for a record that cannot be decoded."""
 
     def __init__(self, store: StoreClient, max_wait_s: float) -> None:
-        """A read that would wait longer than `max_wait_s` for the store's rate limit is not tried."""
+        """Set up reads that fail if they would wait longer than `max_wait_s` for the store's rate limit."""
         self._store = store
         self.max_wait_s = max_wait_s
         self._final_statuses: OrderedDict[str, JobStatus] = OrderedDict()
@@ -29,7 +29,7 @@
         return self._final_statuses.get(job_id)
 
     def cache_if_final(self, status: JobStatus) -> None:
-        """Cache a status if its state is final; the oldest entries are dropped."""
+        """Cache a status if its state is final; beyond the maximum size the oldest entries are dropped."""
         if status.state not in FINAL_STATES:
             return
         self._final_statuses[status.id] = status
@@ -37,7 +37,7 @@
             self._final_statuses.popitem(last=False)
 
     async def read_head(self, job_id: str) -> Job | None:
-        """Return a job as its head record describes it; None if the store has no such record."""
+        """Return the job of a head record; None if the store has no head record of this job."""
         key_value = await self._store.get(JOBS_PREFIX + job_id, self.max_wait_s)
         return decode_head(key_value) if key_value is not None else None
 
--- a/driftcleat/api/job_status.py
+++ b/driftcleat/api/job_status.py
@@ -1,4 +1,4 @@
-"""Polls of a job's status: from the cache, the leader's cluster state, or the records."""
+"""Polls of a job's status: answered from the cache, the leader's cluster state, or the records."""
 
 from driftcleat import wire
 from driftcleat.api.dependencies import DependencyLookup
@@ -15,7 +15,7 @@
 
 
 class JobStatusPolls:
-    """Answers polls, at the leader and at followers."""
+    """Answers polls; a follower forwards them and reads the records if the leader does not answer."""
 
     def __init__(
         self,
@@ -34,22 +34,22 @@
         self._responses = responses
 
     async def poll(self, request: UserRequest) -> Response:
-        """Return the response to a poll."""
+        """Return the response to a poll: the job's state with its numbers of done and running tasks."""
         scheduler = self._active_term.scheduler
         status = self._status_in_memory(request.job_id, scheduler)
         if status is not None:
             return self._respond(status)
         if not self._active_term.may_decide and not request.forwarded and self._forwarder.knows_other_leader:
             saturated = self._forwarder.is_saturated
-            answer = await self._forwarder.forward(request)
-            if saturated or answer.status in (200, 404):
-                # The records are read for a leader that does not answer, not for one that is overloaded: it needs the
-                # store's capacity itself.
-                return answer
+            response = await self._forwarder.forward(request)
+            if saturated or response.status in (200, 404):
+                # The records are read only if the leader does not answer: if it is overloaded, it needs the store's
+                # capacity for itself.
+                return response
         return await self._poll_records(request.job_id, scheduler)
 
     def _status_in_memory(self, job_id: str, scheduler: Scheduler | None) -> JobStatus | None:
-        """Return a status that needs no read; of a leader that may not decide, only a final one is valid."""
+        """Return a job's status if no read is needed; of a leader that may not decide, only a final one is valid."""
         status = self._records.cached_final_status(job_id)
         if status is None and scheduler is not None:
             status = scheduler.admission.lookup(job_id)
@@ -58,7 +58,10 @@
         return status
 
     async def _poll_records(self, job_id: str, scheduler: Scheduler | None) -> Response:
-        """Answer from the records: the head first, so that a job that ends between the two reads is still found."""
+        """Answer a poll from the records.
+
+        The head record is read first, so that a job that ends between the two reads is still found.
+        """
         try:
             if scheduler is None or not self._active_term.may_decide:
                 job = await self._records.read_head(job_id)
@@ -78,7 +81,7 @@
         return Response.error(404, "no such job")
 
     async def _recorded_state(self, job: Job) -> str:
-        """Return the state that users see of a job with this head record."""
+        """Return the state that a poll reports for a job with this head record."""
         if job.state is JobState.CANCELLED or await self._dependencies.has_cancelled_dependency(job.spec):
             return "cancelled"
         return "running" if job.placements else "pending"
--- a/driftcleat/api/leader_lookup.py
+++ b/driftcleat/api/leader_lookup.py
@@ -10,7 +10,7 @@
 
 
 class LeaderLookup:
-    """Looks jobs up on behalf of one leader term."""
+    """Looks up jobs for a leader, and checks that its term lasts until the lookup is done."""
 
     def __init__(self, records: JobRecords, active_term: ActiveTerm[Scheduler], responses: RetryResponses) -> None:
         self._records = records
@@ -35,5 +35,5 @@
         return status
 
     def is_current(self, scheduler: Scheduler) -> bool:
-        """Return whether this scheduler's term lasts and may decide."""
+        """Return whether the scheduler is that of the current term and may decide."""
         return self._active_term.may_decide and self._active_term.scheduler is scheduler
--- a/driftcleat/api/responses.py
+++ b/driftcleat/api/responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses: their content, their encoding, and those that ask the client to retry."""
+"""HTTP responses: their content, their encoding, and the responses that ask the client to retry."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -17,7 +17,7 @@
     status: int
     body: bytes
     retry_after_s: int | None = None
-    # Whether the connection is closed, so that the client may send its next request to another controller.
+    # Whether the connection is closed after the response: the client's next request may reach another controller.
     close: bool = False
 
     @classmethod
@@ -34,7 +34,7 @@
 
 
 class RequestRefusedError(DriftcleatError):
-    """A request that is not carried out; `response` is what its user gets."""
+    """A request was refused; `response` is sent to its user."""
 
     def __init__(self, response: Response) -> None:
         super().__init__(f"request refused: status {response.status}")
@@ -65,12 +65,12 @@
         return Response.error(429, "too many requests are waiting", retry_after_s=self.retry_s)
 
 
-def encode_response(answer: Response, close: bool, with_body: bool = True) -> bytes:
-    """Return the bytes of a response; without its body for a HEAD request."""
-    retry = f"Retry-After: {answer.retry_after_s}\r\n" if answer.retry_after_s is not None else ""
-    closing = "Connection: close\r\n" if close else ""
+def encode_response(response: Response, close: bool, with_body: bool = True) -> bytes:
+    """Return a response as HTTP/1.1 bytes; `with_body` is false for a HEAD request."""
+    retry_after = f"Retry-After: {response.retry_after_s}\r\n" if response.retry_after_s is not None else ""
+    connection = "Connection: close\r\n" if close else ""
     head = (
-        f"HTTP/1.1 {answer.status} {_REASONS.get(answer.status, '')}\r\n"
-        f"Content-Type: application/json\r\nContent-Length: {len(answer.body)}\r\n{retry}{closing}\r\n"
+        f"HTTP/1.1 {response.status} {_REASONS.get(response.status, '')}\r\n"
+        f"Content-Type: application/json\r\nContent-Length: {len(response.body)}\r\n{retry_after}{connection}\r\n"
     )
-    return head.encode() + answer.body if with_body else head.encode()
+    return head.encode() + response.body if with_body else head.encode()
--- a/driftcleat/api/server.py
+++ b/driftcleat/api/server.py
@@ -1,4 +1,4 @@
-"""The HTTP side of every interface that we serve: connections, their requests in turn, and their limits."""
+"""The HTTP server of all interfaces: connections, their requests in order, and connection limits."""
 
 import asyncio
 import logging
@@ -13,19 +13,19 @@
 
 log = logging.getLogger(__name__)
 
-# What a handler returns: the answer if it can be given at once, else what to wait for.
+# What a handler returns: the response if it is available at once, else an awaitable of it.
 ResponseOrAwaitable = Response | Awaitable[Response]
 Handler = Callable[[str, str, bytes], ResponseOrAwaitable]
 
-# Connections without a whole request for so long are closed.
+# A connection without a request is closed after this timeout; connections are checked several times per timeout.
 IDLE_TIMEOUT_S = 75.0
 IDLE_CHECKS_PER_TIMEOUT = 5
-# When to come back after an error of our own.
+# Value of the Retry-After header after an internal error, in seconds.
 RETRY_AFTER_S = 1
 
 
 class Connection(asyncio.Protocol):
-    """One connection: its requests are answered in turn."""
+    """One connection; its requests are answered one after the other."""
 
     __slots__ = ("_busy", "_listener", "_loop", "_reader", "_reading", "_writable", "last_used", "transport")
 
@@ -37,55 +37,53 @@
         self.transport: asyncio.Transport | None = None
         self.last_used = loop.time()
 
-    # -- what the event loop calls ------------------------------------------------------------------------
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, if the limiter has room for it."""
-        self.transport = transport  # type: ignore[assignment]  # TCP's is one for both directions
+        """Admit the connection, or abort it if the limiter has no room."""
+        self.transport = transport  # type: ignore[assignment]  # a TCP transport reads and writes
         if not self._listener.admit(self):
-            # Every connection is busy: better none than one that the state service or a peer then lacks.
+            # All open connections are in use: one more would take a descriptor that the store or a peer needs.
             self.abort()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """The connection is closed, by whomever. A request under way is carried out all the same."""
+        """Unregister the connection; a request in progress is still carried out."""
         self.transport = None
         self._listener.remove(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take what came in; a request that is complete is answered."""
+        """Parse received bytes and answer the requests that are complete."""
         if self.transport is None or self.transport.is_closing():
             return
         self._reader.feed(data)
-        self._next_request()
-        self._pace_reading()
+        self._answer_requests()
+        self._apply_backpressure()
 
     def pause_writing(self) -> None:
-        """The client does not read its answers: it gets no more of them until it does."""
+        """Stop answering requests while the client does not read its responses."""
         self._writable = False
 
     def resume_writing(self) -> None:
-        """The client has read its answers."""
+        """Answer requests again once the client has read its responses."""
         self._writable = True
-        self._next_request()
-        self._pace_reading()
+        self._answer_requests()
+        self._apply_backpressure()
 
-    # -- requests -----------------------------------------------------------------------------------------
-
-    def _pace_reading(self) -> None:
-        """Read no further while complete requests wait: who sends many at once keeps them on its own side."""
+    def _apply_backpressure(self) -> None:
+        """Pause reading while complete requests wait, so that a client that sends many at once has to buffer them."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        wanted = not self._reader.has_items
-        if wanted is not self._reading:
-            self._reading = wanted
-            if wanted:
+        should_read = not self._reader.has_items
+        if should_read is not self._reading:
+            self._reading = should_read
+            if should_read:
                 transport.resume_reading()
             else:
                 transport.pause_reading()
 
-    def _next_request(self) -> None:
-        """Answer the requests that are complete, until one has to wait."""
+    def _answer_requests(self) -> None:
+        """Answer complete requests in order, until one has to be awaited."""
         while not self._busy and self._writable and self._reader.has_items:
             item = self._reader.pop()
             if isinstance(item, Response):
@@ -94,78 +92,76 @@
             self._busy = True
             self._listener.request_started(self, item.path)
             if item.too_large:
-                self._answer(item, self._reader.too_large_response())
+                self._respond(item, self._reader.too_large_response())
                 continue
             self._handle(item)
 
     def _handle(self, request: HttpRequest) -> None:
         try:
-            reply = self._listener.handler(request.method, request.path, request.body)
+            response = self._listener.handler(request.method, request.path, request.body)
         except Exception:
             log.exception("request %s %s failed", request.method, request.path)
-            reply = Response.error(503, "internal error", retry_after_s=RETRY_AFTER_S)
-        if isinstance(reply, Response):
-            self._answer(request, reply)
+            response = Response.error(503, "internal error", retry_after_s=RETRY_AFTER_S)
+        if isinstance(response, Response):
+            self._respond(request, response)
         else:
-            self._listener.spawn(self._answer_later(request, reply))
+            self._listener.spawn(self._respond_later(request, response))
 
-    async def _answer_later(self, request: HttpRequest, reply: Awaitable[Response]) -> None:
+    async def _respond_later(self, request: HttpRequest, pending: Awaitable[Response]) -> None:
         try:
-            answer = await reply
+            response = await pending
         except (ConnectionError, TimeoutError):
-            answer = Response.error(503, "the connection broke", retry_after_s=RETRY_AFTER_S)
+            response = Response.error(503, "the connection broke", retry_after_s=RETRY_AFTER_S)
         except Exception:
             log.exception("request %s %s failed", request.method, request.path)
-            answer = Response.error(503, "internal error", retry_after_s=RETRY_AFTER_S)
-        self._answer(request, answer)
-        self._next_request()
-        self._pace_reading()
+            response = Response.error(503, "internal error", retry_after_s=RETRY_AFTER_S)
+        self._respond(request, response)
+        self._answer_requests()
+        self._apply_backpressure()
 
-    def _answer(self, request: HttpRequest, answer: Response) -> None:
+    def _respond(self, request: HttpRequest, response: Response) -> None:
         self._busy = False
         self.last_used = self._loop.time()
-        last = self._listener.request_finished(self)
-        self._write(answer, last or answer.close or not request.keep_alive, request.method != "HEAD")
+        close = self._listener.request_finished(self)
+        self._write(response, close or response.close or not request.keep_alive, request.method != "HEAD")
 
-    def _write(self, answer: Response, close: bool, with_body: bool = True) -> None:
+    def _write(self, response: Response, close: bool, with_body: bool = True) -> None:
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        transport.write(encode_response(answer, close, with_body))
+        transport.write(encode_response(response, close, with_body))
         if close:
             self._reader.discard_all()
             transport.close()
 
-    # -- closing ------------------------------------------------------------------------------------------
-
-    def is_idle(self, before: float) -> bool:
-        """Whether no request was answered, and none is under way, since some moment."""
-        return not self._busy and self.last_used < before
+    def is_idle(self, since: float) -> bool:
+        """Return whether no request is in progress, and none was answered, since a time on the event loop's clock."""
+        return not self._busy and self.last_used < since
 
     def close(self) -> None:
-        """Close the connection once all that was written is sent."""
+        """Close the connection after everything written has been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection at once; unsent data is lost."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class Listener:
-    """One address that is served, its connections and their limiter."""
+    """Serves one address; owns its connections and their limiter."""
 
     def __init__(self, handler: Handler, max_connections: int, max_body_bytes: int, worker_path: str | None) -> None:
         self.handler, self.max_body_bytes = handler, max_body_bytes
         self.limiter: ConnectionLimiter[Connection] = ConnectionLimiter(max_connections, Connection.close)
-        self._workers_path = worker_path
+        self._worker_path = worker_path
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._sweeper: asyncio.Task[None] | None = None
+        self._idle_checker: asyncio.Task[None] | None = None
 
     async def start(self, address: str) -> None:
-        """Listen on HOST:PORT."""
+        """Start to listen on HOST:PORT; `OSError` if the address is not available."""
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(":")
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -176,24 +172,24 @@
         except OSError:
             listening.close()
             raise
-        # All that we could serve may come at once, and as many again that are told to wait by the kernel.
+        # The backlog holds as many connections as are served at most, and as many again that wait in the kernel.
         self._server = await loop.create_server(
             lambda: Connection(self, loop), sock=listening, backlog=self.limiter.most * 2
         )
-        self._sweeper = asyncio.ensure_future(self._sweep())
+        self._idle_checker = asyncio.ensure_future(self._close_idle_connections())
 
-    async def _sweep(self) -> None:
-        """Close connections that have been idle for long: one loop for all, no timer for each."""
+    async def _close_idle_connections(self) -> None:
+        """Close idle connections periodically: one loop for all is cheaper than a timer for each."""
         while True:
             await asyncio.sleep(IDLE_TIMEOUT_S / IDLE_CHECKS_PER_TIMEOUT)
-            before = asyncio.get_running_loop().time() - IDLE_TIMEOUT_S
-            for connection in [known for known in self.limiter.open if known.is_idle(before)]:
+            since = asyncio.get_running_loop().time() - IDLE_TIMEOUT_S
+            for connection in [candidate for candidate in self.limiter.open if candidate.is_idle(since)]:
                 connection.close()
 
     async def stop(self) -> None:
-        """Stop serving."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        """Stop listening, abort all connections and cancel the requests in progress."""
+        if self._idle_checker is not None:
+            self._idle_checker.cancel()
         if self._server is not None:
             self._server.close()
         for connection in list(self.limiter.open):
@@ -202,29 +198,29 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    # -- what connections call ----------------------------------------------------------------------------
+    # Called by connections.
 
     def spawn(self, work: Awaitable[None]) -> None:
-        """Run what has to wait before it can be answered."""
+        """Run the awaited part of a request in a task."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def admit(self, connection: Connection) -> bool:
-        """Take in a connection; False if there is no room for it."""
+        """Register a connection; return False if there is no room for it."""
         return self.limiter.opened(connection)
 
     def request_started(self, connection: Connection, path: str) -> None:
-        """A request has come in."""
-        kind = ClientKind.WORKER if path == self._workers_path else ClientKind.USER
+        """Record that a request has started; its path tells whether the client is a worker or a user."""
+        kind = ClientKind.WORKER if path == self._worker_path else ClientKind.USER
         self.limiter.began(connection, kind)
 
     def request_finished(self, connection: Connection) -> bool:
-        """A request is answered; True if the connection has to be closed after it."""
+        """Record that a request is answered; return whether the connection has to be closed after the response."""
         return self.limiter.ended(connection)
 
     def remove(self, connection: Connection) -> None:
-        """A connection is closed."""
+        """Unregister a closed connection."""
         self.limiter.gone(connection)
 
 
@@ -235,9 +231,10 @@
     max_body_bytes: int = MAX_BODY_BYTES,
     worker_path: str | None = None,
 ) -> Listener:
-    """Listen on HOST:PORT; every request goes to `handler(method, path, body)`.
+    """Listen on HOST:PORT and return the listener; every request is passed to `handler(method, path, body)`.
 
-    At most `max_connections` connections are open at once; those that ask for the path `worker_path` are workers'.
+    At most `max_connections` connections are open at once. A connection counts as a worker's if its last request
+    was for `worker_path`, else as a user's.
     """
     listener = Listener(handler, max_connections, max_body_bytes, worker_path)
     await listener.start(address)
--- a/driftcleat/api/submissions.py
+++ b/driftcleat/api/submissions.py
@@ -48,7 +48,7 @@
         scheduler = self._active_term.scheduler
         if scheduler is None or not self._active_term.may_decide:
             return await self._forwarder.forward(request, request.body)
-        # A job accepted before is known whatever its repeat looks like, so it is looked up before validation.
+        # The lookup precedes validation: a repeated submission of an accepted job succeeds whatever its content.
         status = await self._leader_lookup.status(scheduler, job_id)
         if status is not None:
             return Response(200, wire.encode(JobStatus(status.id, status.state)))
--- a/driftcleat/api/user_requests.py
+++ b/driftcleat/api/user_requests.py
@@ -1,4 +1,4 @@
-"""A user's request while it is processed."""
+"""A user's request in progress."""
 
 from dataclasses import dataclass
 
@@ -16,7 +16,7 @@
     body: bytes
     # The job that the path names; empty for a submission.
     job_id: str
-    # Whether another controller forwarded it: it is not forwarded again.
+    # Whether another controller forwarded the request: if so, it is not forwarded again.
     forwarded: bool
     deadline: Deadline
 
--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -27,12 +27,12 @@
 
 JOBS_PATH = "/v1/jobs"
 JOB_PATTERN = "/v1/jobs/{id}"
-# Fractions of a request's and of a poll's time limit that apply at the leader to one that was forwarded to it. A poll
-# has less: the follower waits a little longer for the leader, and reads the records in what is left.
+# A forwarded request has this fraction of its time limit at the leader. The fraction of a poll is smaller, since the
+# follower must have time left to read the records if the leader does not answer.
 FORWARDED_FRACTION = 0.9
 FORWARDED_POLL_FRACTION = 0.6
-# Users wait 2 to 5 s for a response: a read that cannot start within the report interval divided by this, because of
-# the store's rate limit, is refused at once.
+# A read that the store's rate limit delays longer than the report interval divided by this is refused at once, since
+# users wait only 2 to 5 s for a response.
 STORE_WAIT_DIVISOR = 6
 
 DependencyLookupFactory = Callable[[JobRecords, LeaderLookup, RetryResponses], DependencyLookup]
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Route:
-    """The method of a path, and what answers its requests."""
+    """The method that a path accepts, and the handler of its requests."""
 
     method: str
-    answer: Callable[[UserRequest], Awaitable[Response]]
-    names_job: bool = True
+    handle: Callable[[UserRequest], Awaitable[Response]]
+    has_job_id: bool = True
 
 
 class UserApi:
@@ -62,9 +62,10 @@
         max_forwarded: int,
         make_dependency_lookup: DependencyLookupFactory = DependencyLookup,
     ) -> None:
-        """Set up the interface; requests beyond `max_in_progress`, and `max_forwarded` to the leader, are refused.
+        """Set up the interface.
 
-        `make_dependency_lookup` is given by an interface whose jobs may depend on jobs of another scheduler.
+        Requests are refused if `max_in_progress` are in progress, or `max_forwarded` wait for the leader. Pass
+        `make_dependency_lookup` if jobs may depend on jobs of another scheduler.
         """
         self._platform = platform
         self._tuning = tuning
@@ -85,26 +86,26 @@
         polls = JobStatusPolls(active_term, records, lookup, dependencies, forwarder, responses)
         cancellations = Cancellations(active_term, records, lookup, commits, forwarder, responses)
         self._routes = {
-            JOBS_PATH: _Route("POST", submissions.submit, names_job=False),
+            JOBS_PATH: _Route("POST", submissions.submit, has_job_id=False),
             JOB_PATTERN: _Route("GET", polls.poll),
             f"{JOB_PATTERN}/cancel": _Route("POST", cancellations.cancel),
         }
 
     @property
     def requests_shed(self) -> int:
-        """Return how many requests were refused since too many others were in progress."""
+        """Return how many requests were refused because too many others were in progress."""
         return self._requests_shed + self._forwarder.requests_shed
 
     def unavailable(self, reason: str) -> Response:
-        """Return the response to a request that cannot be carried out now: it says when to retry."""
+        """Return the response to a request that cannot be carried out now, with the time of a retry."""
         return self._responses.unavailable(reason)
 
     def drop_outstanding(self) -> None:
-        """Answer all requests that wait for a commit without one: their users retry and find out."""
+        """Answer all requests that wait for a commit, as undecided: their users retry."""
         self._commits.drop_outstanding()
 
     def time_limit_s(self, method: str, forwarded: bool) -> float:
-        """Return the time limit of a request in seconds; that of a forwarded one ends before the follower's."""
+        """Return the time limit of a request in seconds; it is shorter for a forwarded request."""
         if method == "GET":
             return (
                 self._platform.report_s
@@ -120,11 +121,11 @@
     async def handle(self, method: str, path: str, body: bytes, forwarded: bool = False) -> Response | None:
         """Answer a request under /v1 before its deadline; None if there is no such path.
 
-        Guards against steps that are each bounded, while their sum is longer than a user waits.
+        Guards against steps that are bounded one by one but together take longer than a user waits.
         """
         if self._in_progress >= self._max_in_progress and not is_cancellation(path):
-            # Guards against users' requests that take the processor time and the connections which heartbeats need.
-            # A cancellation is always accepted: it ends work that nobody wants any more.
+            # Guards against users' requests that take the processor time and the connections that heartbeats need.
+            # A cancellation is always accepted, since it ends work that is no longer needed.
             self._requests_shed += 1
             return self.unavailable("too many requests are under way")
         deadline = Deadline(self._clock, self.time_limit_s(method, forwarded))
@@ -133,7 +134,7 @@
         self._in_progress += 1
         try:
             async with asyncio.timeout(deadline.left_s):
-                return await self._answer(self._routes.get(pattern), request)
+                return await self._dispatch(self._routes.get(pattern), request)
         except RequestRefusedError as refusal:
             return refusal.response
         except TimeoutError:
@@ -141,18 +142,18 @@
         finally:
             self._in_progress -= 1
 
-    async def _answer(self, route: _Route | None, request: UserRequest) -> Response | None:
+    async def _dispatch(self, route: _Route | None, request: UserRequest) -> Response | None:
         if route is None:
             return None
         if request.method != route.method:
             return Response.error(405, f"only {route.method} is allowed here")
-        if route.names_job and not is_job_id(request.job_id):
+        if route.has_job_id and not is_job_id(request.job_id):
             return Response.error(404, "no such job")
-        return await route.answer(request)
+        return await route.handle(request)
 
 
 def _match(path: str) -> tuple[str, str]:
-    """Return the pattern that a path would have in the route table, and the job id in it."""
+    """Return the pattern of a path in the route table, and the job id in the path."""
     if not path.startswith(f"{JOBS_PATH}/"):
         return path, ""
     job_id, slash, verb = path[len(JOBS_PATH) + 1 :].partition("/")
