--- a/driftcleat/wire/job_spec_parsing.py
+++ b/driftcleat/wire/job_spec_parsing.py
@@ -13,7 +13,7 @@
 from driftcleat.wire.users import JobSpec
 
 MAX_TASKS = 100_000
-# Maximum length of a name in UTF-8.
+# Maximum size of a name in UTF-8, in bytes.
 MAX_TEXT_BYTES = 200
 MAX_MACHINE_TYPES = 64
 # Maximum amount of a resource, and maximum duration in seconds.
--- a/driftcleat/wire/users.py
+++ b/driftcleat/wire/users.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-# Maximum size of a request's body.
+# Maximum size of a request's body, in bytes.
 MAX_BODY_BYTES = 64 * 1024
 
 
