--- a/driftcleat/api/leader_lookup.py
+++ b/driftcleat/api/leader_lookup.py
@@ -1,8 +1,8 @@
 """The leader's lookup of a job: in its own cluster state, then in the store."""
 
 from driftcleat import wire
-from driftcleat.api.answers import RequestRefusedError, RetryResponses
 from driftcleat.api.job_records import JobRecords
+from driftcleat.api.responses import RequestRefusedError, RetryResponses
 from driftcleat.leadership import ActiveTerm
 from driftcleat.scheduler import Scheduler
 from driftcleat.store.errors import StoreError
@@ -10,7 +10,7 @@
 
 
 class LeaderLookup:
-    """Looks jobs up on behalf of one leader term."""
+    """Looks up jobs for a leader, and checks that its term lasts until the lookup is done."""
 
     def __init__(self, records: JobRecords, active_term: ActiveTerm[Scheduler], responses: RetryResponses) -> None:
         self._records = records
@@ -35,5 +35,5 @@
         return status
 
     def is_current(self, scheduler: Scheduler) -> bool:
-        """Return whether this scheduler's term lasts and may decide."""
+        """Return whether the scheduler is that of the current term and may decide."""
         return self._active_term.may_decide and self._active_term.scheduler is scheduler
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from driftcleat import wire
-from driftcleat.api import Answer, Listener, serve
-from driftcleat.api.server import Reply
+from driftcleat.api import Listener, Response, serve
+from driftcleat.api.server import ResponseOrAwaitable
 from driftcleat.controller.clients import make_clients
 from driftcleat.controller.controller import LOOP_RESTART_PAUSE_INTERVALS
 from driftcleat.controller.network import HEARTBEAT_PATH, MAX_PEER_BODY_BYTES
 from driftcleat.leadership import Election
 from driftcleat.net import HttpClient, SocketBudget
 from driftcleat.peers import PeerClient
-from driftcleat.peers.client import PATH
+from driftcleat.peers.client import PEER_PATH
 from driftcleat.runtime.background import BackgroundTasks, run_forever
 from driftcleat.settings import Platform, Tuning
 from driftcleat.sharing.assignment import ShardAssignment
@@ -97,7 +97,7 @@
             task.cancel()
         await asyncio.gather(*self._engine_tasks.values(), return_exceptions=True)
         for server in servers:
-            await server.cleanup()
+            await server.stop()
         for client in clients:
             await client.close()
 
@@ -110,7 +110,7 @@
 
     def make_peers(self, shard: int) -> PeerClient:
         """Return the client through which a shard's engines on different controllers exchange messages."""
-        path = PATH if shard == FIRST_SHARD else f"{PATH}/{shard}"
+        path = PEER_PATH if shard == FIRST_SHARD else f"{PEER_PATH}/{shard}"
         return PeerClient(self._peer_client, self.platform, path)
 
     def make_sharing_client(self, path: str) -> PeerClient:
@@ -234,25 +234,25 @@
     async def listen(self, sockets: SocketBudget) -> list[Listener]:
         """Start listening at `bind` and `back`; return the listeners."""
         self.front = await serve(
-            self.platform.bind, self.reply_front, sockets.max_front_connections, workers=HEARTBEAT_PATH
+            self.platform.bind, self.reply_front, sockets.max_front_connections, worker_path=HEARTBEAT_PATH
         )
         back = await serve(self.platform.back, self.handle_back, sockets.max_back_connections, MAX_PEER_BODY_BYTES)
         return [back, self.front]
 
-    def reply_front(self, method: str, path: str, body: bytes) -> Reply:
+    def reply_front(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
         """Answer a request at `bind`; heartbeats go to the engine of their machine's shard."""
         if path != HEARTBEAT_PATH or method != "POST":
             return self.handle_front(method, path, body)
         try:
             machine = wire.decode(body, HeartbeatSender).name
         except wire.WireError as error:
-            return Answer.error(400, str(error))
+            return Response.error(400, str(error))
         shard = self.view.shard_of(machine)
         if shard is None:
             return self._handle_unregistered_heartbeat(machine, body)
         return self.engines[shard].heartbeats.handle(body) if self.is_serving(shard) else self._not_ready()
 
-    async def _handle_unregistered_heartbeat(self, machine: str, body: bytes) -> Answer:
+    async def _handle_unregistered_heartbeat(self, machine: str, body: bytes) -> Response:
         """Look the machine up in the store, since the replica may lag; let an unregistered machine retry."""
         try:
             shard = await self.registry.look_up(machine) if self.view.loaded else None
@@ -262,35 +262,35 @@
         if shard is None or not self.is_serving(shard):
             return self._not_ready()
         reply = self.engines[shard].heartbeats.handle(body)
-        return reply if isinstance(reply, Answer) else await reply
+        return reply if isinstance(reply, Response) else await reply
 
-    def _not_ready(self) -> Answer:
-        return Answer.error(503, "not known yet", retry_after_s=1)
+    def _not_ready(self) -> Response:
+        return Response.error(503, "not known yet", retry_after_s=1)
 
     def is_serving(self, shard: int) -> bool:
         """Return whether this process has an engine for a shard and it serves requests."""
         return shard in self.engines and self.engines[shard].is_serving
 
-    async def handle_front(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle_front(self, method: str, path: str, body: bytes) -> Response:
         """Answer a request at `bind`."""
         if path == HEARTBEAT_PATH:
             reply = self.reply_front(method, path, body) if method == "POST" else None
             if reply is None:
-                return Answer.error(405, "only POST is allowed here")
-            return reply if isinstance(reply, Answer) else await reply
+                return Response.error(405, "only POST is allowed here")
+            return reply if isinstance(reply, Response) else await reply
         if not self.is_serving(FIRST_SHARD):
             return self._not_ready()
         if path == "/ready":
             return await self.first_engine.handle_front(method, path, body)
         return await self.router.handle(method, path, body)
 
-    async def handle_back(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle_back(self, method: str, path: str, body: bytes) -> Response:
         """Answer a request at `back`."""
-        if path.startswith(PATH + "/"):
-            shard = path[len(PATH) + 1 :]
+        if path.startswith(PEER_PATH + "/"):
+            shard = path[len(PEER_PATH) + 1 :]
             if not shard.isascii() or not shard.isdigit() or int(shard) not in self.engines:
-                return Answer.error(404, "no such share")
-            return await self.engines[int(shard)].handle_back(method, PATH, body)
+                return Response.error(404, "no such share")
+            return await self.engines[int(shard)].handle_back(method, PEER_PATH, body)
         answer = await self.operators.handle(method, path, body)
         if answer is not None:
             return answer
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from driftcleat import wire
-from driftcleat.api import Answer
+from driftcleat.api import Response
 from driftcleat.peers.client import PeerError
 from driftcleat.sharing.messages import ControllerStatus, MoveRequest, MoveResponse, ReleaseRequest, SharingMessage
 from driftcleat.sharing.sharing_client import PATH, SharingClient
@@ -58,15 +58,15 @@
         self._client = SharingClient(host)
         self.malformed = 0
 
-    async def handle(self, method: str, path: str, body: bytes) -> Answer | None:
+    async def handle(self, method: str, path: str, body: bytes) -> Response | None:
         """Answer a request; None if the path does not belong to sharing."""
         allowed_method = {PATH: "POST", "/shares": "GET", "/shares/move": "POST"}.get(path)
         if allowed_method is None:
             return None
         if method != allowed_method:
-            return Answer.error(405, f"only {allowed_method} is allowed here")
+            return Response.error(405, f"only {allowed_method} is allowed here")
         if path == "/shares":
-            return Answer(200, wire.encode(self.view()))
+            return Response(200, wire.encode(self.view()))
         try:
             if path == PATH:
                 return await self._handle_message(wire.decode(body, SharingMessage))  # type: ignore[arg-type]
@@ -74,20 +74,20 @@
         except wire.WireError as error:
             self.malformed += 1
             log.info("malformed sharing message or move request: %s", error)
-            return Answer.error(400, str(error))
+            return Response.error(400, str(error))
 
-    async def _handle_message(self, message: SharingMessage) -> Answer:
+    async def _handle_message(self, message: SharingMessage) -> Response:
         """Answer a message of another controller."""
         host = self._host
         if isinstance(message, ControllerStatus):
-            return Answer(200, wire.encode(host.coordinator_loops.handle_status(message)))
+            return Response(200, wire.encode(host.coordinator_loops.handle_status(message)))
         if isinstance(message, ReleaseRequest):
-            return Answer(200, wire.encode(await host.handoffs.release(message)))
+            return Response(200, wire.encode(await host.handoffs.release(message)))
         if isinstance(message, MoveRequest):
-            return Answer(200, wire.encode(await host.coordinator_loops.move(message)))
-        return Answer.error(400, "not a request")
+            return Response(200, wire.encode(await host.coordinator_loops.move(message)))
+        return Response.error(400, "not a request")
 
-    async def _handle_order(self, order: MoveOrder) -> Answer:
+    async def _handle_order(self, order: MoveOrder) -> Response:
         """Carry out an operator's request, or forward it to the coordinator."""
         host = self._host
         request = MoveRequest(order.share, order.receiver)
@@ -95,15 +95,15 @@
         if host.may_decide:
             response: SharingMessage = await host.coordinator_loops.move(request)
         elif coordinator is None or coordinator == host.platform.label:
-            return Answer.error(503, "there is no coordinator now", retry_after_s=1)
+            return Response.error(503, "there is no coordinator now", retry_after_s=1)
         else:
             try:
                 response = await self._client.send(coordinator, request, host.platform.report_s)
             except PeerError as error:
-                return Answer.error(503, f"the coordinator {coordinator}: {error}", retry_after_s=1)
+                return Response.error(503, f"the coordinator {coordinator}: {error}", retry_after_s=1)
         if not isinstance(response, MoveResponse):
-            return Answer.error(503, "malformed response of the coordinator", retry_after_s=1)
-        return Answer(200, b"{}") if response.accepted else Answer.error(409, response.reason)
+            return Response.error(503, "malformed response of the coordinator", retry_after_s=1)
+        return Response(200, b"{}") if response.accepted else Response.error(409, response.reason)
 
     def view(self) -> ShardsView:
         """Return all shards as this controller sees them."""
--- a/driftcleat/sharing/routing.py
+++ b/driftcleat/sharing/routing.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from driftcleat import wire
-from driftcleat.api import Answer
+from driftcleat.api import Response
 from driftcleat.sharing.keys import FIRST_SHARD
 from driftcleat.store.errors import StoreError
 from driftcleat.wire.job_ids import is_job_id
@@ -24,14 +24,14 @@
     def __init__(self, host: "ShardHost") -> None:
         self._host = host
 
-    async def handle(self, method: str, path: str, body: bytes) -> Answer:
+    async def handle(self, method: str, path: str, body: bytes) -> Response:
         """Answer a user's request, within the time limit of the users' API."""
         host = self._host
         users = host.first_engine.users
         try:
             async with asyncio.timeout(users.time_limit_s(method, False)):
                 shard = await self._shard_for(method, path, body)
-                if isinstance(shard, Answer):
+                if isinstance(shard, Response):
                     return shard
                 if not host.is_serving(shard):
                     return users.unavailable("starting")
@@ -41,7 +41,7 @@
         except TimeoutError:
             return users.unavailable("no answer in time")
 
-    async def _shard_for(self, method: str, path: str, body: bytes) -> int | Answer:
+    async def _shard_for(self, method: str, path: str, body: bytes) -> int | Response:
         """Return the shard whose engine handles a request, or the answer if no shard is needed for it."""
         host = self._host
         if not host.view.loaded:
@@ -54,15 +54,15 @@
         if not path.startswith(JOBS_PATH + "/") or not is_job_id(job_id):
             return FIRST_SHARD
         home_shard = await host.job_directory.home_shard(job_id, host.first_engine.users.max_store_wait_s)
-        return home_shard if home_shard is not None else Answer.error(404, "no such job")
+        return home_shard if home_shard is not None else Response.error(404, "no such job")
 
-    async def _shard_for_submission(self, body: bytes) -> int | Answer:
+    async def _shard_for_submission(self, body: bytes) -> int | Response:
         host = self._host
         try:
             raw = parse_object(body)
             job_id = parse_job_id(raw)
         except InvalidFieldError as error:
-            return Answer.error(400, str(error), error.field)
+            return Response.error(400, str(error), error.field)
         cached_home = host.job_directory.cached_home(job_id)
         if cached_home is not None:
             return cached_home
@@ -71,7 +71,7 @@
         except InvalidFieldError as error:
             # The retry of an accepted job is answered by its home shard, even if the retry is invalid.
             home_shard = await host.job_directory.home_shard(job_id, host.first_engine.users.max_store_wait_s)
-            return home_shard if home_shard is not None else Answer.error(400, str(error), error.field)
+            return home_shard if home_shard is not None else Response.error(400, str(error), error.field)
         # Most submissions are new, so the entry is written without a look-up of an existing one, which costs 3 reads.
         return await host.job_directory.register(job_id, await self._choose(spec))
 
