--- a/tools/shares/__main__.py
+++ b/tools/shares/__main__.py
@@ -11,7 +11,7 @@
 import click
 import uvloop
 
-from .run import Run
+from .run import LoadRun
 
 
 @click.command()
@@ -21,14 +21,14 @@
 @click.option("--calm", is_flag=True, help="No controller is killed or paused.")
 def main(moves: int, seed: int, shares: int, calm: bool) -> None:
     """Play a run and print its verdict."""
-    run = Run(seed, shares, calm)
+    run = LoadRun(seed, shares, calm)
 
-    async def play() -> bool:
+    async def execute() -> bool:
         async with run.site:
-            return await run.play(moves)
+            return await run.execute(moves)
 
     try:
-        kept = uvloop.run(play())
+        kept = uvloop.run(execute())
     finally:
         run.site.clean_up()
     sys.exit(0 if kept else 1)
--- a/tools/shares/world.py
+++ b/tools/shares/doubles.py
@@ -18,29 +18,39 @@
 from tests.protocol_doubles import ChangeLogStoreDouble, HttpReferenceModel
 from tests.reference_model import InMemoryStore, InvariantViolationError, ReferenceWorker, WorkerTask
 
-from .history import Allotted, Answered, Event, Lapsed, Led, MachineAssigned, MachineEnded, Started, Stopped
+from .history import (
+    Event,
+    HeartbeatAnswered,
+    LeaderElected,
+    LeaseExpired,
+    MachineAssigned,
+    MachineDeleted,
+    QuotaAllocated,
+    TaskStarted,
+    TaskStopped,
+)
 
-Note = Callable[[Event], None]
+EventSink = Callable[[Event], None]
 
 
 class HistoryWorker(ReferenceWorker):
     """A worker that tells what it does."""
 
-    model: "HistoryWorld"
+    model: "HistoryReferenceModel"
 
     def receive_response(self, session: int, seq: int, token: int, commands: list[Command], sent_at: float) -> None:
         """Take an answer."""
         before = self.lease_renewed_at
         super().receive_response(session, seq, token, commands, sent_at)
         if self.lease_renewed_at != before and token == self.fencing_token:
-            self.model.note(Answered(self.model.now, self.name, token))
+            self.model.note(HeartbeatAnswered(self.model.now, self.name, token))
 
     def step(self) -> None:
         """Let time pass; tell what has ended by it."""
         session, running = self.worker_epoch, self.live()
         super().step()
         if self.worker_epoch != session:
-            self.model.note(Lapsed(self.model.now, self.name))
+            self.model.note(LeaseExpired(self.model.now, self.name))
         self.tell_stops(running)
 
     def execute_commands(self, commands: list[Command]) -> None:
@@ -59,24 +69,24 @@
         for key, task in before.items():
             if key not in now:
                 done = (task.job.id, task.index) in self.model.finished
-                self.model.note(Stopped(self.model.now, self.name, task.job.id, task.index, done))
+                self.model.note(TaskStopped(self.model.now, self.name, task.job.id, task.index, done))
 
     def exit_gang_task(self, task: WorkerTask, why: str) -> None:
         """A gang's task follows the others; it may have been told by them already."""
         was_live = task.state != "exited"
         super().exit_gang_task(task, why)
         if was_live:
-            self.model.note(Stopped(self.model.now, self.name, task.job.id, task.index, why == "done"))
+            self.model.note(TaskStopped(self.model.now, self.name, task.job.id, task.index, why == "done"))
 
 
-class HistoryWorld(HttpReferenceModel):
+class HistoryReferenceModel(HttpReferenceModel):
     """Workers and cloud; every event is noted."""
 
-    def __init__(self, platform: Any, seed: int, note: Note) -> None:
+    def __init__(self, platform: Any, seed: int, note: EventSink) -> None:
         super().__init__(platform)
         self.rng = random.Random(seed)
         self.note = note
-        self.rule_breaks: list[str] = []
+        self.invariant_violations: list[str] = []
 
     def boot(self, record: ScaleOutRecord) -> str:
         """A machine comes up."""
@@ -94,16 +104,16 @@
             worker = self.workers[name]
             if worker.terminated:
                 worker.tell_stops(running[name])  # type: ignore[attr-defined]
-                self.note(MachineEnded(self.now, name))
+                self.note(MachineDeleted(self.now, name))
         return answer
 
     def check_start(self, worker: ReferenceWorker, task: WorkerTask) -> None:
         """A task starts."""
-        self.note(Started(self.now, worker.name, task.job.id, task.index, task.job.team, task.job.gpus))
+        self.note(TaskStarted(self.now, worker.name, task.job.id, task.index, task.job.team, task.job.gpus))
         try:
             super().check_start(worker, task)
         except InvariantViolationError as error:
-            self.rule_breaks.append(str(error))
+            self.invariant_violations.append(str(error))
 
     async def run_clock(self) -> None:
         """Let the workers' time pass."""
@@ -117,7 +127,7 @@
 class HistoryStore(ChangeLogStoreDouble):
     """The state service; leaders, machines' shares and allotments go into the history as they are committed."""
 
-    def __init__(self, store: InMemoryStore, shares: int, note: Note) -> None:
+    def __init__(self, store: InMemoryStore, shares: int, note: EventSink) -> None:
         super().__init__(store)
         self._note, self._shares = note, shares
         self._leader_keys = {shard_key(share, LEADER_KEY): share for share in range(shares)}
@@ -125,34 +135,34 @@
         self._since: dict[int, tuple[int, float]] = {}
         # For each change of a share's leader: from its key's change to the first batch after, and whether it was a
         # put over another's key, which only a move does.
-        self.handovers_s: list[float] = []
+        self.first_batch_delays_s: list[float] = []
         self.moves = 0
-        self.changes_in_all = 0
+        self.total_changes = 0
         self.began = time.monotonic()
 
     def record_change(self, change: dict[str, Any], revision: int) -> None:
         """Remember a change, and tell what it means."""
         super().record_change(change, revision)
-        self.changes_in_all += 1
+        self.total_changes += 1
         key, now = change.get("put"), self.now()
         if key is None:
             return
         if key in self._leader_keys:
             share = self._leader_keys[key]
             self._since[share] = (revision, now)
-            self._note(Led(now, share, change["v"][0], revision))
+            self._note(LeaderElected(now, share, change["v"][0], revision))
         elif key in self._batch_keys:
             self._note_batch(self._batch_keys[key], change["v"][0], now)
         elif key.startswith(MACHINE_SHARDS_PREFIX):
             self._note(MachineAssigned(now, key[len(MACHINE_SHARDS_PREFIX) :], change["v"]))
         elif key.startswith(ALLOCATIONS_PREFIX):
-            allotment = wire.convert(change["v"], QuotaAllocation)
-            self._note(Allotted(now, key[len(ALLOCATIONS_PREFIX) :], allotment))
+            allocation = wire.convert(change["v"], QuotaAllocation)
+            self._note(QuotaAllocated(now, key[len(ALLOCATIONS_PREFIX) :], allocation))
 
     def _note_batch(self, share: int, token: int, now: float) -> None:
         since = self._since.get(share)
         if since is not None and since[0] == token:
-            self.handovers_s.append(now - since[1])
+            self.first_batch_delays_s.append(now - since[1])
             del self._since[share]
 
 
--- a/tools/shares/history.py
+++ b/tools/shares/history.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Led:
+class LeaderElected:
     """A controller became the leader of a share: the store took its key."""
 
     at: float
@@ -25,16 +25,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allotted:
+class QuotaAllocated:
     """The store has new parts of a team's limit."""
 
     at: float
     team: str
-    allotment: QuotaAllocation
+    allocation: QuotaAllocation
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class HeartbeatAnswered:
     """A worker took the answer to a report, with this token."""
 
     at: float
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lapsed:
+class LeaseExpired:
     """A worker's lease ran out."""
 
     at: float
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineEnded:
+class MachineDeleted:
     """A machine is gone."""
 
     at: float
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class TaskStarted:
     """A task started."""
 
     at: float
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stopped:
+class TaskStopped:
     """A task is on its machine no more; `done` if it has completed."""
 
     at: float
@@ -82,18 +82,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class StateReported:
     """A user was told a job's state, having asked at some time before."""
 
     at: float
     job: str
     state: str
     tasks: int
-    asked_at: float
+    requested_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class HistoryEnded:
     """The history is over; these jobs were asked for and nobody knew them, or they never ended."""
 
     at: float
@@ -101,4 +101,15 @@
     unfinished: tuple[str, ...]
 
 
-Event = Led | MachineAssigned | Allotted | Answered | Lapsed | MachineEnded | Started | Stopped | Told | Ended
+Event = (
+    LeaderElected
+    | MachineAssigned
+    | QuotaAllocated
+    | HeartbeatAnswered
+    | LeaseExpired
+    | MachineDeleted
+    | TaskStarted
+    | TaskStopped
+    | StateReported
+    | HistoryEnded
+)
--- a/tools/shares/run.py
+++ b/tools/shares/run.py
@@ -22,8 +22,8 @@
 from tools.load.sizes import Size
 
 from .checker import Checker
-from .history import Ended, Told
-from .world import HistoryStore, HistoryWorld
+from .doubles import HistoryReferenceModel, HistoryStore
+from .history import HistoryEnded, StateReported
 
 SIZE = Size(0, 0.5, 6.0, 20.0, 2000.0, 400.0, 8.0, 24, 50.0, 0.5, 1.0, 151.0, 924, 0.002)
 TEAMS = {"red": Team("red", 0.0, 0.0, 8.0, 24.0), "blue": Team("blue", 0.0, 0.0, 0.0, 12.0)}
@@ -37,16 +37,16 @@
 SETTLE_S = 120.0
 
 
-class ShareSite(LoadSite):
+class ShardedLoadSite(LoadSite):
     """Controllers as processes with sharing on, and stand-ins in this process that write a history."""
 
     def __init__(self, seed: int, shares: int, checker: Checker) -> None:
         super().__init__(SIZE)
         platform = self.model.platform
-        self.history_world = HistoryWorld(platform, seed, checker.take)
-        self.model = self.history_world  # type: ignore[assignment]
+        self.history_model = HistoryReferenceModel(platform, seed, checker.observe)
+        self.model = self.history_model  # type: ignore[assignment]
         self.shares = shares
-        self.history_store = HistoryStore(InMemoryStore(platform), shares, checker.take)
+        self.history_store = HistoryStore(InMemoryStore(platform), shares, checker.observe)
         self.model.store = self.history_store.store
         ini = Path(tempfile.mkstemp(suffix=".ini")[1])
         ini.write_text(f"[sharing]\nshares = {shares}\nbalance = 0\n")
@@ -59,7 +59,7 @@
         await super(LoadSite, self).start_store()
 
 
-class Run:
+class LoadRun:
     """Plays and judges."""
 
     def __init__(self, seed: int, shares: int, calm: bool) -> None:
@@ -67,7 +67,7 @@
         self.shares, self.calm = shares, calm
         platform = load_platform_of_run()
         self.checker = Checker(platform.teams, SIZE.lease_s * 2, SIZE.cancel_s)
-        self.site = ShareSite(seed, shares, self.checker)
+        self.site = ShardedLoadSite(seed, shares, self.checker)
         self.site.model.platform = platform
         self.site.history_store.store.platform = platform
         self.users = HttpClient(100, 40, 30.0)
@@ -86,24 +86,24 @@
             return 0, None
         return answer.status, json.loads(answer.body) if answer.body else None
 
-    def _hear(self, job_id: str, state: str, asked_at: float) -> None:
+    def _hear(self, job_id: str, state: str, requested_at: float) -> None:
         """A user is told a job's state; a final one is not overwritten by an answer that crossed it."""
         if self.told.get(job_id) not in ("done", "cancelled"):
             self.told[job_id] = state
         tasks = self.site.model.specs[job_id].tasks
-        self.checker.take(Told(_now(), job_id, state, tasks, asked_at))
+        self.checker.observe(StateReported(_now(), job_id, state, tasks, requested_at))
 
     async def _submit(self) -> None:
         self.number += 1
         known = [job_id for job_id in self.told if self.site.model.specs[job_id].estimated_run_s > 0]
         raw = some_job(self.rng, self.number, known[-20:])
         raw |= {"voyageS": 0.0 if raw["rig"] == "daemon" else self.rng.choice([2.0, 5.0]), "imageGb": 0.0}
-        spec = self.site.model.specs.setdefault(f"req-{self.number:06d}", parse(raw))
+        spec = self.site.model.specs.setdefault(f"req-{self.number:06d}", parse_job(raw))
         for _ in range(60):
-            asked_at = _now()
+            requested_at = _now()
             status, answer = await self._ask("POST", "/v1/jobs", raw)
             if status in (200, 201):
-                self._hear(spec.id, answer["bearing"], asked_at)
+                self._hear(spec.id, answer["bearing"], requested_at)
                 return
             if status in (400, 422):
                 self.asked["rejected"] += 1
@@ -113,20 +113,20 @@
     async def _cancel(self, job_id: str) -> None:
         self.site.model.cancel_requested.add(job_id)
         for _ in range(120):
-            asked_at = _now()
+            requested_at = _now()
             status, answer = await self._ask("POST", f"/v1/jobs/{job_id}/cancel")
             if status == 200:
-                self._hear(job_id, answer["bearing"], asked_at)
+                self._hear(job_id, answer["bearing"], requested_at)
                 self.site.model.cancelled_at.setdefault(job_id, self.site.model.now)
                 return
             await asyncio.sleep(0.5)
 
     async def _poll(self, job_id: str) -> int:
-        asked_at = _now()
+        requested_at = _now()
         status, answer = await self._ask("GET", f"/v1/jobs/{job_id}")
         self.asked["answered" if status == 200 else f"status {status}"] += 1
         if status == 200:
-            self._hear(job_id, answer["bearing"], asked_at)
+            self._hear(job_id, answer["bearing"], requested_at)
         return status
 
     async def _load(self) -> None:
@@ -171,10 +171,10 @@
             await asyncio.sleep(SIZE.lease_s * self.rng.uniform(*PAUSE))
             process.send_signal(signal.SIGCONT)
 
-    async def play(self, moves: int) -> bool:
+    async def execute(self, moves: int) -> bool:
         """Play so many moves; print the verdict and return whether nothing was broken."""
         await wait_until(self._all_led, "every share is led")
-        began, before = _now(), self.site.history_store.changes_in_all
+        began, before = _now(), self.site.history_store.total_changes
         loading = asyncio.ensure_future(self._load())
         for _ in range(moves):
             status = await self._order(self.rng.randrange(1, self.shares), self.rng.choice(LABELS))
@@ -184,13 +184,13 @@
             await asyncio.sleep(self.rng.uniform(*MOVE_PAUSE_S))
         lasted = _now() - began
         loading.cancel()
-        changes = self.site.history_store.changes_in_all - before
+        changes = self.site.history_store.total_changes - before
         used = {label: usage(process.pid) for label, process in self.site.controllers.items()}
         await self._settle()
         self._print(lasted, changes)
         for label, spent in used.items():
             print(f"  {label}: {spent.core_s:.1f} s of a core since its start, {spent.memory_mb:.0f} MB")
-        return not self.checker.findings and not self.site.history_world.rule_breaks
+        return not self.checker.findings and not self.site.history_model.invariant_violations
 
     async def _all_led(self) -> bool:
         return {led.share for led in self.checker.terms.values()} >= set(range(self.shares))
@@ -211,28 +211,28 @@
             await asyncio.sleep(0.5)
         await asyncio.sleep(SIZE.report_s * 4)
         left = tuple(job_id for job_id, state in self.told.items() if state not in ("done", "cancelled"))
-        self.checker.take(Ended(_now(), tuple(sorted(unknown)), left))
+        self.checker.observe(HistoryEnded(_now(), tuple(sorted(unknown)), left))
 
     def _print(self, lasted: float, changes: int) -> None:
         store, checker = self.site.history_store, self.checker
-        gaps = sorted(store.handovers_s)
+        gaps = sorted(store.first_batch_delays_s)
         print(f"{lasted:.0f} s, {self.shares} shares, {len(self.told)} jobs, {len(self.site.model.workers)} machines")
         print("  " + ", ".join(f"{count} {name}" for name, count in sorted(self.asked.items())))
         print(f"  {len(checker.terms)} terms; {changes / lasted:.1f} changes of the store a second")
         if gaps:
             median, worst = gaps[len(gaps) // 2], gaps[-1]
             print(f"  from a new leader's key to its first batch: median {median:.2f} s, worst {worst:.2f} s")
-        silent_s = checker.longest_silence_s
-        print(f"  longest time without an answer for a worker {silent_s:.2f} s, {checker.lapses} lapses")
+        silent_s = checker.longest_unanswered_s
+        print(f"  longest time without an answer for a worker {silent_s:.2f} s, {checker.expired_leases} lapses")
         for finding in checker.findings[:20]:
-            print(f"  BROKEN at {finding.at:.1f}: {finding.broken}: {finding.what}")
-        for text in self.site.history_world.rule_breaks[:20]:
+            print(f"  BROKEN at {finding.at:.1f}: {finding.violation}: {finding.what}")
+        for text in self.site.history_model.invariant_violations[:20]:
             print(f"  BROKEN: {text}")
-        broken = len(checker.findings) + len(self.site.history_world.rule_breaks)
+        broken = len(checker.findings) + len(self.site.history_model.invariant_violations)
         print(f"  {'nothing broken' if not broken else f'{broken} broken'}", flush=True)
 
 
-def parse(raw: dict[str, Any]) -> Any:
+def parse_job(raw: dict[str, Any]) -> Any:
     """Return a checked submission."""
     return parse_submission(raw)
 
