--- a/tests/test_assembly.py
+++ b/tests/test_assembly.py
@@ -30,7 +30,7 @@
     return True
 
 
-def test_every_part_is_there_before_a_controller_runs() -> None:
+def test_controller_is_fully_assembled_before_it_runs() -> None:
     async def scenario() -> None:
         controller = Controller(on_loopback(), Tuning())
         assert not controller.is_serving and not controller.may_decide
@@ -58,7 +58,7 @@
     asyncio.run(scenario())
 
 
-def test_a_controller_serves_while_it_runs_and_no_longer() -> None:
+def test_controller_listens_only_while_it_runs() -> None:
     async def scenario() -> None:
         settings = on_loopback()
         controller = Controller(settings, Tuning())
@@ -75,7 +75,7 @@
     asyncio.run(scenario())
 
 
-def test_an_address_that_is_taken_ends_a_start_and_leaves_nothing_open() -> None:
+def test_start_fails_and_leaves_nothing_open_if_an_address_is_in_use() -> None:
     async def scenario() -> None:
         settings = on_loopback()
         host, _, port = settings.back.partition(":")
@@ -89,7 +89,7 @@
     asyncio.run(scenario())
 
 
-def test_a_loop_that_is_cancelled_ends_its_controller() -> None:
+def test_cancelled_loop_ends_its_controller() -> None:
     """Guards against a controller that goes on without one of its loops."""
 
     async def scenario(simulation: Simulation) -> None:
--- a/tests/test_cli_shares.py
+++ b/tests/test_cli_shares.py
@@ -64,7 +64,7 @@
     return CliRunner().invoke(main, ["shares", *words])
 
 
-def test_shares_are_shown_with_their_moves_and_why_the_last_was_refused(address: str) -> None:
+def test_shares_command_prints_moves_and_the_last_rejection(address: str) -> None:
     shown = run(address)
     assert shown.exit_code == 0
     assert "share 1: assigned to b, led by b (token 7), here owned, 3 machines, moving to c" in shown.output
@@ -72,7 +72,9 @@
     assert json.loads(run(address, "--json").output) == VIEW
 
 
-def test_an_order_is_carried_out_or_refused_with_the_reason(address: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_move_command_succeeds_or_prints_the_reason_of_its_rejection(
+    address: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     assert run("move", address, "1", "c").exit_code == 0
     monkeypatch.setattr(Rote, "order", (409, {"error": "b owns share 1 already"}))
     refused = run("move", address, "1", "b")
@@ -82,11 +84,11 @@
 
 
 @pytest.mark.parametrize("words", [(), ("move", "x:1"), ("move", "x:1", "one", "b"), ("split", "x:1", "1", "2")])
-def test_what_is_no_order_exits_with_2(words: tuple[str, ...]) -> None:
+def test_invalid_arguments_exit_with_2(words: tuple[str, ...]) -> None:
     assert run(*words).exit_code == 2
 
 
-def test_nobody_there_exits_with_1_and_wrong_settings_with_2(tmp_path: Path) -> None:
+def test_unreachable_controller_exits_with_1_and_invalid_settings_with_2(tmp_path: Path) -> None:
     assert run("127.0.0.1:1").exit_code == 1
     wrong = tmp_path / "sharing.ini"
     wrong.write_text("[sharing]\nshares = 99\n")
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -36,14 +36,14 @@
     return made
 
 
-def test_the_values_of_roles_are_those_that_peers_and_commands_know() -> None:
+def test_role_values_match_the_wire_format() -> None:
     values = ["follower", "tending", "campaigning", "rebuilding", "leading", "unsure"]
     assert [role.value for role in Role] == values
 
 
 @pytest.mark.parametrize("to", Role)
 @pytest.mark.parametrize("role", Role)
-def test_a_role_changes_only_as_the_state_machine_permits(role: Role, to: Role) -> None:
+def test_only_legal_role_transitions_are_accepted(role: Role, to: Role) -> None:
     machine = state(role)
     if role is to or (role, to) in LEGAL:
         machine.transition(to)
@@ -55,7 +55,7 @@
     assert machine.role is role
 
 
-def test_the_log_says_what_a_partitioned_follower_does(caplog: pytest.LogCaptureFixture) -> None:
+def test_transition_to_partitioned_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.INFO):
         state(Role.FOLLOWER).transition(Role.PARTITIONED)
     assert caplog.messages == [
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("role", Role)
-def test_a_valid_lease_permits_what_the_table_of_roles_says(role: Role) -> None:
+def test_permissions_of_each_role_with_a_valid_lease(role: Role) -> None:
     leading = role in (Role.RECOVERING, Role.LEADER, Role.UNCONFIRMED_LEADER)
     held = state(role)
     held.lease.record_grant(7, NOW)
@@ -75,13 +75,13 @@
 
 
 @pytest.mark.parametrize("role", Role)
-def test_without_lease_and_confirmation_no_role_permits_anything(role: Role) -> None:
+def test_no_role_permits_anything_without_lease_and_confirmation(role: Role) -> None:
     bare = state(role)
     assert not bare.may_decide and not bare.may_answer_heartbeats and not bare.may_send_starts
     assert bare.lease_keeping_token is None and not bare.may_become_partitioned
 
 
-def test_peers_that_confirm_permit_starts_for_a_moment_and_answers_for_longer() -> None:
+def test_peer_confirmation_permits_starts_briefly_and_heartbeat_responses_longer() -> None:
     leader = state(Role.UNCONFIRMED_LEADER)
     leader.peers_confirmed_at = NOW - leader.ttl_s * 0.39
     assert leader.may_send_starts and leader.may_answer_heartbeats and not leader.may_decide
@@ -91,7 +91,7 @@
     assert not leader.may_answer_heartbeats
 
 
-def test_a_partitioned_follower_keeps_leases_until_the_bound_or_a_higher_token() -> None:
+def test_partitioned_follower_keeps_leases_until_the_time_limit_or_a_higher_token() -> None:
     follower = state(Role.FOLLOWER)
     follower.record_leader_contact(PeerSurvey(leader_confirmed_at=NOW - 1.0, cancelled_jobs=frozenset({"req-1"})))
     assert follower.may_become_partitioned and follower.lease_keeping_token is None
--- a/tests/test_share_checker.py
+++ b/tests/test_share_checker.py
@@ -63,7 +63,7 @@
     return [event for event in GOOD if event not in gone]
 
 
-def test_nothing_is_found_in_a_good_history() -> None:
+def test_valid_history_has_no_findings() -> None:
     assert findings(GOOD) == []
     # An answer that was under way when the user was told.
     assert findings([*GOOD, StateReported(5.0, "j1", "running", 2, 4.7)]) == []
@@ -100,7 +100,7 @@
         ([*without(GOOD[-1]), HistoryEnded(7.0, (), ("j1",))], Violation.FORGOTTEN),
     ],
 )
-def test_each_planted_fault_is_named_and_nothing_else(history: list[Event], violation: Violation) -> None:
+def test_each_injected_violation_is_found_and_no_other(history: list[Event], violation: Violation) -> None:
     found = findings(history)
     # A final state that changes to another may be wrong in itself as well.
     assert set(found) == {violation} or (
@@ -108,7 +108,7 @@
     )
 
 
-def test_a_task_of_a_cancelled_job_that_is_never_stopped_is_found_in_the_end() -> None:
+def test_cancelled_task_that_never_stops_is_found_at_the_end() -> None:
     history = [
         *without(TaskStopped(4.0, "m2", "j2", 0, False), GOOD[-1]),
         HeartbeatAnswered(7.0, "m2", 9),
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -71,7 +71,7 @@
 # -- moves ------------------------------------------------------------------------------------------------
 
 
-def test_a_share_moves_while_a_gang_is_half_placed_and_others_run_and_nothing_is_stopped() -> None:
+def test_moving_a_shard_with_a_partly_placed_gang_stops_no_task() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         await on_share(simulation, 1, 1, rig="daemon", hands=2, voyageS=0.0)
         await on_share(simulation, 1, 2, hands=2, voyageS=60.0)
@@ -95,7 +95,7 @@
     run_scenario(scenario)
 
 
-def test_users_are_answered_and_never_with_something_older_while_their_share_moves() -> None:
+def test_job_states_do_not_go_back_while_shards_move() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         for number in range(1, 7):
             await on_share(simulation, 1 + number % 2, number, hands=1, voyageS=5.0)
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("who", ["giver", "receiver", "coordinator", "giver and receiver", "all"])
 @pytest.mark.parametrize("after_s", [0.0, 0.006, 0.012, 0.03, 0.2])
-def test_whoever_ends_in_the_course_of_a_move_the_share_is_led_again(who: str, after_s: float) -> None:
+def test_shard_is_led_again_after_a_crash_during_its_move(who: str, after_s: float) -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         await on_share(simulation, 1, 1, hands=2, voyageS=20.0)
         await simulation.run_until(simulation.tasks_on_machines)
@@ -135,7 +135,7 @@
     assert run_scenario(scenario).task_starts >= 2
 
 
-def test_a_move_whose_outcome_the_receiver_does_not_hear_is_found_out() -> None:
+def test_move_completes_if_the_target_gets_no_responses_to_its_transactions() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         receiver = others(simulation.shard_leader(1))[0]
         if receiver == simulation.leader_label():
@@ -149,7 +149,7 @@
     run_scenario(scenario)
 
 
-def test_a_giver_decides_nothing_after_it_has_let_go_and_campaigns_anew_if_nobody_takes_the_share() -> None:
+def test_source_makes_no_decisions_after_release_and_campaigns_again_if_no_target_acquires() -> None:
     """Guards against a giver that trusts its lease, which goes on while the key is another's."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
@@ -174,7 +174,7 @@
     run_scenario(scenario)
 
 
-def test_a_receiver_that_does_not_know_that_its_move_was_dropped_does_not_complete_it() -> None:
+def test_target_with_an_outdated_assignment_does_not_complete_a_dropped_move() -> None:
     """Guards against an assignment of before that is written over a newer one."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
@@ -199,7 +199,7 @@
     run_scenario(scenario)
 
 
-def test_two_moves_that_cross_are_both_carried_out() -> None:
+def test_two_moves_in_opposite_directions_both_complete() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         first, second = str(simulation.shard_leader(1)), str(simulation.shard_leader(2))
         if first == second:
@@ -213,7 +213,7 @@
     run_scenario(scenario)
 
 
-def test_one_controller_can_own_every_share() -> None:
+def test_one_controller_can_lead_every_shard() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         for number in range(1, 4):
             await on_share(simulation, number - 1, number, hands=1)
@@ -227,7 +227,7 @@
     run_scenario(scenario)
 
 
-def test_a_controller_that_loses_everything_does_not_start_tasks_of_a_share_that_went_on() -> None:
+def test_isolated_source_starts_no_cancelled_tasks_after_the_shard_fails_over() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         await on_share(simulation, 1, 1, hands=2, voyageS=200.0)
         await simulation.run_until(simulation.tasks_on_machines)
@@ -244,7 +244,7 @@
     run_scenario(scenario)
 
 
-def test_messages_of_moves_that_are_over_or_never_were_are_refused() -> None:
+def test_release_requests_of_finished_or_unknown_moves_are_rejected() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         giver = str(simulation.shard_leader(1))
         receiver, third = others(giver)
@@ -274,7 +274,7 @@
     run_scenario(scenario)
 
 
-def test_orders_that_cannot_be_carried_out_are_refused_with_the_reason() -> None:
+def test_invalid_operator_requests_are_rejected_with_a_reason() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         owner = str(simulation.shard_leader(1))
         for share, receiver, why in (
@@ -297,7 +297,7 @@
     run_scenario(scenario)
 
 
-def test_an_assignment_that_cannot_be_acted_on_is_refused_and_the_one_before_stays_in_force() -> None:
+def test_invalid_stored_assignment_is_rejected_and_the_previous_one_stays_in_force() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         before = [simulation.shard_leader(share) for share in range(3)]
         stored = simulation.store.data[ASSIGNMENT_KEY]
@@ -324,7 +324,7 @@
 # -- jobs -------------------------------------------------------------------------------------------------
 
 
-def test_a_job_waits_for_a_job_of_another_share() -> None:
+def test_job_waits_for_a_dependency_in_another_shard() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         first = await on_share(simulation, 1, 1, hands=1, voyageS=20.0)
         await on_share(simulation, 2, 2, hands=1, voyageS=5.0, tows=[first])
@@ -338,7 +338,7 @@
     assert simulation.statuses == {"req-000001": "done", "req-000002": "done"}
 
 
-def test_a_cancellation_crosses_shares_and_is_not_taken_back_by_the_next_leader() -> None:
+def test_cancellation_reaches_dependents_in_other_shards_and_survives_a_move() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         first = await on_share(simulation, 1, 1, hands=1, voyageS=200.0)
         second = await on_share(simulation, 2, 2, hands=1, tows=[first])
@@ -360,7 +360,7 @@
     run_scenario(scenario)
 
 
-def test_a_new_leader_knows_at_once_of_a_cancellation_in_another_share() -> None:
+def test_new_leader_knows_of_a_cancelled_dependency_in_another_shard() -> None:
     """Guards against a user who was told of a cancellation by the leader before, and then of a job that waits."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
@@ -378,7 +378,7 @@
     run_scenario(scenario)
 
 
-def test_only_the_leader_says_how_a_job_stands_that_needs_one_of_another_share() -> None:
+def test_only_the_leader_evaluates_dependencies_in_another_shard() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         first = await on_share(simulation, 1, 1, hands=1, voyageS=30.0)
         second = await on_share(simulation, 2, 2, hands=1, tows=[first])
@@ -389,7 +389,7 @@
     run_scenario(scenario)
 
 
-def test_a_needed_job_of_another_share_must_have_been_accepted() -> None:
+def test_dependency_in_another_shard_must_have_been_accepted() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         host = simulation.controllers[str(simulation.leader_label())]
         await host.job_directory.register("req-000009", 1)
@@ -405,7 +405,7 @@
     run_scenario(scenario)
 
 
-def test_a_submission_handed_in_everywhere_at_once_is_one_job() -> None:
+def test_job_submitted_at_every_controller_at_once_is_stored_once() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         for number in range(1, 7):
             for label in LABELS:
@@ -419,7 +419,7 @@
     run_scenario(scenario)
 
 
-def test_a_gang_larger_than_its_shares_part_comes_to_its_turn() -> None:
+def test_gang_larger_than_its_shards_quota_allocation_is_started() -> None:
     """Team blue may use six accelerators; every share has two of them while all want more."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
@@ -437,7 +437,7 @@
 # -- machines ---------------------------------------------------------------------------------------------
 
 
-def test_a_machine_belongs_to_whoever_registers_it_first_and_to_nobody_else() -> None:
+def test_machine_belongs_only_to_the_shard_that_registers_it_first() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         a, b = simulation.controllers["a"], simulation.controllers["b"]
         names = [f"vm-9{number:05d}" for number in range(6)]
@@ -454,7 +454,7 @@
     run_scenario(scenario)
 
 
-def test_reports_of_a_machine_that_nobody_has_registered_are_not_taken_in() -> None:
+def test_heartbeats_of_an_unregistered_machine_are_not_accepted() -> None:
     """Guards against a machine in two shares' pictures: whoever saw it first is not who rented it."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
@@ -520,7 +520,7 @@
         return next((label for label in hosts if self.controllers[label].leads(share)), None)
 
 
-def test_a_deployment_that_switches_sharing_on_keeps_its_jobs_and_begins_once_every_controller_knows_of_it() -> None:
+def test_enabling_sharing_keeps_jobs_and_waits_until_every_controller_has_it_enabled() -> None:
     simulation = GrowingSimulation(7)
 
     async def scenario(_: Simulation) -> None:
@@ -559,7 +559,7 @@
     simulation.run_scenario(scenario)
 
 
-def test_more_shares_cost_no_more_renewals_of_the_lease() -> None:
+def test_lease_requests_do_not_grow_with_the_number_of_shards() -> None:
     asked: dict[int, int] = {}
     for shares in (2, 8):
 
@@ -576,7 +576,7 @@
     assert asked[8] <= asked[2] * 1.5
 
 
-def test_a_lopsided_layout_is_evened_out_by_itself() -> None:
+def test_unbalanced_shards_are_rebalanced_automatically() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         for share in (1, 2):
             if simulation.shard_leader(share) != "a":
@@ -590,7 +590,7 @@
     run_scenario(scenario, balance=2.0)
 
 
-def test_the_first_share_keeps_the_keys_of_a_deployment_without_sharing() -> None:
+def test_shard_0_keeps_the_keys_of_a_deployment_without_sharing() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         await on_share(simulation, 0, 1, hands=1)
         await on_share(simulation, 1, 2, hands=1)
--- a/tests/test_sharing_parts.py
+++ b/tests/test_sharing_parts.py
@@ -49,7 +49,7 @@
     return str(path)
 
 
-def test_the_settings_that_are_shipped_are_the_defaults() -> None:
+def test_shipped_sharing_settings_are_the_defaults() -> None:
     shipped = Path(__file__).parent.parent / "deploy" / "sharing.ini"
     assert load_sharing(str(shipped)) == SharingSettings()
 
@@ -67,7 +67,7 @@
         ("shares = 3", "is not INI"),
     ],
 )
-def test_wrong_settings_are_refused_with_the_reason(tmp_path: Path, text: str, named: str) -> None:
+def test_invalid_sharing_settings_are_rejected_with_a_reason(tmp_path: Path, text: str, named: str) -> None:
     with pytest.raises(SettingsError, match=r"sharing\.ini") as refused:
         load_sharing(write(tmp_path, text))
     assert named in str(refused.value) and "\n" not in str(refused.value)
@@ -76,7 +76,7 @@
 # -- assignments ------------------------------------------------------------------------------------------
 
 
-def test_an_assignment_survives_being_stored() -> None:
+def test_assignment_is_unchanged_after_encoding_and_decoding() -> None:
     assignment = begin_move(initial_assignment(4, LABELS, "vm-7"), 1, "c", LABELS)
     assert decode_assignment(wire.encode(assignment), LABELS) == assignment
 
@@ -97,7 +97,9 @@
         (lambda: reassign(FIRST, 0, "a"), "cannot be reassigned"),
     ],
 )
-def test_impossible_changes_are_refused_with_the_reason(change: Callable[[], ShardAssignment], why: str) -> None:
+def test_invalid_assignment_changes_are_rejected_with_a_reason(
+    change: Callable[[], ShardAssignment], why: str
+) -> None:
     with pytest.raises(AssignmentError, match=why):
         change()
 
@@ -117,12 +119,12 @@
         (b'[1,["","b"],[[1,"a",1],[1,"c",2]]]', "more than one move"),
     ],
 )
-def test_a_stored_assignment_that_cannot_be_acted_on_is_refused(value: bytes, why: str) -> None:
+def test_invalid_encoded_assignment_is_rejected(value: bytes, why: str) -> None:
     with pytest.raises(AssignmentError, match=why):
         decode_assignment(value, LABELS)
 
 
-def test_a_move_is_completed_or_dropped_and_its_number_never_comes_again() -> None:
+def test_move_number_is_not_reused_after_a_move_is_dropped() -> None:
     moving = begin_move(FIRST, 1, "c", LABELS)
     assert complete_move(moving, 1).owner(1) == "c" and not complete_move(moving, 1).moves
     dropped = drop_move(moving, 1)
@@ -131,7 +133,7 @@
     assert again is not None and again.number == 2
 
 
-def test_shares_that_are_added_leave_the_others_as_they_are() -> None:
+def test_adding_shards_keeps_existing_owners() -> None:
     larger = add_shards(complete_move(begin_move(FIRST, 1, "c", LABELS), 1), 5, LABELS)
     assert larger.owners[:3] == ("", "c", "c") and larger.shard_count == 5
 
@@ -139,7 +141,7 @@
 # -- keys -------------------------------------------------------------------------------------------------
 
 
-def test_each_share_has_its_own_keys_and_the_first_those_of_a_deployment_without_sharing() -> None:
+def test_each_shard_has_its_own_keys_and_shard_0_those_without_sharing() -> None:
     keys = (LEADER_KEY, JOBS_PREFIX + "req-000001", CHUNKS_PREFIX + "req-000001/2.1")
     stored = {shard_key(share, key) for share, key in product(range(12), keys)}
     assert len(stored) == 36
@@ -165,14 +167,14 @@
 
 
 @given(demands, st.integers(1, 40).map(float))
-def test_targets_never_add_up_to_more_than_the_limit_and_leave_nothing(found: list[Demand], limit: float) -> None:
+def test_quota_targets_add_up_to_the_limit(found: list[Demand], limit: float) -> None:
     parts = quota_targets(Amount(0.0, limit), found, 15.0)
     assert abs(sum(part.gpus for part in parts) - limit) < 1e-3
     assert all(part.gpus >= 0 for part in parts)
 
 
 @given(demands, st.integers(1, 40).map(float))
-def test_whoever_lowers_and_raises_the_parts_stay_within_the_limit(found: list[Demand], limit: float) -> None:
+def test_lowered_and_raised_allocations_stay_within_the_limit(found: list[Demand], limit: float) -> None:
     """Owners lower to what they use, the coordinator raises by what is free: in any order, step by step."""
     whole = Amount(0.0, limit)
     allotment = initial_allocation(Team("red", 0.0, 0.0, 0.0, limit), len(found))
@@ -187,7 +189,7 @@
         assert whole.covers(allotment.total())
 
 
-def test_a_job_larger_than_its_share_comes_to_its_turn() -> None:
+def test_job_larger_than_its_quota_allocation_gets_quota_after_waiting() -> None:
     """The other shares give up what it lacks, once it has waited for long."""
     limit = Amount(0.0, 12.0)
     greedy = Demand(Amount(0.0, 4.0), Amount(0.0, 40.0))
@@ -197,12 +199,12 @@
     assert quota_targets(limit, [greedy, greedy, waited], 15.0)[2].gpus >= 10.0
 
 
-def test_parts_are_whole() -> None:
+def test_quota_targets_are_whole_numbers() -> None:
     parts = quota_targets(Amount(0.0, 8.0), [Demand(ZERO, Amount(0.0, 9.0))] * 3, 15.0)
     assert sorted(part.gpus for part in parts) == [2.0, 3.0, 3.0]
 
 
-def test_a_part_of_nothing_is_not_a_limit_of_none() -> None:
+def test_zero_allocation_does_not_mean_unlimited() -> None:
     assert 0.0 < team_with_quota(TEAM, ZERO, 0.0).gpus_max < ROUNDING
     assert team_with_quota(TEAM, ZERO, 0.0).cpus_max == 0.0, "the team has no limit of processors"
 
@@ -213,7 +215,7 @@
 
 
 @given(fleets)
-def test_a_proposed_move_is_the_best_one_and_worth_its_cost(fleet: list[tuple[str, int]]) -> None:
+def test_proposed_move_lowers_the_peak_load_most_and_by_enough(fleet: list[tuple[str, int]]) -> None:
     """Against a plain model that plays every move."""
     loads = [ShardLoad(share, owner, float(load)) for share, (owner, load) in enumerate(fleet)]
     proposal = propose_move(loads, LABELS, 0.5)
@@ -236,7 +238,7 @@
         assert peaks[(proposal.shard, proposal.target)] == best and before - best >= worth
 
 
-def test_even_loads_are_left_alone() -> None:
+def test_no_move_is_proposed_for_even_loads() -> None:
     loads = [ShardLoad(share, LABELS[share % 3], 10.0 + share) for share in range(6)]
     assert propose_move(loads, LABELS, 0.5) is None
 
@@ -252,7 +254,7 @@
     return ShardStatus(share, 5, machines, 0)
 
 
-def test_sharing_begins_only_once_every_controller_was_heard() -> None:
+def test_sharing_starts_only_after_a_status_from_every_controller() -> None:
     decides = coordinator()
     decides.reset(0.0)
     decides.record_status("a", [], 0.1)
@@ -264,7 +266,7 @@
     assert decides.may_start_sharing(0.3) and not decides.may_start_sharing(60.0)
 
 
-def test_the_shares_of_a_silent_controller_go_to_another_but_not_before_everybody_could_be_heard() -> None:
+def test_shards_of_a_silent_controller_are_reassigned_after_the_time_limit_for_statuses() -> None:
     decides = coordinator()
     decides.reset(0.0)
     decides.record_status("a", [status(0)], 0.1)
@@ -276,7 +278,7 @@
     assert following is not None and following.owners == ("", "a", "c")
 
 
-def test_a_move_that_takes_too_long_or_whose_receiver_is_lost_is_given_up_and_said() -> None:
+def test_move_is_dropped_with_a_reason_after_a_timeout_or_loss_of_its_target() -> None:
     decides = coordinator()
     decides.reset(0.0)
     moving = begin_move(FIRST, 1, "c", LABELS)
@@ -294,7 +296,7 @@
     assert decides.refusals[1] == "c sends no status"
 
 
-def test_shares_are_balanced_one_at_a_time_and_only_while_all_is_well() -> None:
+def test_balancing_moves_one_shard_at_a_time_and_needs_statuses_of_all_controllers() -> None:
     decides = coordinator(balance=1.0)
     decides.reset(0.0)
     lopsided = ShardAssignment(1, ("", "a", "a"))
@@ -322,7 +324,7 @@
         (1, "b", "owns share 1"),
     ],
 )
-def test_an_operators_order_is_refused_with_the_reason(share: int, receiver: str, why: str) -> None:
+def test_invalid_move_request_is_rejected_with_a_reason(share: int, receiver: str, why: str) -> None:
     decides = coordinator()
     decides.reset(0.0)
     decides.record_status("a", [], 1.0)
@@ -333,7 +335,7 @@
         decides.requested_assignment(None, 1, "a", 1.0)
 
 
-def test_a_share_only_gets_more_of_a_limit_once_another_has_less() -> None:
+def test_quota_of_a_shard_is_raised_only_after_that_of_another_is_lowered() -> None:
     decides = coordinator()
     decides.reset(0.0)
     first = decides.next_allocation(TEAM, None, 3, 0.0)
@@ -348,6 +350,6 @@
     assert decides.next_allocation(Team("free", 0.0, 0.0, 0.0, 0.0), None, 3, 0.0) is None
 
 
-def test_an_allotment_knows_nothing_of_shares_that_came_later() -> None:
+def test_allocation_is_zero_for_shards_added_later() -> None:
     assert QuotaAllocation((Amount(0.0, 2.0),)).quota(4) == ZERO
     assert QuotaAllocation((Amount(0.0, 2.0),)).with_quota(2, Amount(0.0, 1.0)).quotas[1] == ZERO
--- a/tests/test_sharing_walk.py
+++ b/tests/test_sharing_walk.py
@@ -118,6 +118,6 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_trouble_breaks_a_rule_while_shares_move(seed: int) -> None:
+def test_faults_violate_no_invariant_while_shards_move(seed: int) -> None:
     simulation = run_sharded_fault_walk(seed)
     assert simulation.task_starts > 3
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("path", ["/status", "/metrics"])
-def test_a_leader_shows_exactly_these_keys_in_this_order(path: str) -> None:
+def test_leader_status_has_exactly_these_keys_in_order(path: str) -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.submit_until_accepted(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
         await simulation.run_until(lambda: len(simulation.tasks_on_machines()) == 2)
@@ -79,7 +79,7 @@
     Simulation(5).run_scenario(scenario)
 
 
-def test_a_follower_shows_exactly_these_keys_in_this_order() -> None:
+def test_follower_status_has_exactly_these_keys_in_order() -> None:
     async def scenario(simulation: Simulation) -> None:
         follower = next(label for label in LABELS if label != simulation.leader_label())
         status = await shown(simulation, follower)
@@ -89,7 +89,7 @@
     Simulation(5).run_scenario(scenario)
 
 
-def test_a_status_says_what_the_owners_of_its_figures_know() -> None:
+def test_status_values_match_their_sources() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.submit_until_accepted(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
         await simulation.run_until(lambda: len(simulation.tasks_on_machines()) == 2)
