--- a/tools/shares/__init__.py
+++ b/tools/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Shares moved among real processes under load, with controllers killed and paused; the history is checked."""
+"""Load test that moves shards among real controller processes, injects faults and checks the event history."""
--- a/tools/shares/__main__.py
+++ b/tools/shares/__main__.py
@@ -1,9 +1,10 @@
-"""Moves shares among real processes under load: `python -m tools.shares [--moves N] [--seed N]`.
+"""Moves shards among real controller processes under load: `python -m tools.shares [--moves N] [--seed N]`.
 
-Three controllers share machines that stand-ins play on loopback; jobs of every kind come steadily, some are
-cancelled. Shares are moved again and again, and controllers are killed or paused at random, now and then within a
-move. In the end everything has to settle; the history is checked and what was measured is printed. Exits with 1 if
-anything is broken. Not simulated; the machine that runs it does everything at once.
+Three controllers divide machines into shards; protocol doubles on loopback stand for workers, cloud and store. Jobs
+of every kind are submitted at a steady rate, some are cancelled. Shards are moved repeatedly, and controllers are
+killed or paused at random, in some cases during a move. At the end every job has to finish. The event history is
+checked and measurements are printed. Exits with 1 if an invariant was violated. Nothing is simulated: controllers,
+doubles and load run in real time on one machine.
 """
 
 import sys
@@ -15,12 +16,12 @@
 
 
 @click.command()
-@click.option("--moves", default=100, help="How many moves are ordered.")
+@click.option("--moves", default=100, help="Number of moves that are requested.")
 @click.option("--seed", default=1)
 @click.option("--shares", default=4)
-@click.option("--calm", is_flag=True, help="No controller is killed or paused.")
+@click.option("--calm", is_flag=True, help="Kill and pause no controller.")
 def main(moves: int, seed: int, shares: int, calm: bool) -> None:
-    """Play a run and print its verdict."""
+    """Run the load test; exit with 1 if an invariant was violated."""
     run = LoadRun(seed, shares, calm)
 
     async def execute() -> bool:
@@ -28,10 +29,10 @@
             return await run.execute(moves)
 
     try:
-        kept = uvloop.run(execute())
+        passed = uvloop.run(execute())
     finally:
         run.site.clean_up()
-    sys.exit(0 if kept else 1)
+    sys.exit(0 if passed else 1)
 
 
 if __name__ == "__main__":
--- a/tools/shares/history.py
+++ b/tools/shares/history.py
@@ -1,4 +1,4 @@
-"""What happened, as typed events in the order of their times: what store, workers and users saw."""
+"""Typed events of a history, in the order of their times: what the store, the workers and the users observed."""
 
 from dataclasses import dataclass
 
@@ -7,26 +7,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderElected:
-    """A controller became the leader of a share: the store took its key."""
+    """A controller became the leader of a shard: the store committed its leader key."""
 
     at: float
-    share: int
+    shard: int
     label: str
-    token: int
+    fencing_token: int
 
 
 @dataclass(frozen=True, slots=True)
 class MachineAssigned:
-    """The store says which share a machine belongs to."""
+    """The store committed the shard that a machine belongs to."""
 
     at: float
     machine: str
-    share: int
+    shard: int
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaAllocated:
-    """The store has new parts of a team's limit."""
+    """The store committed a new allocation of a team's quota to the shards."""
 
     at: float
     team: str
@@ -35,16 +35,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatAnswered:
-    """A worker took the answer to a report, with this token."""
+    """A worker accepted a heartbeat response that carried this fencing token."""
 
     at: float
     machine: str
-    token: int
+    fencing_token: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseExpired:
-    """A worker's lease ran out."""
+    """A worker's lease expired."""
 
     at: float
     machine: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineDeleted:
-    """A machine is gone."""
+    """A machine was deleted."""
 
     at: float
     machine: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskStarted:
-    """A task started."""
+    """A task started on a machine."""
 
     at: float
     machine: str
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskStopped:
-    """A task is on its machine no more; `done` if it has completed."""
+    """A task left its machine; `done` tells whether it had completed."""
 
     at: float
     machine: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateReported:
-    """A user was told a job's state, having asked at some time before."""
+    """A user received a job's state in response to a request that was sent at `requested_at`."""
 
     at: float
     job: str
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEnded:
-    """The history is over; these jobs were asked for and nobody knew them, or they never ended."""
+    """The history is complete; lists jobs that were not found, and jobs that reached no final state."""
 
     at: float
     unknown: tuple[str, ...]
