--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""The role's state machine, and what each role permits."""
+"""State machine of the leadership roles, and the permissions of each role."""
 
 import logging
 
@@ -11,8 +11,8 @@
 
 from .samples import platform
 
-# Every role change that is legal; the test tries all others too.
-LEGAL = {
+# All legal role transitions; the test also checks that every other one is rejected.
+LEGAL_TRANSITIONS = {
     (Role.FOLLOWER, Role.CAMPAIGNING),
     (Role.FOLLOWER, Role.PARTITIONED),
     (Role.PARTITIONED, Role.FOLLOWER),
@@ -28,12 +28,12 @@
 NOW = 1000.0
 
 
-def state(role: Role) -> LeadershipState:
-    """Return a state in this role at `NOW`, without a lease and without any contact."""
-    made = LeadershipState(platform(), Tuning(), lambda: NOW)
-    made.role = role
-    made.leader_fencing_token = made.fencing_token = 41
-    return made
+def state_in_role(role: Role) -> LeadershipState:
+    """Return the leadership state in this role at `NOW`, without a lease and without contact to peers or a leader."""
+    state = LeadershipState(platform(), Tuning(), lambda: NOW)
+    state.role = role
+    state.leader_fencing_token = state.fencing_token = 41
+    return state
 
 
 def test_role_values_match_the_wire_format() -> None:
@@ -41,23 +41,25 @@
     assert [role.value for role in Role] == values
 
 
-@pytest.mark.parametrize("to", Role)
+@pytest.mark.parametrize("target", Role)
 @pytest.mark.parametrize("role", Role)
-def test_only_legal_role_transitions_are_accepted(role: Role, to: Role) -> None:
-    machine = state(role)
-    if role is to or (role, to) in LEGAL:
-        machine.transition(to)
-        assert machine.role is to
+def test_only_legal_role_transitions_are_accepted(role: Role, target: Role) -> None:
+    leadership = state_in_role(role)
+    if role is target or (role, target) in LEGAL_TRANSITIONS:
+        leadership.transition(target)
+        assert leadership.role is target
         return
-    with pytest.raises(IllegalRoleTransitionError, match=f"term 41: .*{role.log_name} -> {to.log_name}$") as caught:
-        machine.transition(to)
+    with pytest.raises(
+        IllegalRoleTransitionError, match=f"term 41: .*{role.log_name} -> {target.log_name}$"
+    ) as caught:
+        leadership.transition(target)
     assert isinstance(caught.value, DriftcleatError)
-    assert machine.role is role
+    assert leadership.role is role
 
 
 def test_transition_to_partitioned_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.INFO):
-        state(Role.FOLLOWER).transition(Role.PARTITIONED)
+        state_in_role(Role.FOLLOWER).transition(Role.PARTITIONED)
     assert caplog.messages == [
         "term 41: role follower -> partitioned: keeping worker leases, sending no commands",
     ]
@@ -65,24 +67,26 @@
 
 @pytest.mark.parametrize("role", Role)
 def test_permissions_of_each_role_with_a_valid_lease(role: Role) -> None:
-    leading = role in (Role.RECOVERING, Role.LEADER, Role.UNCONFIRMED_LEADER)
-    held = state(role)
-    held.lease.record_grant(7, NOW)
-    assert held.is_leader is leading
-    assert held.may_decide is (role is Role.LEADER)
-    assert held.may_answer_heartbeats is leading
-    assert held.may_send_starts is leading
+    is_leading = role in (Role.RECOVERING, Role.LEADER, Role.UNCONFIRMED_LEADER)
+    leased = state_in_role(role)
+    leased.lease.record_grant(7, NOW)
+    assert leased.is_leader is is_leading
+    assert leased.may_decide is (role is Role.LEADER)
+    assert leased.may_answer_heartbeats is is_leading
+    assert leased.may_send_starts is is_leading
 
 
 @pytest.mark.parametrize("role", Role)
 def test_no_role_permits_anything_without_lease_and_confirmation(role: Role) -> None:
-    bare = state(role)
-    assert not bare.may_decide and not bare.may_answer_heartbeats and not bare.may_send_starts
-    assert bare.lease_keeping_token is None and not bare.may_become_partitioned
+    without_lease = state_in_role(role)
+    assert (
+        not without_lease.may_decide and not without_lease.may_answer_heartbeats and not without_lease.may_send_starts
+    )
+    assert without_lease.lease_keeping_token is None and not without_lease.may_become_partitioned
 
 
 def test_peer_confirmation_permits_starts_briefly_and_heartbeat_responses_longer() -> None:
-    leader = state(Role.UNCONFIRMED_LEADER)
+    leader = state_in_role(Role.UNCONFIRMED_LEADER)
     leader.peers_confirmed_at = NOW - leader.ttl_s * 0.39
     assert leader.may_send_starts and leader.may_answer_heartbeats and not leader.may_decide
     leader.peers_confirmed_at = NOW - leader.ttl_s * 0.41
@@ -92,7 +96,7 @@
 
 
 def test_partitioned_follower_keeps_leases_until_the_time_limit_or_a_higher_token() -> None:
-    follower = state(Role.FOLLOWER)
+    follower = state_in_role(Role.FOLLOWER)
     follower.record_leader_contact(PeerSurvey(leader_confirmed_at=NOW - 1.0, cancelled_jobs=frozenset({"req-1"})))
     assert follower.may_become_partitioned and follower.lease_keeping_token is None
     follower.transition(Role.PARTITIONED)
--- a/tests/test_share_checker.py
+++ b/tests/test_share_checker.py
@@ -1,4 +1,4 @@
-"""The checker of histories names each planted fault, and nothing else."""
+"""The history checker reports each injected violation, and no other."""
 
 from collections.abc import Sequence
 
@@ -23,8 +23,8 @@
 
 TEAMS = {"red": Team("red", 0.0, 0.0, 0.0, 4.0)}
 
-# A history in which nothing is wrong: two shares, one of them moves; a job runs, one is cancelled in time.
-GOOD: list[Event] = [
+# A history without violations: of two shards one moves; one job completes, another is cancelled and stops in time.
+VALID_HISTORY: list[Event] = [
     LeaderElected(0.0, 0, "a", 1),
     LeaderElected(0.1, 1, "b", 2),
     MachineAssigned(0.2, "m1", 0),
@@ -52,57 +52,57 @@
 ]
 
 
-def findings(history: Sequence[Event]) -> list[Violation]:
+def violations_in(history: Sequence[Event]) -> list[Violation]:
     checker = Checker(TEAMS, max_unanswered_s=3.0, cancel_s=4.0)
     for event in sorted(history, key=lambda event: event.at):
         checker.observe(event)
     return [finding.violation for finding in checker.findings]
 
 
-def without(*gone: Event) -> list[Event]:
-    return [event for event in GOOD if event not in gone]
+def valid_history_without(*removed: Event) -> list[Event]:
+    return [event for event in VALID_HISTORY if event not in removed]
 
 
 def test_valid_history_has_no_findings() -> None:
-    assert findings(GOOD) == []
-    # An answer that was under way when the user was told.
-    assert findings([*GOOD, StateReported(5.0, "j1", "running", 2, 4.7)]) == []
-    # A lease that ran out in a trouble is counted and not called broken: its tasks may start elsewhere.
-    again = [*GOOD, LeaseExpired(5.6, "m2"), TaskStopped(5.6, "m2", "j1", 1, False)]
-    assert findings(again) == []
+    assert violations_in(VALID_HISTORY) == []
+    # A response to a request that was sent before the user received the final state.
+    assert violations_in([*VALID_HISTORY, StateReported(5.0, "j1", "running", 2, 4.7)]) == []
+    # A lease that expires during a fault is counted but is no violation: its tasks may start elsewhere.
+    history_with_expiry = [*VALID_HISTORY, LeaseExpired(5.6, "m2"), TaskStopped(5.6, "m2", "j1", 1, False)]
+    assert violations_in(history_with_expiry) == []
 
 
 @pytest.mark.parametrize(
     ("history", "violation"),
     [
-        ([*GOOD, HeartbeatAnswered(5.1, "m2", 1)], Violation.TWO_OWNERS),
-        ([*GOOD, HeartbeatAnswered(5.1, "m2", 77)], Violation.TWO_OWNERS),
-        ([*GOOD, MachineAssigned(2.5, "m2", 0)], Violation.MOVED_MACHINE),
-        (without(HeartbeatAnswered(3.0, "m2", 9)), Violation.NO_OWNER),
-        ([*GOOD, TaskStarted(1.7, "m1", "j2", 0, "red", 0.0)], Violation.RAN_TWICE),
-        ([*GOOD, TaskStarted(1.7, "m1", "j3", 0, "red", 1.0)], Violation.QUOTA),
+        ([*VALID_HISTORY, HeartbeatAnswered(5.1, "m2", 1)], Violation.TWO_OWNERS),
+        ([*VALID_HISTORY, HeartbeatAnswered(5.1, "m2", 77)], Violation.TWO_OWNERS),
+        ([*VALID_HISTORY, MachineAssigned(2.5, "m2", 0)], Violation.MOVED_MACHINE),
+        (valid_history_without(HeartbeatAnswered(3.0, "m2", 9)), Violation.NO_OWNER),
+        ([*VALID_HISTORY, TaskStarted(1.7, "m1", "j2", 0, "red", 0.0)], Violation.RAN_TWICE),
+        ([*VALID_HISTORY, TaskStarted(1.7, "m1", "j3", 0, "red", 1.0)], Violation.QUOTA),
         (
-            [*GOOD, QuotaAllocated(2.0, "red", QuotaAllocation((Amount(0.0, 2.0), Amount(0.0, 2.5))))],
+            [*VALID_HISTORY, QuotaAllocated(2.0, "red", QuotaAllocation((Amount(0.0, 2.0), Amount(0.0, 2.5))))],
             Violation.OVER_ALLOCATED,
         ),
         (
-            [*without(TaskStopped(4.0, "m2", "j2", 0, False)), TaskStopped(7.2, "m2", "j2", 0, False)],
+            [*valid_history_without(TaskStopped(4.0, "m2", "j2", 0, False)), TaskStopped(7.2, "m2", "j2", 0, False)],
             Violation.RAN_CANCELLED,
         ),
-        ([*GOOD, TaskStarted(7.5, "m2", "j2", 0, "red", 1.0)], Violation.RAN_CANCELLED),
+        ([*VALID_HISTORY, TaskStarted(7.5, "m2", "j2", 0, "red", 1.0)], Violation.RAN_CANCELLED),
         (
-            [*without(TaskStopped(4.6, "m2", "j1", 1, True)), TaskStopped(4.6, "m2", "j1", 1, False)],
+            [*valid_history_without(TaskStopped(4.6, "m2", "j1", 1, True)), TaskStopped(4.6, "m2", "j1", 1, False)],
             Violation.NOT_DONE,
         ),
-        ([*GOOD, StateReported(6.0, "j1", "running", 2, 6.0)], Violation.WENT_BACK),
-        ([*GOOD, StateReported(6.0, "j2", "done", 1, 6.0)], Violation.WENT_BACK),
-        ([*without(GOOD[-1]), HistoryEnded(7.0, ("j1",), ())], Violation.FORGOTTEN),
-        ([*without(GOOD[-1]), HistoryEnded(7.0, (), ("j1",))], Violation.FORGOTTEN),
+        ([*VALID_HISTORY, StateReported(6.0, "j1", "running", 2, 6.0)], Violation.WENT_BACK),
+        ([*VALID_HISTORY, StateReported(6.0, "j2", "done", 1, 6.0)], Violation.WENT_BACK),
+        ([*valid_history_without(VALID_HISTORY[-1]), HistoryEnded(7.0, ("j1",), ())], Violation.FORGOTTEN),
+        ([*valid_history_without(VALID_HISTORY[-1]), HistoryEnded(7.0, (), ("j1",))], Violation.FORGOTTEN),
     ],
 )
 def test_each_injected_violation_is_found_and_no_other(history: list[Event], violation: Violation) -> None:
-    found = findings(history)
-    # A final state that changes to another may be wrong in itself as well.
+    found = violations_in(history)
+    # A change from one final state to "done" also violates NOT_DONE.
     assert set(found) == {violation} or (
         violation is Violation.WENT_BACK and set(found) == {violation, Violation.NOT_DONE}
     )
@@ -110,8 +110,8 @@
 
 def test_cancelled_task_that_never_stops_is_found_at_the_end() -> None:
     history = [
-        *without(TaskStopped(4.0, "m2", "j2", 0, False), GOOD[-1]),
+        *valid_history_without(TaskStopped(4.0, "m2", "j2", 0, False), VALID_HISTORY[-1]),
         HeartbeatAnswered(7.0, "m2", 9),
         HistoryEnded(8.0, (), ()),
     ]
-    assert findings(history) == [Violation.RAN_CANCELLED]
+    assert violations_in(history) == [Violation.RAN_CANCELLED]
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Shared machines on the simulated site: each hard case brought about at the moment where it hurts."""
+"""Simulated scenarios of sharing: shard moves, jobs and machines of several shards, and enabling sharing."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -27,70 +27,70 @@
 Scenario = Callable[[ShardedSimulation], Awaitable[None]]
 
 
-def run_scenario(scenario: Scenario, seed: int = 5, shares: int = 3, balance: float = 0.0) -> ShardedSimulation:
-    """Play a story once every share is led; in the end everything settles down."""
-    simulation = ShardedSimulation(seed, shares, balance)
+def run_scenario(scenario: Scenario, seed: int = 5, shard_count: int = 3, balance: float = 0.0) -> ShardedSimulation:
+    """Run a scenario once every shard has a leader; verify recovery at its end and return the simulation."""
+    simulation = ShardedSimulation(seed, shard_count, balance)
 
-    async def inside(_: Simulation) -> None:
+    async def run_with_recovery(_: Simulation) -> None:
         await simulation.wait_until_ready()
         await scenario(simulation)
         await simulation.verify_recovery()
 
-    simulation.run_scenario(inside)
+    simulation.run_scenario(run_with_recovery)
     return simulation
 
 
-def others(label: str | None) -> list[str]:
+def other_labels(label: str | None) -> list[str]:
     return [other for other in LABELS if other != label]
 
 
-async def on_share(simulation: ShardedSimulation, share: int, number: int, **changes: Any) -> str:
-    """Hand a job in whose claim names this share, and wait until it is accepted."""
+async def submit_to_shard(simulation: ShardedSimulation, shard: int, number: int, **changes: Any) -> str:
+    """Register a job in this shard, submit it, wait until it is accepted, and return its id."""
     job_id = f"req-{number:06d}"
     host = simulation.controllers[str(simulation.leader_label())]
-    assert await host.job_directory.register(job_id, share) == share
+    assert await host.job_directory.register(job_id, shard) == shard
     await simulation.submit_until_accepted(raw_job(number, **changes))
     assert job_id in simulation.statuses
     return job_id
 
 
-async def moved(simulation: ShardedSimulation, share: int, receiver: str) -> None:
-    """Have a share moved, and wait until it is led there."""
-    assert (await simulation.request_move(share, receiver))[0] == 200
-    await simulation.run_until(lambda: simulation.shard_leader(share) == receiver, 30.0)
+async def move_shard(simulation: ShardedSimulation, shard: int, target: str) -> None:
+    """Request a move of a shard, and wait until the target leads it."""
+    assert (await simulation.request_move(shard, target))[0] == 200
+    await simulation.run_until(lambda: simulation.shard_leader(shard) == target, 30.0)
 
 
-def sessions(simulation: ShardedSimulation) -> dict[str, int]:
+def worker_epochs(simulation: ShardedSimulation) -> dict[str, int]:
     return {worker.name: worker.worker_epoch for worker in simulation.alive()}
 
 
-def running(simulation: ShardedSimulation) -> set[tuple[str, str, int]]:
+def running_tasks(simulation: ShardedSimulation) -> set[tuple[str, str, int]]:
     return {(worker.name, task.job.id, task.index) for worker, task in simulation.tasks_on_machines()}
 
 
-# -- moves ------------------------------------------------------------------------------------------------
+# Moves
 
 
 def test_moving_a_shard_with_a_partly_placed_gang_stops_no_task() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        await on_share(simulation, 1, 1, rig="daemon", hands=2, voyageS=0.0)
-        await on_share(simulation, 1, 2, hands=2, voyageS=60.0)
+        await submit_to_shard(simulation, 1, 1, rig="daemon", hands=2, voyageS=0.0)
+        await submit_to_shard(simulation, 1, 2, hands=2, voyageS=60.0)
         await simulation.run_until(lambda: len(simulation.tasks_on_machines()) == 4)
-        await on_share(simulation, 1, 3, rig="group", hands=2, crew="blue", imageGb=8.0, hull="img-9")
-        # Its tasks fetch their image and wait for one another.
+        await submit_to_shard(simulation, 1, 3, rig="group", hands=2, crew="blue", imageGb=8.0, hull="img-9")
+        # The tasks of the gang fetch their image and wait for each other.
         await simulation.run_until(
             lambda: any(task.job.id == "req-000003" for _, task in simulation.tasks_on_machines())
         )
         before, started = (
-            sessions(simulation),
+            worker_epochs(simulation),
             {(worker.name, task.job.id, task.index) for worker, task in simulation.tasks_on_machines()},
         )
         for _ in range(4):
-            await moved(simulation, 1, others(simulation.shard_leader(1))[0])
+            await move_shard(simulation, 1, other_labels(simulation.shard_leader(1))[0])
             await simulation.advance(2.0)
-        assert started <= running(simulation)
+        assert started <= running_tasks(simulation)
         await simulation.advance(10.0)
-        assert sessions(simulation).items() >= before.items(), "no lease ran out"
+        assert worker_epochs(simulation).items() >= before.items(), "no worker lease expired"
 
     run_scenario(scenario)
 
@@ -98,10 +98,10 @@
 def test_job_states_do_not_go_back_while_shards_move() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         for number in range(1, 7):
-            await on_share(simulation, 1 + number % 2, number, hands=1, voyageS=5.0)
+            await submit_to_shard(simulation, 1 + number % 2, number, hands=1, voyageS=5.0)
         for number in range(1, 7):
-            share = 1 + number % 2
-            simulation.spawn(simulation.request_move(share, others(simulation.shard_leader(share))[number % 2]))
+            shard = 1 + number % 2
+            simulation.spawn(simulation.request_move(shard, other_labels(simulation.shard_leader(shard))[number % 2]))
             if number % 3 == 0:
                 simulation.cancel_until_confirmed(f"req-{number:06d}")
             for _ in range(20):
@@ -114,20 +114,20 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("who", ["giver", "receiver", "coordinator", "giver and receiver", "all"])
-@pytest.mark.parametrize("after_s", [0.0, 0.006, 0.012, 0.03, 0.2])
-def test_shard_is_led_again_after_a_crash_during_its_move(who: str, after_s: float) -> None:
+@pytest.mark.parametrize("crashed", ["source", "target", "coordinator", "source and target", "all"])
+@pytest.mark.parametrize("crash_delay_s", [0.0, 0.006, 0.012, 0.03, 0.2])
+def test_shard_is_led_again_after_a_crash_during_its_move(crashed: str, crash_delay_s: float) -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        await on_share(simulation, 1, 1, hands=2, voyageS=20.0)
+        await submit_to_shard(simulation, 1, 1, hands=2, voyageS=20.0)
         await simulation.run_until(simulation.tasks_on_machines)
-        giver, coordinator = str(simulation.shard_leader(1)), str(simulation.leader_label())
-        receiver = others(giver)[0]
-        assert (await simulation.request_move(1, receiver))[0] == 200
-        await simulation.advance(after_s)
-        names = {"giver": [giver], "receiver": [receiver], "coordinator": [coordinator], "all": list(LABELS)}
-        simulation.crash(*dict.fromkeys(names.get(who, [giver, receiver])))
+        source, coordinator = str(simulation.shard_leader(1)), str(simulation.leader_label())
+        target = other_labels(source)[0]
+        assert (await simulation.request_move(1, target))[0] == 200
+        await simulation.advance(crash_delay_s)
+        labels = {"source": [source], "target": [target], "coordinator": [coordinator], "all": list(LABELS)}
+        simulation.crash(*dict.fromkeys(labels.get(crashed, [source, target])))
         await simulation.advance(6.0)
-        if who != "all" and len(simulation.processes) > 1:
+        if crashed != "all" and len(simulation.processes) > 1:
             assert simulation.shard_leader(1) in simulation.processes
         simulation.heal()
         await simulation.wait_until_ready()
@@ -137,64 +137,71 @@
 
 def test_move_completes_if_the_target_gets_no_responses_to_its_transactions() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        receiver = others(simulation.shard_leader(1))[0]
-        if receiver == simulation.leader_label():
-            receiver = others(simulation.shard_leader(1))[1]
-        simulation.lost_responses.add(receiver)
-        assert (await simulation.request_move(1, receiver))[0] == 200
-        await simulation.run_until(lambda: simulation.shard_leader(1) == receiver, 30.0)
+        target = other_labels(simulation.shard_leader(1))[0]
+        if target == simulation.leader_label():
+            target = other_labels(simulation.shard_leader(1))[1]
+        simulation.lost_responses.add(target)
+        assert (await simulation.request_move(1, target))[0] == 200
+        await simulation.run_until(lambda: simulation.shard_leader(1) == target, 30.0)
         simulation.lost_responses.clear()
-        assert simulation.assignment()[1][1] == receiver and not simulation.assignment()[2]
+        assert simulation.assignment()[1][1] == target and not simulation.assignment()[2]
 
     run_scenario(scenario)
 
 
 def test_source_makes_no_decisions_after_release_and_campaigns_again_if_no_target_acquires() -> None:
-    """Guards against a giver that trusts its lease, which goes on while the key is another's."""
+    """Guards against a source that relies on its lease, which stays valid after the leader key has changed hands."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
-        giver = str(simulation.shard_leader(1))
-        engine = simulation.controllers[giver].engines[1]
-        election, token = engine.shard_election, engine.election.fencing_token
-        assert election.release() == token and election.release() == token
+        source = str(simulation.shard_leader(1))
+        engine = simulation.controllers[source].engines[1]
+        election, fencing_token = engine.shard_election, engine.election.fencing_token
+        assert election.release() == fencing_token and election.release() == fencing_token
         assert (
             not election.may_decide and not election.may_send_starts and engine.active_term.deciding_scheduler is None
         )
-        assert election.may_answer_heartbeats, "leases are kept"
-        assert simulation.controllers[giver].handoffs.state(1) is HandoffState.RELEASING
-        # The process renews its lease for its other shares, or for this one: that gives nothing back.
+        assert election.may_answer_heartbeats, "worker leases are kept alive"
+        assert simulation.controllers[source].handoffs.state(1) is HandoffState.RELEASING
+        # Keeping the lease of the process alive, for this or another shard, does not restore the right to decide.
         await engine.election.leader_loop.keep_alive()
         assert not election.may_decide and not election.lease.is_valid(simulation.time())
-        held = simulation.store.data[leader_key(1)][1]
-        await simulation.run_until(lambda: simulation.shard_leader(1) == giver, 30.0)
-        assert engine.election.fencing_token > token and simulation.store.data[leader_key(1)][1] > held
-        # A transaction of the receiver that comes late finds another version.
-        assert simulation.controllers[giver].handoffs.state(1) is HandoffState.OWNED
+        held_revision = simulation.store.data[leader_key(1)][1]
+        await simulation.run_until(lambda: simulation.shard_leader(1) == source, 30.0)
+        assert (
+            engine.election.fencing_token > fencing_token and simulation.store.data[leader_key(1)][1] > held_revision
+        )
+        # The leader key has a new mod revision, so that a late transaction of the target fails its compare.
+        assert simulation.controllers[source].handoffs.state(1) is HandoffState.OWNED
 
     run_scenario(scenario)
 
 
 def test_target_with_an_outdated_assignment_does_not_complete_a_dropped_move() -> None:
-    """Guards against an assignment of before that is written over a newer one."""
+    """Guards against a target that overwrites a newer assignment with one based on an outdated replica."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
-        giver = str(simulation.shard_leader(1))
-        receiver = next(label for label in others(giver) if label != simulation.leader_label())
-        host = simulation.controllers[receiver]
-        simulation.partition(receiver)
-        assert (await simulation.request_move(1, receiver))[0] == 200 or simulation.leader_label() is None
+        source = str(simulation.shard_leader(1))
+        target = next(label for label in other_labels(source) if label != simulation.leader_label())
+        host = simulation.controllers[target]
+        simulation.partition(target)
+        assert (await simulation.request_move(1, target))[0] == 200 or simulation.leader_label() is None
         await simulation.run_until(lambda: host.view.assignment is not None and host.view.assignment.moves, 5.0)
-        # From here on its replica is not kept up to date; the coordinator drops the move.
+        # From here on the replica of the target is not updated; the move is dropped from the stored assignment.
         host.view._apply = lambda *_: None  # type: ignore[method-assign]
-        dropped = [simulation.assignment()[0], simulation.assignment()[1], [], *simulation.assignment()[3:]]
-        simulation.overwrite_key(ASSIGNMENT_KEY, dropped)
+        assignment_without_move = [
+            simulation.assignment()[0],
+            simulation.assignment()[1],
+            [],
+            *simulation.assignment()[3:],
+        ]
+        simulation.overwrite_key(ASSIGNMENT_KEY, assignment_without_move)
         await simulation.advance(0.5)
-        version = simulation.controllers[giver].engines[1].shard_election.release()
-        assert version is not None
-        host.engines[1].shard_election.acquire(version)
+        mod_revision = simulation.controllers[source].engines[1].shard_election.release()
+        assert mod_revision is not None
+        host.engines[1].shard_election.acquire(mod_revision)
         await simulation.advance(0.5)
-        assert simulation.shard_leader(1) != receiver and simulation.assignment() == dropped
-        await simulation.run_until(lambda: simulation.shard_leader(1) == giver, 30.0)
+        assert simulation.shard_leader(1) != target and simulation.assignment() == assignment_without_move
+        await simulation.run_until(lambda: simulation.shard_leader(1) == source, 30.0)
 
     run_scenario(scenario)
 
@@ -203,7 +210,7 @@
     async def scenario(simulation: ShardedSimulation) -> None:
         first, second = str(simulation.shard_leader(1)), str(simulation.shard_leader(2))
         if first == second:
-            await moved(simulation, 2, others(first)[0])
+            await move_shard(simulation, 2, other_labels(first)[0])
             second = str(simulation.shard_leader(2))
         assert (await simulation.request_move(1, second))[0] == (await simulation.request_move(2, first))[0] == 200
         await simulation.run_until(
@@ -216,10 +223,12 @@
 def test_one_controller_can_lead_every_shard() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         for number in range(1, 4):
-            await on_share(simulation, number - 1, number, hands=1)
-        last = str(simulation.leader_label())
-        simulation.crash(*others(last))
-        await simulation.run_until(lambda: all(simulation.shard_leader(share) == last for share in range(3)), 60.0)
+            await submit_to_shard(simulation, number - 1, number, hands=1)
+        survivor = str(simulation.leader_label())
+        simulation.crash(*other_labels(survivor))
+        await simulation.run_until(
+            lambda: all(simulation.shard_leader(shard) == survivor for shard in range(3)), 60.0
+        )
         await simulation.run_until(
             lambda: set(simulation.started_jobs) == {"req-000001", "req-000002", "req-000003"}, 90.0
         )
@@ -229,12 +238,12 @@
 
 def test_isolated_source_starts_no_cancelled_tasks_after_the_shard_fails_over() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        await on_share(simulation, 1, 1, hands=2, voyageS=200.0)
+        await submit_to_shard(simulation, 1, 1, hands=2, voyageS=200.0)
         await simulation.run_until(simulation.tasks_on_machines)
-        giver = str(simulation.shard_leader(1))
-        simulation.isolate(giver)
-        simulation.partitioned_from["users"].add(giver)
-        await simulation.run_until(lambda: simulation.shard_leader(1) not in (giver, None), 90.0)
+        source = str(simulation.shard_leader(1))
+        simulation.isolate(source)
+        simulation.partitioned_from["users"].add(source)
+        await simulation.run_until(lambda: simulation.shard_leader(1) not in (source, None), 90.0)
         simulation.cancel_until_confirmed("req-000001")
         await simulation.advance(5.0)
         simulation.heal()
@@ -246,30 +255,30 @@
 
 def test_release_requests_of_finished_or_unknown_moves_are_rejected() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        giver = str(simulation.shard_leader(1))
-        receiver, third = others(giver)
-        await moved(simulation, 1, receiver)
-        await moved(simulation, 1, giver)
-        handoffs = simulation.controllers[giver].handoffs
-        for stray in (
-            ReleaseRequest(1, receiver, 1),
+        source = str(simulation.shard_leader(1))
+        target, third = other_labels(source)
+        await move_shard(simulation, 1, target)
+        await move_shard(simulation, 1, source)
+        handoffs = simulation.controllers[source].handoffs
+        for stale_request in (
+            ReleaseRequest(1, target, 1),
             ReleaseRequest(1, third, 3),
-            ReleaseRequest(2, receiver, 2),
-            ReleaseRequest(7, receiver, 1),
+            ReleaseRequest(2, target, 2),
+            ReleaseRequest(7, target, 1),
         ):
-            answer = await handoffs.release(stray)
-            assert isinstance(answer, ReleaseResponse) and answer.mod_revision is None and answer.reason
-        assert simulation.shard_leader(1) == giver
-        # Nor does a message of another controller, or of another move, count for the one under way.
-        simulation.partition(receiver)
-        assert (await simulation.request_move(1, receiver))[0] == 200 or simulation.leader_label() == receiver
-        if simulation.leader_label() != receiver:
+            response = await handoffs.release(stale_request)
+            assert isinstance(response, ReleaseResponse) and response.mod_revision is None and response.reason
+        assert simulation.shard_leader(1) == source
+        # A request of another controller or with another move number is rejected while a move is in progress.
+        simulation.partition(target)
+        assert (await simulation.request_move(1, target))[0] == 200 or simulation.leader_label() == target
+        if simulation.leader_label() != target:
             await simulation.advance(0.1)
-            move = simulation.controllers[giver].view.assignment.move_of(1)  # type: ignore[union-attr]
+            move = simulation.controllers[source].view.assignment.move_of(1)  # type: ignore[union-attr]
             assert move is not None
-            for stray in (ReleaseRequest(1, third, move.number), ReleaseRequest(1, receiver, move.number - 1)):
-                answer = await handoffs.release(stray)
-                assert isinstance(answer, ReleaseResponse) and answer.mod_revision is None
+            for stale_request in (ReleaseRequest(1, third, move.number), ReleaseRequest(1, target, move.number - 1)):
+                response = await handoffs.release(stale_request)
+                assert isinstance(response, ReleaseResponse) and response.mod_revision is None
 
     run_scenario(scenario)
 
@@ -277,42 +286,42 @@
 def test_invalid_operator_requests_are_rejected_with_a_reason() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
         owner = str(simulation.shard_leader(1))
-        for share, receiver, why in (
+        for shard, target, reason in (
             (0, "a", "coordinator"),
             (8, "a", "no share 8"),
             (1, "x", "unknown"),
             (1, owner, "owns"),
         ):
-            status, answer = await simulation.request_move(share, receiver)
-            assert status == 409 and why in answer["error"], (share, receiver)
+            status, response = await simulation.request_move(shard, target)
+            assert status == 409 and reason in response["error"], (shard, target)
         host = simulation.controllers[owner]
         for path, body in (("/sharing", b"{}"), ("/sharing", b'["let-go",1]'), ("/shares/move", b"[1]")):
             assert (await host.handle_back("POST", path, body)).status == 400
         assert host.operators.malformed == 3
         for path in ("/peer/9", "/peer/x", "/peer/"):
             assert (await host.handle_back("POST", path, b"")).status == 404
-        shown = json.loads((await host.handle_back("GET", "/shares", b"")).body)
-        assert [row["share"] for row in shown["shares"]] == [0, 1, 2] and shown["begun"]
+        response_body = json.loads((await host.handle_back("GET", "/shares", b"")).body)
+        assert [row["share"] for row in response_body["shares"]] == [0, 1, 2] and response_body["begun"]
 
     run_scenario(scenario)
 
 
 def test_invalid_stored_assignment_is_rejected_and_the_previous_one_stays_in_force() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        before = [simulation.shard_leader(share) for share in range(3)]
+        before = [simulation.shard_leader(shard) for shard in range(3)]
         stored = simulation.store.data[ASSIGNMENT_KEY]
-        for broken in (
+        for invalid in (
             [1, ["", "a", "x"]],
             [1, ["", "b"], [[1, "b", 1]]],
             {"owners": 3},
             [1, ["", "b", "c"], [[9, "a", 1]]],
         ):
             simulation.store.revision += 1
-            simulation.store.data[ASSIGNMENT_KEY] = (broken, simulation.store.revision)
-            entry = {"put": ASSIGNMENT_KEY, "v": broken, "entry": simulation.store.revision}
+            simulation.store.data[ASSIGNMENT_KEY] = (invalid, simulation.store.revision)
+            entry = {"put": ASSIGNMENT_KEY, "v": invalid, "entry": simulation.store.revision}
             simulation.store_double.log.append(entry)  # type: ignore[attr-defined]
             await simulation.advance(4.0)
-            assert [simulation.shard_leader(share) for share in range(3)] == before
+            assert [simulation.shard_leader(shard) for shard in range(3)] == before
             assert all(simulation.controllers[label].view.refusal for label in LABELS)
         simulation.overwrite_key(ASSIGNMENT_KEY, stored[0])
         await simulation.advance(2.0)
@@ -321,17 +330,17 @@
     run_scenario(scenario)
 
 
-# -- jobs -------------------------------------------------------------------------------------------------
+# Jobs
 
 
 def test_job_waits_for_a_dependency_in_another_shard() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        first = await on_share(simulation, 1, 1, hands=1, voyageS=20.0)
-        await on_share(simulation, 2, 2, hands=1, voyageS=5.0, tows=[first])
+        first = await submit_to_shard(simulation, 1, 1, hands=1, voyageS=20.0)
+        await submit_to_shard(simulation, 2, 2, hands=1, voyageS=5.0, tows=[first])
         await simulation.advance(5.0)
         assert simulation.statuses == {"req-000001": "pending", "req-000002": "pending"}
-        # The share that waits moves meanwhile.
-        await moved(simulation, 2, others(simulation.shard_leader(2))[0])
+        # The shard of the waiting job moves meanwhile.
+        await move_shard(simulation, 2, other_labels(simulation.shard_leader(2))[0])
         await simulation.run_until(lambda: "req-000002" in simulation.started_jobs, 120.0)
 
     simulation = run_scenario(scenario)
@@ -340,16 +349,16 @@
 
 def test_cancellation_reaches_dependents_in_other_shards_and_survives_a_move() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        first = await on_share(simulation, 1, 1, hands=1, voyageS=200.0)
-        second = await on_share(simulation, 2, 2, hands=1, tows=[first])
-        third = await on_share(simulation, 0, 3, hands=1, tows=[second])
+        first = await submit_to_shard(simulation, 1, 1, hands=1, voyageS=200.0)
+        second = await submit_to_shard(simulation, 2, 2, hands=1, tows=[first])
+        third = await submit_to_shard(simulation, 0, 3, hands=1, tows=[second])
         await simulation.run_until(simulation.tasks_on_machines)
         await simulation.cancel_until_confirmed(first)
         for _ in range(10):
             for label in LABELS:
                 await simulation.poll(second, label)
                 await simulation.poll(third, label)
-            simulation.spawn(simulation.request_move(2, others(simulation.shard_leader(2))[0]))
+            simulation.spawn(simulation.request_move(2, other_labels(simulation.shard_leader(2))[0]))
             await simulation.advance(1.0)
         await simulation.run_until(
             lambda: simulation.statuses[third] == "cancelled" or simulation.spawn(simulation.poll(third)) is None,
@@ -361,14 +370,14 @@
 
 
 def test_new_leader_knows_of_a_cancelled_dependency_in_another_shard() -> None:
-    """Guards against a user who was told of a cancellation by the leader before, and then of a job that waits."""
+    """Guards against a job that a former leader reported as cancelled and a new leader reports as pending."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
-        first = await on_share(simulation, 1, 1, hands=1, voyageS=200.0)
-        second = await on_share(simulation, 2, 2, hands=1, tows=[first])
+        first = await submit_to_shard(simulation, 1, 1, hands=1, voyageS=200.0)
+        second = await submit_to_shard(simulation, 2, 2, hands=1, tows=[first])
         await simulation.run_until(simulation.tasks_on_machines)
         if simulation.shard_leader(1) == simulation.shard_leader(2):
-            await moved(simulation, 2, others(simulation.shard_leader(1))[0])
+            await move_shard(simulation, 2, other_labels(simulation.shard_leader(1))[0])
         await simulation.cancel_until_confirmed(first)
         simulation.crash(str(simulation.shard_leader(2)))
         await simulation.run_until(lambda: simulation.shard_leader(2), 30.0)
@@ -380,9 +389,9 @@
 
 def test_only_the_leader_evaluates_dependencies_in_another_shard() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        first = await on_share(simulation, 1, 1, hands=1, voyageS=30.0)
-        second = await on_share(simulation, 2, 2, hands=1, tows=[first])
-        follower = simulation.controllers[others(simulation.shard_leader(2))[0]].engines[2]
+        first = await submit_to_shard(simulation, 1, 1, hands=1, voyageS=30.0)
+        second = await submit_to_shard(simulation, 2, 2, hands=1, tows=[first])
+        follower = simulation.controllers[other_labels(simulation.shard_leader(2))[0]].engines[2]
         with pytest.raises(StoreUnavailableError):
             await follower.users.dependencies.has_cancelled_dependency(simulation.specs[second])
 
@@ -394,11 +403,11 @@
         host = simulation.controllers[str(simulation.leader_label())]
         await host.job_directory.register("req-000009", 1)
         await host.job_directory.register("req-000002", 2)
-        # The share's leader has asked the cloud for its machine types.
+        # By then the leader of the shard has fetched the machine types from the cloud.
         await simulation.advance(3.0)
         status, _ = await simulation.request("POST", "/v1/jobs", raw_job(2, tows=["req-000009"]))
         assert status == 422
-        # A claim alone is no job.
+        # A job directory entry alone is not an accepted job.
         assert (await simulation.request("GET", "/v1/jobs/req-000009"))[0] == 404
         assert (await simulation.request("GET", "/v1/jobs/req-000077"))[0] == 404
 
@@ -413,28 +422,30 @@
         await simulation.advance(10.0)
         for number in range(1, 7):
             job_id = f"req-{number:06d}"
-            homes = [share for share in range(3) if shard_key(share, JOBS_PREFIX + job_id) in simulation.store.data]
-            assert homes == [simulation.store.data[JOB_DIRECTORY_PREFIX + job_id][0]]
+            home_shards = [
+                shard for shard in range(3) if shard_key(shard, JOBS_PREFIX + job_id) in simulation.store.data
+            ]
+            assert home_shards == [simulation.store.data[JOB_DIRECTORY_PREFIX + job_id][0]]
 
     run_scenario(scenario)
 
 
 def test_gang_larger_than_its_shards_quota_allocation_is_started() -> None:
-    """Team blue may use six accelerators; every share has two of them while all want more."""
+    """Guards against starvation: team blue has 6 accelerators; each of 3 shards gets 2 while all need more."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
         for number in range(1, 4):
-            await on_share(simulation, number % 3, number, crew="blue", hands=30, voyageS=5.0, imageGb=0.0)
+            await submit_to_shard(simulation, number % 3, number, crew="blue", hands=30, voyageS=5.0, imageGb=0.0)
         await simulation.advance(10.0)
-        large = await on_share(
+        large_gang = await submit_to_shard(
             simulation, 1, 10, crew="blue", rig="group", hands=6, voyageS=5.0, imageGb=0.0, rank="high"
         )
-        await simulation.run_until(lambda: large in simulation.started_jobs, 240.0)
+        await simulation.run_until(lambda: large_gang in simulation.started_jobs, 240.0)
 
     run_scenario(scenario)
 
 
-# -- machines ---------------------------------------------------------------------------------------------
+# Machines
 
 
 def test_machine_belongs_only_to_the_shard_that_registers_it_first() -> None:
@@ -455,21 +466,21 @@
 
 
 def test_heartbeats_of_an_unregistered_machine_are_not_accepted() -> None:
-    """Guards against a machine in two shares' pictures: whoever saw it first is not who rented it."""
+    """Guards against a machine in the cluster state of two shards, if the first to see it did not create it."""
 
     async def scenario(simulation: ShardedSimulation) -> None:
         host = simulation.controllers[str(simulation.leader_label())]
         body = wire.encode({"bollard": "vm-900001", "addr": "x:1", "build": "big", "harbor": "north"})
         assert (await host.handle_front("POST", "/agent/beat", body)).status == 503
         assert (await host.handle_front("POST", "/agent/beat", b'{"bollard":1}')).status == 400
-        # Another controller registers it: this one's replica may not know of it yet.
-        other = simulation.controllers[others(simulation.leader_label())[0]]
+        # Another controller registers the machine; the replica of this one may not contain it yet.
+        other = simulation.controllers[other_labels(simulation.leader_label())[0]]
         await other.registry.register(["vm-900001"], 1)
         host.view.machines.pop("vm-900001", None)
-        report = {"bollard": "vm-900001", "addr": "x:1", "build": "big", "harbor": "north", "driftwood": False}
-        body = wire.encode(report | {"watch": 1, "knot": 1, "helm": 0, "hands": []})
-        answer = await host.handle_front("POST", "/agent/beat", body)
-        assert answer.status in (200, 421) and host.view.shard_of("vm-900001") == 1
+        heartbeat = {"bollard": "vm-900001", "addr": "x:1", "build": "big", "harbor": "north", "driftwood": False}
+        body = wire.encode(heartbeat | {"watch": 1, "knot": 1, "helm": 0, "hands": []})
+        response = await host.handle_front("POST", "/agent/beat", body)
+        assert response.status in (200, 421) and host.view.shard_of("vm-900001") == 1
         assert all(
             "vm-900001" not in engine.scheduler.cluster.machines
             for engine in host.engines.values()
@@ -479,18 +490,18 @@
     run_scenario(scenario)
 
 
-# -- switching on -----------------------------------------------------------------------------------------
+# Enabling sharing, and several shards
 
 
-class GrowingSimulation(ShardedSimulation):
-    """Controllers without sharing at first, and again as long as they are named in `plain`."""
+class SharingRolloutSimulation(ShardedSimulation):
+    """Simulation that runs the controllers in `unsharded` without sharing, at first all of them."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.plain = set(LABELS)
+        self.unsharded = set(LABELS)
 
     def start(self, label: str) -> None:
-        if label in self.plain:
+        if label in self.unsharded:
             Simulation.start(self, label)
         else:
             super().start(label)
@@ -502,9 +513,9 @@
             )
 
     def is_up(self, label: str) -> bool:
-        return Simulation.is_up(self, label) if self._is_plain(label) else super().is_up(label)
+        return Simulation.is_up(self, label) if self._is_unsharded(label) else super().is_up(label)
 
-    def _is_plain(self, label: str) -> bool:
+    def _is_unsharded(self, label: str) -> bool:
         return isinstance(self.controllers[label], SimulatedController)
 
     def leader_label(self) -> str | None:
@@ -513,15 +524,15 @@
             None,
         )
 
-    def shard_leader(self, share: int) -> str | None:
+    def shard_leader(self, shard: int) -> str | None:
         hosts = [
             label for label in sorted(self.processes) if not isinstance(self.controllers[label], SimulatedController)
         ]
-        return next((label for label in hosts if self.controllers[label].leads(share)), None)
+        return next((label for label in hosts if self.controllers[label].leads(shard)), None)
 
 
 def test_enabling_sharing_keeps_jobs_and_waits_until_every_controller_has_it_enabled() -> None:
-    simulation = GrowingSimulation(7)
+    simulation = SharingRolloutSimulation(7)
 
     async def scenario(_: Simulation) -> None:
         simulation.submit_until_accepted(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
@@ -529,19 +540,19 @@
         await simulation.run_until(lambda: len(simulation.tasks_on_machines()) >= 2)
         await simulation.run_until(lambda: "req-000002" in simulation.started_jobs)
         await simulation.advance(20.0)
-        before = running(simulation)
+        before = running_tasks(simulation)
         for label in ("c", "b"):
-            simulation.plain.discard(label)
+            simulation.unsharded.discard(label)
             simulation.crash(label)
             simulation.start(label)
             await simulation.advance(8.0)
-            assert ASSIGNMENT_KEY not in simulation.store.data, "a controller without sharing serves"
-        simulation.plain.clear()
+            assert ASSIGNMENT_KEY not in simulation.store.data, "a controller without sharing is serving"
+        simulation.unsharded.clear()
         simulation.crash("a")
         simulation.start("a")
         await simulation.run_until(simulation.all_shards_led, 60.0)
-        assert before <= running(simulation)
-        # What was before is known: repeated, asked for and needed.
+        assert before <= running_tasks(simulation)
+        # Earlier jobs are known: repeated submissions, requests for their state and dependencies on them succeed.
         for number in (1, 2):
             assert (await simulation.request("POST", "/v1/jobs", raw_job(number, hands=1)))[0] == 200
             assert await simulation.poll(f"req-{number:06d}") == 200
@@ -560,31 +571,31 @@
 
 
 def test_lease_requests_do_not_grow_with_the_number_of_shards() -> None:
-    asked: dict[int, int] = {}
-    for shares in (2, 8):
+    lease_requests: dict[int, int] = {}
+    for shard_count in (2, 8):
 
-        async def scenario(simulation: ShardedSimulation, shares: int = shares) -> None:
-            for share in range(1, shares):
-                if simulation.shard_leader(share) != "a":
-                    await moved(simulation, share, "a")
+        async def scenario(simulation: ShardedSimulation, shard_count: int = shard_count) -> None:
+            for shard in range(1, shard_count):
+                if simulation.shard_leader(shard) != "a":
+                    await move_shard(simulation, shard, "a")
             lease = simulation.controllers["a"].process_lease
             before = lease.requests
             await simulation.advance(30.0)
-            asked[shares] = lease.requests - before
+            lease_requests[shard_count] = lease.requests - before
 
-        run_scenario(scenario, shares=shares)
-    assert asked[8] <= asked[2] * 1.5
+        run_scenario(scenario, shard_count=shard_count)
+    assert lease_requests[8] <= lease_requests[2] * 1.5
 
 
 def test_unbalanced_shards_are_rebalanced_automatically() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        for share in (1, 2):
-            if simulation.shard_leader(share) != "a":
-                await moved(simulation, share, "a")
+        for shard in (1, 2):
+            if simulation.shard_leader(shard) != "a":
+                await move_shard(simulation, shard, "a")
         for number in range(1, 5):
-            await on_share(simulation, 1 + number % 2, number, rig="daemon", hands=2, voyageS=0.0)
+            await submit_to_shard(simulation, 1 + number % 2, number, rig="daemon", hands=2, voyageS=0.0)
         await simulation.run_until(
-            lambda: len({simulation.shard_leader(share) for share in (1, 2)} - {None}) == 2, 200.0
+            lambda: len({simulation.shard_leader(shard) for shard in (1, 2)} - {None}) == 2, 200.0
         )
 
     run_scenario(scenario, balance=2.0)
@@ -592,8 +603,8 @@
 
 def test_shard_0_keeps_the_keys_of_a_deployment_without_sharing() -> None:
     async def scenario(simulation: ShardedSimulation) -> None:
-        await on_share(simulation, 0, 1, hands=1)
-        await on_share(simulation, 1, 2, hands=1)
+        await submit_to_shard(simulation, 0, 1, hands=1)
+        await submit_to_shard(simulation, 1, 2, hands=1)
         assert LEADER_KEY in simulation.store.data and JOBS_PREFIX + "req-000001" in simulation.store.data
         assert shard_prefix(1) + "jobs/req-000002" in simulation.store.data
         assert simulation.controllers["a"].engines[1].election.role in (Role.LEADER, Role.FOLLOWER)
--- a/tests/test_sharing_parts.py
+++ b/tests/test_sharing_parts.py
@@ -1,4 +1,4 @@
-"""The pure parts of sharing: settings, assignments, allotments, the planner, keys."""
+"""Unit tests of sharing: settings, shard assignments, quota allocations, planner, store keys and coordinator."""
 
 from collections.abc import Callable
 from itertools import product
@@ -43,19 +43,19 @@
 TEAM = Team("red", 0.0, 0.0, 4.0, 12.0)
 
 
-def write(folder: Path, text: str) -> str:
+def write_settings(folder: Path, text: str) -> str:
     path = folder / "sharing.ini"
     path.write_text(text)
     return str(path)
 
 
 def test_shipped_sharing_settings_are_the_defaults() -> None:
-    shipped = Path(__file__).parent.parent / "deploy" / "sharing.ini"
-    assert load_sharing(str(shipped)) == SharingSettings()
+    shipped_path = Path(__file__).parent.parent / "deploy" / "sharing.ini"
+    assert load_sharing(str(shipped_path)) == SharingSettings()
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected_text"),
     [
         ("", "sharing: the one section"),
         ("[sharing]\nshares = 0", "sharing.shares: must be a whole number 1 to 32"),
@@ -67,13 +67,13 @@
         ("shares = 3", "is not INI"),
     ],
 )
-def test_invalid_sharing_settings_are_rejected_with_a_reason(tmp_path: Path, text: str, named: str) -> None:
-    with pytest.raises(SettingsError, match=r"sharing\.ini") as refused:
-        load_sharing(write(tmp_path, text))
-    assert named in str(refused.value) and "\n" not in str(refused.value)
+def test_invalid_sharing_settings_are_rejected_with_a_reason(tmp_path: Path, text: str, expected_text: str) -> None:
+    with pytest.raises(SettingsError, match=r"sharing\.ini") as error:
+        load_sharing(write_settings(tmp_path, text))
+    assert expected_text in str(error.value) and "\n" not in str(error.value)
 
 
-# -- assignments ------------------------------------------------------------------------------------------
+# Assignments
 
 
 def test_assignment_is_unchanged_after_encoding_and_decoding() -> None:
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "reason"),
     [
         (lambda: begin_move(FIRST, 7, "a", LABELS), "there is no share 7"),
         (lambda: begin_move(FIRST, -1, "a", LABELS), "there is no share -1"),
@@ -98,14 +98,14 @@
     ],
 )
 def test_invalid_assignment_changes_are_rejected_with_a_reason(
-    change: Callable[[], ShardAssignment], why: str
+    change: Callable[[], ShardAssignment], reason: str
 ) -> None:
-    with pytest.raises(AssignmentError, match=why):
+    with pytest.raises(AssignmentError, match=reason):
         change()
 
 
 @pytest.mark.parametrize(
-    ("value", "why"),
+    ("value", "reason"),
     [
         (b'[1,["","b"', "malformed"),
         (b"{}", "malformed"),
@@ -119,8 +119,8 @@
         (b'[1,["","b"],[[1,"a",1],[1,"c",2]]]', "more than one move"),
     ],
 )
-def test_invalid_encoded_assignment_is_rejected(value: bytes, why: str) -> None:
-    with pytest.raises(AssignmentError, match=why):
+def test_invalid_encoded_assignment_is_rejected(value: bytes, reason: str) -> None:
+    with pytest.raises(AssignmentError, match=reason):
         decode_assignment(value, LABELS)
 
 
@@ -129,8 +129,8 @@
     assert complete_move(moving, 1).owner(1) == "c" and not complete_move(moving, 1).moves
     dropped = drop_move(moving, 1)
     assert dropped.owner(1) == "b"
-    again = begin_move(dropped, 1, "c", LABELS).move_of(1)
-    assert again is not None and again.number == 2
+    move = begin_move(dropped, 1, "c", LABELS).move_of(1)
+    assert move is not None and move.number == 2
 
 
 def test_adding_shards_keeps_existing_owners() -> None:
@@ -138,24 +138,24 @@
     assert larger.owners[:3] == ("", "c", "c") and larger.shard_count == 5
 
 
-# -- keys -------------------------------------------------------------------------------------------------
+# Store keys
 
 
 def test_each_shard_has_its_own_keys_and_shard_0_those_without_sharing() -> None:
     keys = (LEADER_KEY, JOBS_PREFIX + "req-000001", CHUNKS_PREFIX + "req-000001/2.1")
-    stored = {shard_key(share, key) for share, key in product(range(12), keys)}
+    stored = {shard_key(shard, key) for shard, key in product(range(12), keys)}
     assert len(stored) == 36
     assert all(shard_key(0, key) == key for key in keys)
-    assert all(unsharded_key(share, shard_key(share, key)) == key for share, key in product(range(12), keys))
+    assert all(unsharded_key(shard, shard_key(shard, key)) == key for shard, key in product(range(12), keys))
     assert shard_key(3, ASSIGNMENT_KEY) == ASSIGNMENT_KEY
 
 
-# -- allotments -------------------------------------------------------------------------------------------
+# Quota allocations
 
 amounts = st.builds(Amount, st.just(0.0), st.integers(0, 30).map(float))
 demands = st.lists(
     st.builds(
-        lambda used, more, first, waited: Demand(used, used + more, first, waited),
+        lambda used, wanted, first, waited_s: Demand(used, used + wanted, first, waited_s),
         amounts,
         amounts,
         amounts,
@@ -167,156 +167,156 @@
 
 
 @given(demands, st.integers(1, 40).map(float))
-def test_quota_targets_add_up_to_the_limit(found: list[Demand], limit: float) -> None:
-    parts = quota_targets(Amount(0.0, limit), found, 15.0)
-    assert abs(sum(part.gpus for part in parts) - limit) < 1e-3
-    assert all(part.gpus >= 0 for part in parts)
+def test_quota_targets_add_up_to_the_limit(shard_demands: list[Demand], limit: float) -> None:
+    targets = quota_targets(Amount(0.0, limit), shard_demands, 15.0)
+    assert abs(sum(quota.gpus for quota in targets) - limit) < 1e-3
+    assert all(quota.gpus >= 0 for quota in targets)
 
 
 @given(demands, st.integers(1, 40).map(float))
-def test_lowered_and_raised_allocations_stay_within_the_limit(found: list[Demand], limit: float) -> None:
-    """Owners lower to what they use, the coordinator raises by what is free: in any order, step by step."""
-    whole = Amount(0.0, limit)
-    allotment = initial_allocation(Team("red", 0.0, 0.0, 0.0, limit), len(found))
+def test_lowered_and_raised_allocations_stay_within_the_limit(shard_demands: list[Demand], limit: float) -> None:
+    """Shard leaders lower their allocation to what they use; the coordinator raises others by the free quota."""
+    limit_amount = Amount(0.0, limit)
+    allocation = initial_allocation(Team("red", 0.0, 0.0, 0.0, limit), len(shard_demands))
     for _ in range(3):
-        wishes = quota_targets(whole, found, 15.0)
-        allotment = raised_allocation(whole, allotment, wishes)
-        assert whole.covers(allotment.total())
-        for share, wish in enumerate(wishes):
-            part = allotment.quota(share)
-            lower = wish.at_least(found[share].used).at_most(part)
-            allotment = allotment.with_quota(share, lower)
-        assert whole.covers(allotment.total())
+        targets = quota_targets(limit_amount, shard_demands, 15.0)
+        allocation = raised_allocation(limit_amount, allocation, targets)
+        assert limit_amount.covers(allocation.total())
+        for shard, target in enumerate(targets):
+            quota = allocation.quota(shard)
+            lowered = target.at_least(shard_demands[shard].used).at_most(quota)
+            allocation = allocation.with_quota(shard, lowered)
+        assert limit_amount.covers(allocation.total())
 
 
 def test_job_larger_than_its_quota_allocation_gets_quota_after_waiting() -> None:
-    """The other shares give up what it lacks, once it has waited for long."""
+    """Guards against starvation: after 15 s of waiting, quota of the other shards is freed for the large job."""
     limit = Amount(0.0, 12.0)
-    greedy = Demand(Amount(0.0, 4.0), Amount(0.0, 40.0))
-    large = Demand(ZERO, Amount(0.0, 10.0), Amount(0.0, 10.0), 0.0)
-    assert quota_targets(limit, [greedy, greedy, large], 15.0)[2].gpus < 10.0
-    waited = Demand(ZERO, Amount(0.0, 10.0), Amount(0.0, 10.0), 16.0)
-    assert quota_targets(limit, [greedy, greedy, waited], 15.0)[2].gpus >= 10.0
+    saturated = Demand(Amount(0.0, 4.0), Amount(0.0, 40.0))
+    waiting_briefly = Demand(ZERO, Amount(0.0, 10.0), Amount(0.0, 10.0), 0.0)
+    assert quota_targets(limit, [saturated, saturated, waiting_briefly], 15.0)[2].gpus < 10.0
+    waiting_long = Demand(ZERO, Amount(0.0, 10.0), Amount(0.0, 10.0), 16.0)
+    assert quota_targets(limit, [saturated, saturated, waiting_long], 15.0)[2].gpus >= 10.0
 
 
 def test_quota_targets_are_whole_numbers() -> None:
-    parts = quota_targets(Amount(0.0, 8.0), [Demand(ZERO, Amount(0.0, 9.0))] * 3, 15.0)
-    assert sorted(part.gpus for part in parts) == [2.0, 3.0, 3.0]
+    targets = quota_targets(Amount(0.0, 8.0), [Demand(ZERO, Amount(0.0, 9.0))] * 3, 15.0)
+    assert sorted(quota.gpus for quota in targets) == [2.0, 3.0, 3.0]
 
 
 def test_zero_allocation_does_not_mean_unlimited() -> None:
     assert 0.0 < team_with_quota(TEAM, ZERO, 0.0).gpus_max < ROUNDING
-    assert team_with_quota(TEAM, ZERO, 0.0).cpus_max == 0.0, "the team has no limit of processors"
+    assert team_with_quota(TEAM, ZERO, 0.0).cpus_max == 0.0, "the team has no CPU limit"
 
 
-# -- the planner ------------------------------------------------------------------------------------------
+# Planner
 
-fleets = st.lists(st.tuples(st.sampled_from(LABELS), st.integers(0, 100)), min_size=1, max_size=8)
+owner_load_lists = st.lists(st.tuples(st.sampled_from(LABELS), st.integers(0, 100)), min_size=1, max_size=8)
 
 
-@given(fleets)
-def test_proposed_move_lowers_the_peak_load_most_and_by_enough(fleet: list[tuple[str, int]]) -> None:
-    """Against a plain model that plays every move."""
-    loads = [ShardLoad(share, owner, float(load)) for share, (owner, load) in enumerate(fleet)]
+@given(owner_load_lists)
+def test_proposed_move_lowers_the_peak_load_most_and_by_enough(owners_and_loads: list[tuple[str, int]]) -> None:
+    """Compares the planner with a search over all moves."""
+    loads = [ShardLoad(shard, owner, float(load)) for shard, (owner, load) in enumerate(owners_and_loads)]
     proposal = propose_move(loads, LABELS, 0.5)
     before = max(loads_by_owner(loads, LABELS).values())
     peaks = {
-        (entry.shard, receiver): max(
+        (entry.shard, target): max(
             loads_by_owner(
-                [ShardLoad(e.shard, receiver if e is entry else e.owner, e.load) for e in loads], LABELS
+                [ShardLoad(e.shard, target if e is entry else e.owner, e.load) for e in loads], LABELS
             ).values()
         )
         for entry in loads
-        for receiver in LABELS
-        if entry.shard and receiver != entry.owner
+        for target in LABELS
+        if entry.shard and target != entry.owner
     }
-    worth = sum(entry.load for entry in loads) / 3 * 0.5
+    min_improvement = sum(entry.load for entry in loads) / 3 * 0.5
     best = min(peaks.values(), default=before)
     if proposal is None:
-        assert before - best < worth or before == 0
+        assert before - best < min_improvement or before == 0
     else:
-        assert peaks[(proposal.shard, proposal.target)] == best and before - best >= worth
+        assert peaks[(proposal.shard, proposal.target)] == best and before - best >= min_improvement
 
 
 def test_no_move_is_proposed_for_even_loads() -> None:
-    loads = [ShardLoad(share, LABELS[share % 3], 10.0 + share) for share in range(6)]
+    loads = [ShardLoad(shard, LABELS[shard % 3], 10.0 + shard) for shard in range(6)]
     assert propose_move(loads, LABELS, 0.5) is None
 
 
-# -- the coordinator --------------------------------------------------------------------------------------
+# Coordinator
 
 
-def coordinator(balance: float = 0.0) -> Coordinator:
+def new_coordinator(balance: float = 0.0) -> Coordinator:
     return Coordinator(SharingSettings(shares=3, balance=balance), LABELS, 2.0)
 
 
-def status(share: int, machines: int = 1) -> ShardStatus:
-    return ShardStatus(share, 5, machines, 0)
+def shard_status(shard: int, machines: int = 1) -> ShardStatus:
+    return ShardStatus(shard, 5, machines, 0)
 
 
 def test_sharing_starts_only_after_a_status_from_every_controller() -> None:
-    decides = coordinator()
-    decides.reset(0.0)
-    decides.record_status("a", [], 0.1)
-    decides.record_status("b", [], 0.1)
-    assert not decides.may_start_sharing(0.2)
-    decides.record_status("x", [], 0.1)
-    assert not decides.may_start_sharing(0.2)
-    decides.record_status("c", [], 0.2)
-    assert decides.may_start_sharing(0.3) and not decides.may_start_sharing(60.0)
+    coordinator = new_coordinator()
+    coordinator.reset(0.0)
+    coordinator.record_status("a", [], 0.1)
+    coordinator.record_status("b", [], 0.1)
+    assert not coordinator.may_start_sharing(0.2)
+    coordinator.record_status("x", [], 0.1)
+    assert not coordinator.may_start_sharing(0.2)
+    coordinator.record_status("c", [], 0.2)
+    assert coordinator.may_start_sharing(0.3) and not coordinator.may_start_sharing(60.0)
 
 
 def test_shards_of_a_silent_controller_are_reassigned_after_the_time_limit_for_statuses() -> None:
-    decides = coordinator()
-    decides.reset(0.0)
-    decides.record_status("a", [status(0)], 0.1)
-    assert decides.next_assignment(FIRST, 0.2) is None
+    coordinator = new_coordinator()
+    coordinator.reset(0.0)
+    coordinator.record_status("a", [shard_status(0)], 0.1)
+    assert coordinator.next_assignment(FIRST, 0.2) is None
     for now in (2.0, 4.0, 6.0, 8.0):
-        decides.record_status("a", [status(0)], now)
-        decides.record_status("c", [status(2)], now)
-    following = decides.next_assignment(FIRST, 8.1)
-    assert following is not None and following.owners == ("", "a", "c")
+        coordinator.record_status("a", [shard_status(0)], now)
+        coordinator.record_status("c", [shard_status(2)], now)
+    next_assignment = coordinator.next_assignment(FIRST, 8.1)
+    assert next_assignment is not None and next_assignment.owners == ("", "a", "c")
 
 
 def test_move_is_dropped_with_a_reason_after_a_timeout_or_loss_of_its_target() -> None:
-    decides = coordinator()
-    decides.reset(0.0)
+    coordinator = new_coordinator()
+    coordinator.reset(0.0)
     moving = begin_move(FIRST, 1, "c", LABELS)
     for second in range(1, 13):
         for label in LABELS:
-            decides.record_status(label, [], float(second))
-        following = decides.next_assignment(moving, float(second))
-        assert following == (drop_move(moving, 1) if second > 11 else None)
-    assert decides.refusals[1] == "c did not acquire the share in time"
-    decides.reset(20.0)
+            coordinator.record_status(label, [], float(second))
+        next_assignment = coordinator.next_assignment(moving, float(second))
+        assert next_assignment == (drop_move(moving, 1) if second > 11 else None)
+    assert coordinator.refusals[1] == "c did not acquire the share in time"
+    coordinator.reset(20.0)
     for now in (21.0, 24.0, 27.0):
-        decides.record_status("a", [], now)
-        decides.record_status("b", [], now)
-    assert decides.next_assignment(moving, 27.0) == drop_move(moving, 1)
-    assert decides.refusals[1] == "c sends no status"
+        coordinator.record_status("a", [], now)
+        coordinator.record_status("b", [], now)
+    assert coordinator.next_assignment(moving, 27.0) == drop_move(moving, 1)
+    assert coordinator.refusals[1] == "c sends no status"
 
 
 def test_balancing_moves_one_shard_at_a_time_and_needs_statuses_of_all_controllers() -> None:
-    decides = coordinator(balance=1.0)
-    decides.reset(0.0)
-    lopsided = ShardAssignment(1, ("", "a", "a"))
+    coordinator = new_coordinator(balance=1.0)
+    coordinator.reset(0.0)
+    unbalanced = ShardAssignment(1, ("", "a", "a"))
 
-    def heard(now: float) -> None:
-        decides.record_status("a", [status(0, 10), status(1, 30), status(2, 40)], now)
-        decides.record_status("b", [], now)
+    def record_statuses(now: float) -> None:
+        coordinator.record_status("a", [shard_status(0, 10), shard_status(1, 30), shard_status(2, 40)], now)
+        coordinator.record_status("b", [], now)
 
-    heard(4.0)
-    assert decides.next_assignment(lopsided, 4.0) is None, "one controller was not heard"
-    heard(6.0)
-    decides.record_status("c", [], 6.0)
-    following = decides.next_assignment(lopsided, 6.0)
-    assert following is not None and len(following.moves) == 1
-    decides.record_status("c", [], 6.1)
-    assert decides.next_assignment(following, 6.1) is None
+    record_statuses(4.0)
+    assert coordinator.next_assignment(unbalanced, 4.0) is None, "one controller sent no status"
+    record_statuses(6.0)
+    coordinator.record_status("c", [], 6.0)
+    next_assignment = coordinator.next_assignment(unbalanced, 6.0)
+    assert next_assignment is not None and len(next_assignment.moves) == 1
+    coordinator.record_status("c", [], 6.1)
+    assert coordinator.next_assignment(next_assignment, 6.1) is None
 
 
 @pytest.mark.parametrize(
-    ("share", "receiver", "why"),
+    ("shard", "target", "reason"),
     [
         (1, "x", "unknown controller x"),
         (1, "c", "c sends no status"),
@@ -324,30 +324,30 @@
         (1, "b", "owns share 1"),
     ],
 )
-def test_invalid_move_request_is_rejected_with_a_reason(share: int, receiver: str, why: str) -> None:
-    decides = coordinator()
-    decides.reset(0.0)
-    decides.record_status("a", [], 1.0)
-    decides.record_status("b", [], 1.0)
-    with pytest.raises(AssignmentError, match=why):
-        decides.requested_assignment(FIRST, share, receiver, 1.0)
+def test_invalid_move_request_is_rejected_with_a_reason(shard: int, target: str, reason: str) -> None:
+    coordinator = new_coordinator()
+    coordinator.reset(0.0)
+    coordinator.record_status("a", [], 1.0)
+    coordinator.record_status("b", [], 1.0)
+    with pytest.raises(AssignmentError, match=reason):
+        coordinator.requested_assignment(FIRST, shard, target, 1.0)
     with pytest.raises(AssignmentError, match="has not begun"):
-        decides.requested_assignment(None, 1, "a", 1.0)
+        coordinator.requested_assignment(None, 1, "a", 1.0)
 
 
 def test_quota_of_a_shard_is_raised_only_after_that_of_another_is_lowered() -> None:
-    decides = coordinator()
-    decides.reset(0.0)
-    first = decides.next_allocation(TEAM, None, 3, 0.0)
+    coordinator = new_coordinator()
+    coordinator.reset(0.0)
+    first = coordinator.next_allocation(TEAM, None, 3, 0.0)
     assert first is not None and first.quota(0).gpus == 12.0
-    # Nothing is free: what the first share does not use is to be lowered by its owner before others get it.
-    assert decides.next_allocation(TEAM, first, 3, 0.0) is None
-    told = decides.record_status("a", [status(0)], 0.1)
-    assert [(target.shard, target.quota.gpus) for target in told] == [(0, 4.0)]
+    # No quota is free: the leader of shard 0 must release what it does not use before other shards get it.
+    assert coordinator.next_allocation(TEAM, first, 3, 0.0) is None
+    targets = coordinator.record_status("a", [shard_status(0)], 0.1)
+    assert [(target.shard, target.quota.gpus) for target in targets] == [(0, 4.0)]
     lowered = first.with_quota(0, Amount(0.0, 4.0))
-    following = decides.next_allocation(TEAM, lowered, 3, 0.2)
-    assert following is not None and [part.gpus for part in following.quotas] == [4.0, 4.0, 4.0]
-    assert decides.next_allocation(Team("free", 0.0, 0.0, 0.0, 0.0), None, 3, 0.0) is None
+    next_allocation = coordinator.next_allocation(TEAM, lowered, 3, 0.2)
+    assert next_allocation is not None and [quota.gpus for quota in next_allocation.quotas] == [4.0, 4.0, 4.0]
+    assert coordinator.next_allocation(Team("free", 0.0, 0.0, 0.0, 0.0), None, 3, 0.0) is None
 
 
 def test_allocation_is_zero_for_shards_added_later() -> None:
--- a/tests/test_sharing_walk.py
+++ b/tests/test_sharing_walk.py
@@ -1,4 +1,4 @@
-"""A random walk over pairs of troubles with shares that move, against the plain model and sharing's invariants."""
+"""Random fault walk while shards move, checked against the reference model and the invariants of sharing."""
 
 import random
 from typing import cast
@@ -13,61 +13,61 @@
 from .test_controller_fault_walk import FAULTS, Fault, accepted, some_job
 
 
-def move(simulation: Simulation, rng: random.Random) -> None:
-    """An operator asks for a move."""
-    shared = cast(ShardedSimulation, simulation)
+def request_move(simulation: Simulation, rng: random.Random) -> None:
+    """Request a move of a random shard to a random controller, as an operator does."""
+    sharded = cast(ShardedSimulation, simulation)
     if any(simulation.is_up(label) for label in LABELS):
-        share, receiver = rng.randrange(1, shared.sharing.shares), rng.choice(LABELS)
-        simulation.spawn(shared.request_move(share, receiver))
+        shard, target = rng.randrange(1, sharded.sharing.shares), rng.choice(LABELS)
+        simulation.spawn(sharded.request_move(shard, target))
 
 
-def owner_ends(simulation: Simulation, rng: random.Random) -> None:
-    """The leader of some share ends."""
+def crash_shard_leader(simulation: Simulation, rng: random.Random) -> None:
+    """Crash the leader of a random shard."""
     owner = cast(ShardedSimulation, simulation).shard_leader(rng.randrange(3))
     if owner is not None:
         simulation.crash(owner)
 
 
-def move_and_giver_ends(simulation: Simulation, rng: random.Random) -> None:
-    """A move begins, and its giver ends within its course."""
-    shared = cast(ShardedSimulation, simulation)
-    share = rng.randrange(1, shared.sharing.shares)
-    giver = shared.shard_leader(share)
-    if giver is None:
+def crash_during_move(simulation: Simulation, rng: random.Random) -> None:
+    """Request a move and crash a random controller, in most cases while the move is in progress."""
+    sharded = cast(ShardedSimulation, simulation)
+    shard = rng.randrange(1, sharded.sharing.shares)
+    source = sharded.shard_leader(shard)
+    if source is None:
         return
-    others = [label for label in LABELS if label != giver]
+    others = [label for label in LABELS if label != source]
 
-    async def moving() -> None:
-        await shared.request_move(share, rng.choice(others))
+    async def move_and_crash() -> None:
+        await sharded.request_move(shard, rng.choice(others))
         await simulation.advance(rng.choice([0.0, 0.005, 0.01, 0.02, 0.05, 0.5]))
-        simulation.crash(rng.choice([giver, *others]))
+        simulation.crash(rng.choice([source, *others]))
 
-    simulation.spawn(moving())
+    simulation.spawn(move_and_crash())
 
 
-def stray_let_go(simulation: Simulation, rng: random.Random) -> None:
-    """A message of a move that is over, or never was, comes late."""
-    shared = cast(ShardedSimulation, simulation)
-    share = rng.randrange(1, shared.sharing.shares)
-    owner = shared.shard_leader(share)
+def send_stale_release_request(simulation: Simulation, rng: random.Random) -> None:
+    """Send a release request of a finished or unknown move to the leader of a random shard."""
+    sharded = cast(ShardedSimulation, simulation)
+    shard = rng.randrange(1, sharded.sharing.shares)
+    owner = sharded.shard_leader(shard)
     if owner is None:
         return
 
-    async def sending() -> None:
+    async def send() -> None:
         sender = rng.choice([label for label in LABELS if label != owner])
-        host = shared.controllers.get(sender)
+        host = sharded.controllers.get(sender)
         if host is None or not simulation.is_up(sender):
             return
         try:
-            await host.handoffs._client.send(owner, ReleaseRequest(share, sender, rng.randrange(1, 5)), 1.0)
+            await host.handoffs._client.send(owner, ReleaseRequest(shard, sender, rng.randrange(1, 5)), 1.0)
         except PeerError:
             pass
 
-    simulation.spawn(sending())
+    simulation.spawn(send())
 
 
-def cut_off_from_everything(simulation: Simulation, rng: random.Random) -> None:
-    """A controller stands still as far as anybody can tell, and may go on with what it has under way."""
+def isolate_controller(simulation: Simulation, rng: random.Random) -> None:
+    """Partition a random controller from peers, state service, workers and users; the controller keeps running."""
     label = rng.choice(LABELS)
     simulation.isolate(label)
     simulation.partitioned_from["workers"].add(label)
@@ -75,16 +75,16 @@
 
 
 SHARING_FAULTS: list[Fault] = [
-    *[move] * 6,
-    *[owner_ends] * 2,
-    *[move_and_giver_ends] * 4,
-    stray_let_go,
-    cut_off_from_everything,
+    *[request_move] * 6,
+    *[crash_shard_leader] * 2,
+    *[crash_during_move] * 4,
+    send_stale_release_request,
+    isolate_controller,
 ]
 
 
 def run_sharded_fault_walk(seed: int, kind: type[ShardedSimulation] = ShardedSimulation) -> ShardedSimulation:
-    """Play shares that move while other troubles come and go."""
+    """Run the fault walk of a seed with shard moves, submissions and cancellations; return the simulation."""
     rng = random.Random(seed)
     simulation = kind(seed, next={"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0})
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -1,4 +1,4 @@
-"""The JSON of `/metrics` and `/status`: operators' programs read its keys, so the whole list stands here."""
+"""The JSON of `/metrics` and `/status`: operators' tools read its keys, so the tests list all of them."""
 
 import json
 from typing import Any
@@ -8,7 +8,7 @@
 from .samples import raw_job
 from .simulation import LABELS, Simulation
 
-# What every controller says, in this order.
+# Keys in the status of every controller, in this order.
 EVERY_CONTROLLER = [
     "controller",
     "role",
@@ -33,7 +33,7 @@
     "connections_closed",
     "connections_refused",
 ]
-# What a leader says after that.
+# Keys that follow in the status of a leader.
 LEADER_ONLY = [
     "data_version",
     "records_to_move",
@@ -55,8 +55,8 @@
 TIMING = ["count", "p50_ms", "p95_ms", "p99_ms", "p100_ms"]
 
 
-async def shown(simulation: Simulation, label: str, path: str = "/status") -> dict[str, Any]:
-    """Return what a controller shows to operators."""
+async def fetch_status(simulation: Simulation, label: str, path: str = "/status") -> dict[str, Any]:
+    """Return the decoded body of a GET request to a controller's operator address."""
     answer = await simulation.controllers[label].handle_back("GET", path, b"")
     assert answer.status == 200
     status: dict[str, Any] = json.loads(answer.body)
@@ -69,7 +69,7 @@
         simulation.submit_until_accepted(raw_job(1, rig="daemon", hands=2, voyageS=0.0))
         await simulation.run_until(lambda: len(simulation.tasks_on_machines()) == 2)
         await simulation.advance(4.0)
-        status = await shown(simulation, str(simulation.leader_label()), path)
+        status = await fetch_status(simulation, str(simulation.leader_label()), path)
         assert list(status) == EVERY_CONTROLLER + LEADER_ONLY
         for timing in ("build", "batch", "users", "reports", "loop_delay"):
             assert list(status[timing]) == TIMING
@@ -82,7 +82,7 @@
 def test_follower_status_has_exactly_these_keys_in_order() -> None:
     async def scenario(simulation: Simulation) -> None:
         follower = next(label for label in LABELS if label != simulation.leader_label())
-        status = await shown(simulation, follower)
+        status = await fetch_status(simulation, follower)
         assert list(status) == EVERY_CONTROLLER
         assert status["role"] == "follower" and status["holds"] is False and status["lease_left_s"] == 0.0
 
@@ -101,7 +101,7 @@
         await controller.handle_front("POST", "/agent/beat", b"{")
         await controller.answer_peer(b"{")
         await controller.handle_front("GET", "/v1/jobs/req-000001", b"")
-        status = await shown(simulation, label)
+        status = await fetch_status(simulation, label)
         assert status["controller"] == status["leader"] == label
         assert status["role"] == "leading" and status["holds"] is True
         assert status["term"] == controller.election.fencing_token
