--- a/driftcleat/sharing/handoff.py
+++ b/driftcleat/sharing/handoff.py
@@ -153,11 +153,11 @@
             assignment = host.view.assignment
             move = assignment.move_of(message.shard) if assignment is not None else None
         if move is None or (move.number, move.target) != (message.number, message.target):
-            return ReleaseResponse(None, "no such move is in progress")
+            return ReleaseResponse(None, "no such move is under way")
         if not host.is_serving(message.shard):
-            return ReleaseResponse(None, "the shard's engine is starting")
+            return ReleaseResponse(None, "starting")
         mod_revision = host.engines[message.shard].shard_election.release()
         if mod_revision is None:
-            return ReleaseResponse(None, "this controller does not lead the shard")
+            return ReleaseResponse(None, "not led here")
         log.info("shard %d: released to %s", message.shard, message.target)
         return ReleaseResponse(mod_revision)
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -85,7 +85,7 @@
             return Response(200, wire.encode(await host.handoffs.release(message)))
         if isinstance(message, MoveRequest):
             return Response(200, wire.encode(await host.coordinator_loops.move(message)))
-        return Response.error(400, "not a request")
+        return Response.error(400, "not a question")
 
     async def _handle_order(self, order: MoveOrder) -> Response:
         """Carry out an operator's request, or forward it to the coordinator."""
@@ -102,7 +102,7 @@
             except PeerError as error:
                 return Response.error(503, f"the coordinator {coordinator}: {error}", retry_after_s=1)
         if not isinstance(response, MoveResponse):
-            return Response.error(503, "malformed response of the coordinator", retry_after_s=1)
+            return Response.error(503, "the coordinator's answer is not one", retry_after_s=1)
         return Response(200, b"{}") if response.accepted else Response.error(409, response.reason)
 
     def view(self) -> ShardsView:
