--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -14,11 +14,11 @@
 
 from driftcleat.settings import Tuning
 
-from .test_surfaces import FILES, ROOT, VALUES, full_settings
+from .test_surfaces import ENUM_VALUES, ROOT, SURFACE_FILES, full_settings
 
 SOURCES = ROOT / "driftcleat"
-LONGEST_MODULE = 300
-LONGEST_FUNCTION = 40
+MAX_MODULE_LINES = 300
+MAX_FUNCTION_LINES = 40
 
 # Which package may import which, from the lowest floor up. All may import `errors`, and the version at the root.
 MAY_IMPORT = {
@@ -84,10 +84,10 @@
     ("api.forwarding", "peers.client"): "a follower's users are served through the leader's peer interface",
 }
 # Packages within which modules import one another in a ring.
-RINGS = {"sharing": "the host makes its parts, and each part is given the host"}
-# Modules of more lines than `LONGEST_MODULE`, with those they have: they may not grow.
+IMPORT_CYCLES = {"sharing": "the host makes its parts, and each part is given the host"}
+# Modules of more lines than `MAX_MODULE_LINES`, with those they have: they may not grow.
 LONG_MODULES: dict[str, int] = {}
-# Functions of more lines than `LONGEST_FUNCTION`, with those they have: they may not grow.
+# Functions of more lines than `MAX_FUNCTION_LINES`, with those they have: they may not grow.
 LONG_FUNCTIONS = {
     # Names the parts of a term one by one, and does nothing else.
     "scheduler.scheduler:Scheduler.__init__": 41,
@@ -190,8 +190,8 @@
     for module, target in UPWARD_IMPORTS:
         graph[module].discard(target)
     found = rings(graph)
-    assert [ring for ring in found if {package_of(module) for module in ring} - set(RINGS)] == []
-    assert {package_of(module) for ring in found for module in ring} == set(RINGS)
+    assert [ring for ring in found if {package_of(module) for module in ring} - set(IMPORT_CYCLES)] == []
+    assert {package_of(module) for ring in found for module in ring} == set(IMPORT_CYCLES)
 
 
 def test_packages_are_one_level_deep() -> None:
@@ -223,7 +223,7 @@
 def long_modules(sources: Path) -> dict[str, int]:
     """Return the modules of too many lines, with how many they have."""
     sizes = {module: len(path.read_text(encoding="utf-8").splitlines()) for module, path in modules(sources).items()}
-    return {module: lines for module, lines in sizes.items() if lines > LONGEST_MODULE}
+    return {module: lines for module, lines in sizes.items() if lines > MAX_MODULE_LINES}
 
 
 def functions(node: ast.AST, within: str = "") -> Iterator[tuple[str, int]]:
@@ -242,7 +242,7 @@
         f"{module}:{name}": lines
         for module, path in modules(sources).items()
         for name, lines in functions(ast.parse(path.read_text(encoding="utf-8")))
-        if lines > LONGEST_FUNCTION
+        if lines > MAX_FUNCTION_LINES
     }
 
 
@@ -261,15 +261,15 @@
 
 
 def test_planted_lengths_are_found(tmp_path: Path) -> None:
-    lines = "        pass\n" * LONGEST_FUNCTION
+    lines = "        pass\n" * MAX_FUNCTION_LINES
     (tmp_path / "long.py").write_text(f"class A:\n    def f(self):\n{lines}\n    async def g(self):\n        pass\n")
-    assert long_functions(tmp_path) == {"long:A.f": LONGEST_FUNCTION + 1}
-    (tmp_path / "longer.py").write_text("\n" * (LONGEST_MODULE + 1))
-    assert long_modules(tmp_path) == {"longer": LONGEST_MODULE + 1}
-    for excepted in ({}, {"longer": LONGEST_MODULE}, {"longer": LONGEST_MODULE + 1, "gone": 400}):
+    assert long_functions(tmp_path) == {"long:A.f": MAX_FUNCTION_LINES + 1}
+    (tmp_path / "longer.py").write_text("\n" * (MAX_MODULE_LINES + 1))
+    assert long_modules(tmp_path) == {"longer": MAX_MODULE_LINES + 1}
+    for excepted in ({}, {"longer": MAX_MODULE_LINES}, {"longer": MAX_MODULE_LINES + 1, "gone": 400}):
         with pytest.raises(AssertionError):
             check_sizes(long_modules(tmp_path), excepted)
-    check_sizes(long_modules(tmp_path), {"longer": LONGEST_MODULE + 1})
+    check_sizes(long_modules(tmp_path), {"longer": MAX_MODULE_LINES + 1})
 
 
 # -- names on pages -------------------------------------------------------------------------------------------------
@@ -381,8 +381,8 @@
         self._root = root
         self._names = Names(root / "driftcleat")
         self._settings = setting_names()
-        self._values = {str(value) for values in VALUES.values() for value in values.values()}
-        self._keys = (FILES / "store-keys.txt").read_text(encoding="utf-8").splitlines()
+        self._values = {str(value) for values in ENUM_VALUES.values() for value in values.values()}
+        self._keys = (SURFACE_FILES / "store-keys.txt").read_text(encoding="utf-8").splitlines()
 
     def wrong(self, page: str) -> list[str]:
         """Return the words that name nothing that exists."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,7 +25,7 @@
 from .reference_model import ReferenceModel
 from .samples import MACHINE_TYPES, job, platform, raw_job
 from .test_scheduler_units import commit, make_term
-from .test_service import accepted, cut_peers, live, reaches
+from .test_service import disconnect_peers, submit_until_accepted, wait_for_job_state, with_site
 
 SITE = platform()
 
@@ -123,7 +123,7 @@
         assert all(limited.counts[kind] == sum(row[0] is kind for row in plain.values()) for kind in ClientKind)
 
 
-@live
+@with_site
 async def test_a_crowd_of_connections_is_served_and_the_lease_is_kept(site: Site) -> None:
     """A descriptor budget of a few dozen: every request is answered in full, whoever has too many is closed."""
     leader = site.leader()
@@ -148,8 +148,8 @@
             assert len(limited.open) <= limited.most
         await asyncio.gather(*(ask(number) for number in range(80)))
         assert len(limited.open) <= limited.most
-    await accepted(site, leader, raw_job(1, voyageS=0.5))
-    await reaches(site, leader, "req-000001", "done")
+    await submit_until_accepted(site, leader, raw_job(1, voyageS=0.5))
+    await wait_for_job_state(site, leader, "req-000001", "done")
     assert site.controllers[leader].election.fencing_token == token, "it still leads"
 
 
@@ -418,7 +418,7 @@
     assert not model.tasks_on_machines()
 
 
-@live
+@with_site
 async def test_a_follower_cut_off_from_everything_keeps_leases_for_a_while(site: Site) -> None:
     """Guards against all work of a zone ending with its leases although a controller inside could be asked."""
     leader = site.leader()
@@ -440,7 +440,7 @@
     }
     status, _, _ = await site.call(inside, "POST", "/agent/beat", report)
     assert status == 421, "a follower names the leader"
-    undo = await cut_peers(site, inside)
+    undo = await disconnect_peers(site, inside)
     site.identify_to_store(inside)
     site.store.down_for.add(inside)
     await wait_until(lambda: election.lease_keeping_token is not None, "it is isolated")
@@ -465,7 +465,7 @@
     assert (status, answer) == (421, {"harbormaster": leader})
 
 
-@live
+@with_site
 async def test_a_follower_that_still_reaches_a_controller_keeps_no_leases(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
@@ -490,15 +490,15 @@
 # -- repeats and late copies ---------------------------------------------------------------------------------
 
 
-@live
+@with_site
 async def test_late_copies_of_requests_change_nothing_that_was_decided_since(site: Site) -> None:
     """Submission, cancellation, peer message and lease request once more, after the controllers were back at once."""
     leader = site.leader()
     assert leader is not None
-    await accepted(site, leader, raw_job(1, voyageS=0.3))
-    await reaches(site, leader, "req-000001", "done")
-    await accepted(site, leader, raw_job(2, rig="daemon", hands=1))
-    await reaches(site, leader, "req-000002", "running")
+    await submit_until_accepted(site, leader, raw_job(1, voyageS=0.3))
+    await wait_for_job_state(site, leader, "req-000001", "done")
+    await submit_until_accepted(site, leader, raw_job(2, rig="daemon", hands=1))
+    await wait_for_job_state(site, leader, "req-000002", "running")
     await wait_until(lambda: cancelled(site, leader, 2), "cancelled")
     await site.kill(leader)
     site.start(leader)
@@ -521,8 +521,8 @@
     )
     await asyncio.sleep(0.6)
     assert site.leader() == second and site.model.task_starts == started, "no task was started again"
-    await reaches(site, second, "req-000001", "done")
-    await reaches(site, second, "req-000002", "cancelled")
+    await wait_for_job_state(site, second, "req-000001", "done")
+    await wait_for_job_state(site, second, "req-000002", "cancelled")
 
 
 async def cancelled(site: Site, label: str, number: int) -> bool:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,7 @@
 from .samples import job, raw_job
 
 
-def live(test: Callable[[Site], Awaitable[None]]) -> Callable[[], None]:
+def with_site(test: Callable[[Site], Awaitable[None]]) -> Callable[[], None]:
     """Run a test with a site of its own."""
 
     def run() -> None:
@@ -37,7 +37,7 @@
     return run
 
 
-async def accepted(site: Site, label: str, raw: dict[str, Any]) -> None:
+async def submit_until_accepted(site: Site, label: str, raw: dict[str, Any]) -> None:
     """Submit until it is accepted, as users do."""
     site.model.specs[raw["nameId"]] = job(int(raw["nameId"][4:]), **raw)
 
@@ -49,7 +49,7 @@
     await wait_until(once, "accepted")
 
 
-async def state_of(site: Site, label: str, job_id: str) -> str | None:
+async def get_job_state(site: Site, label: str, job_id: str) -> str | None:
     """Ask for a job's state."""
     try:
         status, body, _ = await site.call(label, "GET", f"/v1/jobs/{job_id}")
@@ -58,40 +58,40 @@
     return body["bearing"] if status == 200 else None
 
 
-async def reaches(site: Site, label: str, job_id: str, state: str) -> None:
+async def wait_for_job_state(site: Site, label: str, job_id: str, state: str) -> None:
     """Poll until a job has a state."""
 
     async def once() -> bool:
-        return await state_of(site, label, job_id) == state
+        return await get_job_state(site, label, job_id) == state
 
     await wait_until(once, f"{job_id} {state}")
 
 
-@live
+@with_site
 async def test_users_are_served_by_any_controller(site: Site) -> None:
     followers = [label for label in "abc" if label != site.leader()]
     raw = raw_job(1, voyageS=0.5)
-    await accepted(site, followers[0], raw)
+    await submit_until_accepted(site, followers[0], raw)
     status, body, _ = await site.call(followers[1], "POST", "/v1/jobs", raw)
     assert (status, body["nameId"]) == (200, "req-000001")
     for label in "abc":
-        await reaches(site, label, "req-000001", "done")
+        await wait_for_job_state(site, label, "req-000001", "done")
     # A repeat of any form is known by its id, whatever else it says.
     status, body, _ = await site.call(followers[0], "POST", "/v1/jobs", {"nameId": "req-000001", "crew": 7})
     assert (status, body["bearing"]) == (200, "done")
     status, body, _ = await site.call(followers[0], "POST", "/v1/jobs/req-000001/cancel")
     assert (status, body["bearing"]) == (200, "done")
-    await accepted(site, followers[0], raw_job(2, rig="daemon", hands=1))
-    await reaches(site, followers[0], "req-000002", "running")
+    await submit_until_accepted(site, followers[0], raw_job(2, rig="daemon", hands=1))
+    await wait_for_job_state(site, followers[0], "req-000002", "running")
     status, body, _ = await site.call(followers[1], "POST", "/v1/jobs/req-000002/cancel")
     assert (status, body["bearing"]) == (200, "cancelled")
     await wait_until(lambda: not site.model.tasks_on_machines(), "all is gone")
     for label in "abc":
-        assert await state_of(site, label, "req-000002") == "cancelled"
+        assert await get_job_state(site, label, "req-000002") == "cancelled"
         assert (await site.call(label, "GET", "/ready"))[0] == 200
 
 
-@live
+@with_site
 async def test_bad_input_is_answered_at_once_and_changes_nothing(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
@@ -123,10 +123,10 @@
     ).status == 400 and controller.metrics.malformed_peer_messages == 1
 
 
-@live
+@with_site
 async def test_an_accepted_job_outlives_every_controller(site: Site) -> None:
-    await accepted(site, "a", raw_job(1, hands=3, voyageS=2.0))
-    await accepted(site, "a", raw_job(2, rig="group", hands=2, voyageS=2.0, crew="blue"))
+    await submit_until_accepted(site, "a", raw_job(1, hands=3, voyageS=2.0))
+    await submit_until_accepted(site, "a", raw_job(2, rig="group", hands=2, voyageS=2.0, crew="blue"))
     await wait_until(site.model.tasks_on_machines, "work has begun")
     for label in "abc":
         await site.kill(label)
@@ -134,60 +134,60 @@
         site.start(label)
     await wait_until(site.leader, "a leader again")
     for number in (1, 2):
-        await reaches(site, "b", f"req-{number:06d}", "done")
+        await wait_for_job_state(site, "b", f"req-{number:06d}", "done")
 
 
-@live
+@with_site
 async def test_a_leader_that_dies_is_replaced_and_a_restarted_one_joins(site: Site) -> None:
     first = site.leader()
     assert first is not None
-    await accepted(site, first, raw_job(1, hands=2, voyageS=3.0))
+    await submit_until_accepted(site, first, raw_job(1, hands=2, voyageS=3.0))
     token = site.controllers[first].election.fencing_token
     await site.kill(first)
     second = await wait_until(site.leader, "another leader")
     assert second != first and site.controllers[second].election.fencing_token > token
-    await reaches(site, second, "req-000001", "done")
+    await wait_for_job_state(site, second, "req-000001", "done")
     site.start(first)
-    await reaches(site, first, "req-000001", "done")
+    await wait_for_job_state(site, first, "req-000001", "done")
     status, answer, _ = await site.call(first, "POST", "/agent/beat", {})
     assert (status, answer) == (421, {"harbormaster": second})
 
 
-@live
+@with_site
 async def test_a_refusal_seen_by_the_leader_alone_hands_over(site: Site) -> None:
     first = site.leader()
     assert first is not None
-    await accepted(site, first, raw_job(1, rig="daemon", hands=1))
-    await reaches(site, first, "req-000001", "running")
+    await submit_until_accepted(site, first, raw_job(1, rig="daemon", hands=1))
+    await wait_for_job_state(site, first, "req-000001", "running")
     site.identify_to_store(first)
     site.store.down_for.add(first)
     second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
     site.store.down_for.clear()
     attempts = {task.attempt for _, task in site.model.tasks_on_machines()}
-    assert await state_of(site, second, "req-000001") in ("pending", "running")
-    await reaches(site, second, "req-000001", "running")
+    assert await get_job_state(site, second, "req-000001") in ("pending", "running")
+    await wait_for_job_state(site, second, "req-000001", "running")
     assert {task.attempt for _, task in site.model.tasks_on_machines()} == attempts, "no work was lost"
 
 
-@live
+@with_site
 async def test_a_leader_that_no_worker_reaches_hands_over(site: Site) -> None:
     first = site.leader()
     assert first is not None
-    await accepted(site, first, raw_job(1, rig="daemon", hands=1))
-    await reaches(site, first, "req-000001", "running")
+    await submit_until_accepted(site, first, raw_job(1, rig="daemon", hands=1))
+    await wait_for_job_state(site, first, "req-000001", "running")
     front = site.model.controller_addresses.pop(first)
     second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
     site.model.controller_addresses[first] = front
-    await accepted(site, second, raw_job(2, voyageS=0.5))
-    await reaches(site, first, "req-000002", "done")
+    await submit_until_accepted(site, second, raw_job(2, voyageS=0.5))
+    await wait_for_job_state(site, first, "req-000002", "done")
 
 
-@live
+@with_site
 async def test_an_outage_of_the_store_is_told_at_once_and_costs_no_work(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
-    await accepted(site, leader, raw_job(1, rig="daemon", hands=1))
-    await reaches(site, leader, "req-000001", "running")
+    await submit_until_accepted(site, leader, raw_job(1, rig="daemon", hands=1))
+    await wait_for_job_state(site, leader, "req-000001", "running")
     before = [(worker.name, task.attempt) for worker, task in site.model.tasks_on_machines()]
     site.store.down_for.add("all")
     await wait_until(lambda: site.leader() is None, "unsure")
@@ -198,20 +198,20 @@
     site.store.heal()
     await wait_until(site.leader, "a leader again")
     assert [(worker.name, task.attempt) for worker, task in site.model.tasks_on_machines()] == before
-    await accepted(site, leader, raw_job(2, voyageS=0.5))
-    await reaches(site, leader, "req-000002", "done")
+    await submit_until_accepted(site, leader, raw_job(2, voyageS=0.5))
+    await wait_for_job_state(site, leader, "req-000002", "done")
 
 
-@live
+@with_site
 async def test_a_cloud_that_is_down_delays_and_does_not_lose(site: Site) -> None:
     site.model.cloud_down = True
-    await accepted(site, "a", raw_job(1, voyageS=0.5))
-    assert await state_of(site, "a", "req-000001") == "pending"
+    await submit_until_accepted(site, "a", raw_job(1, voyageS=0.5))
+    assert await get_job_state(site, "a", "req-000001") == "pending"
     site.model.cloud_down = False
-    await reaches(site, "a", "req-000001", "done")
+    await wait_for_job_state(site, "a", "req-000001", "done")
 
 
-@live
+@with_site
 async def test_a_full_queue_is_told_to_come_back(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
@@ -221,7 +221,7 @@
     assert status == 429 and int(headers["Retry-After"]) >= 1
 
 
-@live
+@with_site
 async def test_operators_see_a_running_controller(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
@@ -236,7 +236,7 @@
 def test_the_live_decorator_reports_failures() -> None:
     """The other tests here must be able to fail."""
 
-    @live
+    @with_site
     async def fails(site: Site) -> None:
         assert site.leader() is None
 
@@ -244,7 +244,7 @@
         fails()
 
 
-async def cut_peers(site: Site, label: str) -> list[Any]:
+async def disconnect_peers(site: Site, label: str) -> list[Any]:
     """No controller reaches this one, and it reaches none; return what undoes it."""
     undo: list[Any] = []
     for other in site.running:
@@ -257,14 +257,14 @@
     return undo
 
 
-@live
+@with_site
 async def test_a_leader_without_store_and_peers_gives_its_workers_up(site: Site) -> None:
     first = site.leader()
     assert first is not None
-    await accepted(site, first, raw_job(1, rig="daemon", hands=2))
-    await reaches(site, first, "req-000001", "running")
+    await submit_until_accepted(site, first, raw_job(1, rig="daemon", hands=2))
+    await wait_for_job_state(site, first, "req-000001", "running")
     before = {(worker.name, task.index, task.attempt) for worker, task in site.model.tasks_on_machines()}
-    undo = await cut_peers(site, first)
+    undo = await disconnect_peers(site, first)
     # It would step down by itself after a while; here only a worker's token can tell it.
     site.controllers[first].election.max_unconfirmed_s = 1000.0
     site.identify_to_store(first)
@@ -275,23 +275,23 @@
         lambda: not site.controllers[first].election.may_answer_heartbeats, "the old one has stepped down"
     )
     assert site.controllers[first].commit_pipeline.batch_sequence == batches, "it decided nothing"
-    await accepted(site, second, raw_job(2, voyageS=0.5))
-    await reaches(site, second, "req-000002", "done")
+    await submit_until_accepted(site, second, raw_job(2, voyageS=0.5))
+    await wait_for_job_state(site, second, "req-000002", "done")
     assert before <= {(worker.name, task.index, task.attempt) for worker, task in site.model.tasks_on_machines()}
     for back in undo:
         back()
     site.store.down_for.clear()
-    await reaches(site, first, "req-000001", "running")
+    await wait_for_job_state(site, first, "req-000001", "running")
 
 
-@live
+@with_site
 async def test_a_follower_that_cannot_reach_the_leader_sends_users_elsewhere(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     follower = next(label for label in "abc" if label != leader)
     assert (await site.call(follower, "GET", "/ready"))[0] == 200
-    await accepted(site, leader, raw_job(1, voyageS=0.5))
-    undo = await cut_peers(site, leader)
+    await submit_until_accepted(site, leader, raw_job(1, voyageS=0.5))
+    undo = await disconnect_peers(site, leader)
 
     async def ready(label: str) -> bool:
         return (await site.call(label, "GET", "/ready"))[0] == 200
@@ -303,13 +303,15 @@
     assert await ready(leader)
     status, _, headers = await site.call(follower, "POST", "/v1/jobs", raw_job(2))
     assert (status, headers["Connection"]) == (503, "close") and int(headers["Retry-After"]) >= 1
-    assert await state_of(site, follower, "req-000001") in ("pending", "running", "done"), "the store still tells"
+    assert await get_job_state(site, follower, "req-000001") in ("pending", "running", "done"), (
+        "the store still tells"
+    )
     for back in undo:
         back()
     await wait_until(lambda: ready(follower), "ready again")
 
 
-@live
+@with_site
 async def test_a_key_of_an_earlier_life_is_ended_at_once(site: Site) -> None:
     """A put of a life before may be carried out after its successor has looked: nobody need wait for its lease."""
     for label in "abc":
@@ -330,10 +332,12 @@
     await wait_until(site.leader, "a leader, long before that lease would end")
 
 
-@live
+@with_site
 async def test_after_all_troubles_every_controller_answers_every_question(site: Site) -> None:
     for number in (1, 2, 3):
-        await accepted(site, "a", raw_job(number, rig="daemon", hands=1, crew=("red", "blue")[number % 2]))
+        await submit_until_accepted(
+            site, "a", raw_job(number, rig="daemon", hands=1, crew=("red", "blue")[number % 2])
+        )
     site.store.down_for.add("all")
     await wait_until(lambda: site.leader() is None, "unsure")
     for label in "abc":
@@ -345,14 +349,14 @@
         for number in (1, 2, 3):
 
             async def answered(label: str = label, number: int = number) -> bool:
-                return await state_of(site, label, f"req-{number:06d}") is not None
+                return await get_job_state(site, label, f"req-{number:06d}") is not None
 
             await wait_until(answered, f"{label} answers")
     for number in (1, 2, 3):
-        await reaches(site, "b", f"req-{number:06d}", "running")
+        await wait_for_job_state(site, "b", f"req-{number:06d}", "running")
 
 
-@live
+@with_site
 async def test_a_leader_stays_unsure_while_all_are_refused_and_not_when_some_are_silent(site: Site) -> None:
     """Seen on the bench: an outage of a minute cost all running work, since the leader gave up after two leases."""
     leader = site.leader()
--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -37,7 +37,7 @@
 from .simulation import LABELS, Simulation
 
 ROOT = Path(__file__).resolve().parent.parent
-FILES = ROOT / "tests" / "surfaces"
+SURFACE_FILES = ROOT / "tests" / "surfaces"
 
 # -- settings -------------------------------------------------------------------------------------------------------
 
@@ -490,11 +490,11 @@
 
 @pytest.mark.parametrize("name", SURFACES)
 def test_a_surface_stays_as_it_is_written_down(name: str) -> None:
-    assert description(name) == (FILES / f"{name}.txt").read_text(encoding="utf-8")
+    assert description(name) == (SURFACE_FILES / f"{name}.txt").read_text(encoding="utf-8")
 
 
 # Names of the code, and the words that records, messages and `/status` have for them.
-VALUES: dict[str, dict[str, str | int]] = {
+ENUM_VALUES: dict[str, dict[str, str | int]] = {
     "Role": {
         "FOLLOWER": "follower",
         "PARTITIONED": "tending",
@@ -548,9 +548,9 @@
     return kind
 
 
-@pytest.mark.parametrize("name", VALUES)
+@pytest.mark.parametrize("name", ENUM_VALUES)
 def test_the_values_of_a_state_stay(name: str) -> None:
-    assert {member.name: member.value for member in _enumeration(name)} == VALUES[name]
+    assert {member.name: member.value for member in _enumeration(name)} == ENUM_VALUES[name]
 
 
 def test_priorities_keep_their_order() -> None:
