--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -174,18 +174,18 @@
     }
 
 
-def test_every_package_has_its_floor() -> None:
+def test_every_package_has_a_layer() -> None:
     assert {package_of(module) for module in modules(SOURCES)} - {""} == set(MAY_IMPORT)
     floors = list(MAY_IMPORT)
     for package, allowed in MAY_IMPORT.items():
         assert allowed <= set(floors[: floors.index(package)]), f"{package} may import only what is below it"
 
 
-def test_packages_import_only_what_is_below_them() -> None:
+def test_packages_import_only_lower_layers() -> None:
     assert upward_imports(import_graph(SOURCES)) == set(UPWARD_IMPORTS)
 
 
-def test_no_modules_import_one_another_in_a_ring() -> None:
+def test_modules_have_no_import_cycles() -> None:
     graph = import_graph(SOURCES)
     for module, target in UPWARD_IMPORTS:
         graph[module].discard(target)
@@ -198,7 +198,7 @@
     assert [module for module in modules(SOURCES) if module.count(".") > 1] == []
 
 
-def test_a_planted_ring_and_a_planted_import_are_found(tmp_path: Path) -> None:
+def test_injected_import_cycle_and_upward_import_are_found(tmp_path: Path) -> None:
     texts = {
         "__init__.py": "",
         "wire/__init__.py": "",
@@ -260,7 +260,7 @@
     check_sizes(long_functions(SOURCES), LONG_FUNCTIONS)
 
 
-def test_planted_lengths_are_found(tmp_path: Path) -> None:
+def test_injected_long_modules_and_functions_are_found(tmp_path: Path) -> None:
     lines = "        pass\n" * MAX_FUNCTION_LINES
     (tmp_path / "long.py").write_text(f"class A:\n    def f(self):\n{lines}\n    async def g(self):\n        pass\n")
     assert long_functions(tmp_path) == {"long:A.f": MAX_FUNCTION_LINES + 1}
@@ -457,7 +457,7 @@
         "1.5",
     ],
 )
-def test_a_planted_wrong_name_is_found(checker: PageChecker, word: str) -> None:
+def test_injected_wrong_name_is_found(checker: PageChecker, word: str) -> None:
     assert checker.wrong(f"Right: `Batch.create_job`; wrong: `{word}`; right again: `JobSpec`.") == [word]
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("limit", [160, 500, 924, 1571, 10_000])
 @pytest.mark.parametrize("peers", [0, 2, 4])
-def test_all_that_may_be_opened_stays_below_the_limit(limit: int, peers: int) -> None:
+def test_socket_budget_stays_within_the_descriptor_limit(limit: int, peers: int) -> None:
     """Guards against users and reports that take the descriptor which the lease's renewal needs."""
     budget = SocketBudget(limit, peers)
     out = [budget.lease, budget.store, budget.cloud, budget.peers, budget.workers]
@@ -50,7 +50,7 @@
     return ConnectionLimiter(most, closed.append), closed
 
 
-def test_beyond_the_bound_those_with_more_than_their_share_get_a_last_answer() -> None:
+def test_crowded_limiter_closes_connections_of_the_kind_above_its_share() -> None:
     limited, _ = limiter(16)
     for guest in range(16):
         assert limited.opened(guest)
@@ -64,7 +64,7 @@
     assert not limited.crowded and not any(limited.ended(guest) for guest in range(16) if guest not in last)
 
 
-def test_idle_users_make_room_for_reports() -> None:
+def test_idle_user_connections_make_room_for_heartbeats() -> None:
     limited, closed = limiter(16)
     for guest in range(16):
         limited.opened(guest)
@@ -90,7 +90,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 30), st.booleans()), max_size=120))
-def test_the_door_counts_as_a_plain_model_does(moves: list[tuple[int, int, bool]]) -> None:
+def test_connection_limiter_agrees_with_a_reference_model(moves: list[tuple[int, int, bool]]) -> None:
     limited, closed = limiter(8)
     plain: dict[int, tuple[ClientKind, bool]] = {}
     for move, guest, worker in moves:
@@ -124,7 +124,7 @@
 
 
 @with_site
-async def test_a_crowd_of_connections_is_served_and_the_lease_is_kept(site: Site) -> None:
+async def test_many_connections_are_served_and_the_leader_keeps_its_lease(site: Site) -> None:
     """A descriptor budget of a few dozen: every request is answered in full, whoever has too many is closed."""
     leader = site.leader()
     assert leader is not None
@@ -153,7 +153,7 @@
     assert site.controllers[leader].election.fencing_token == token, "it still leads"
 
 
-def test_a_call_to_a_worker_does_not_wait_for_machines_that_are_silent() -> None:
+def test_worker_call_does_not_wait_for_calls_to_unreachable_machines() -> None:
     """Guards against a stop that a cancellation waits for behind hundreds of calls that take their full time."""
 
     async def run() -> None:
@@ -203,7 +203,7 @@
     return failures
 
 
-def test_silence_is_borne_longer_the_more_share_it() -> None:
+def test_heartbeat_timeout_is_longer_for_correlated_failures() -> None:
     alone = counted({"north": (1, 60), "south": (2, 60)})
     assert alone.heartbeat_timeout_s("north") == 10.0 and not alone.is_partitioned("south")
     many = counted({"north": (4, 60), "south": (4, 60)})
@@ -214,7 +214,7 @@
     assert not ours.is_partitioned("north") and ours.heartbeat_timeout_s("north") == 40.0, "it is us who hear nothing"
 
 
-def test_a_zone_that_comes_back_is_waited_for_until_its_last_machine_had_its_turn() -> None:
+def test_recovering_zone_keeps_the_longer_heartbeat_timeout() -> None:
     """Guards against returning the rest of a zone, its work still running, when the first of it was heard again."""
     until_when: dict[str | None, float] = {}
     counted({"north": (60, 60), "south": (0, 60)}).retain_recent_failures(until_when, 100.0)
@@ -282,7 +282,7 @@
     return term
 
 
-def test_machines_that_hang_together_are_waited_for_and_one_alone_is_not() -> None:
+def test_machines_silent_together_are_deleted_later_than_one_alone() -> None:
     """Guards against returning fifty machines three seconds before they went on, seen on the bench."""
     now = [1000.0]
     term = partly_silent(now, 1)
@@ -315,7 +315,7 @@
     assert "vm-north-0" in {machine.name for machine in term.select_scale_in(kept(term), now[0])}, "not for ever"
 
 
-def test_machines_that_were_taken_back_are_not_waited_for_however_many() -> None:
+def test_machines_missing_from_the_cloud_list_are_lost_however_many() -> None:
     """Guards against a wave of spot machines taken without notice: silent together and never listed as failed."""
     now = [1000.0]
     term = fleet_term(now, 20)
@@ -345,7 +345,7 @@
     assert term.reachability.presumed_lost_without_heartbeat(now[0]) == {"vm-taken"}
 
 
-def test_a_new_leader_does_not_take_a_cut_off_zone_for_late_boots() -> None:
+def test_new_leader_does_not_take_a_partitioned_zone_for_late_boots() -> None:
     """Guards against returning a whole zone, seen on the bench: its machines were old and had not reported yet."""
     now = [1000.0]
     term = fleet_term(now, 20, ("south",))
@@ -361,7 +361,7 @@
     assert term.select_scale_in(kept(term), now[0]) == [booting], "the list does not call this one running"
 
 
-def test_room_for_the_work_of_many_silent_machines_boots_early_and_none_in_a_partitioned_zone() -> None:
+def test_scale_out_replaces_many_silent_machines_early_but_not_in_a_partitioned_zone() -> None:
     """Guards against waiting for the cloud's word about a hundred machines before the first new one is rented."""
     now = [1000.0]
     term = fleet_term(now, 20)
@@ -390,7 +390,7 @@
 # -- a zone cut off together with a controller ---------------------------------------------------------------
 
 
-def test_leases_kept_in_a_cut_off_zone_end_within_a_cancellations_time() -> None:
+def test_leases_kept_in_a_partitioned_zone_expire_within_the_cancellation_limit() -> None:
     """The cloud is down too, so only the end of the leases can make a cancellation true.
 
     The bound on tending and on being unsure is what this needs: with a lease more it fails.
@@ -419,7 +419,7 @@
 
 
 @with_site
-async def test_a_follower_cut_off_from_everything_keeps_leases_for_a_while(site: Site) -> None:
+async def test_isolated_follower_keeps_worker_leases_for_a_limited_time(site: Site) -> None:
     """Guards against all work of a zone ending with its leases although a controller inside could be asked."""
     leader = site.leader()
     assert leader is not None
@@ -466,7 +466,7 @@
 
 
 @with_site
-async def test_a_follower_that_still_reaches_a_controller_keeps_no_leases(site: Site) -> None:
+async def test_follower_that_reaches_a_peer_keeps_no_worker_leases(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     inside = next(label for label in "abc" if label != leader)
@@ -491,7 +491,7 @@
 
 
 @with_site
-async def test_late_copies_of_requests_change_nothing_that_was_decided_since(site: Site) -> None:
+async def test_late_duplicates_of_requests_change_no_later_decision(site: Site) -> None:
     """Submission, cancellation, peer message and lease request once more, after the controllers were back at once."""
     leader = site.leader()
     assert leader is not None
@@ -538,7 +538,7 @@
     return status == 200 and body["bearing"] in ("done", "cancelled")
 
 
-def test_a_rental_and_a_return_carried_out_late_leave_no_machine_unaccounted() -> None:
+def test_late_create_and_late_delete_leave_no_machine_unaccounted() -> None:
     """A rental that is carried out after we gave up on it.
 
     Its machines report, are adopted and used or returned. A return once more: what is gone stays gone, whatever
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -83,7 +83,7 @@
         writer.write(OK)
 
 
-def test_one_connection_serves_requests_in_turn() -> None:
+def test_connection_is_reused_for_consecutive_requests() -> None:
     async def test(server: ScriptedServer) -> None:
         client = HttpClient(4, 4, 60.0)
         client.headers["X-Sender"] = "a"
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(("total", "each"), [(1, 1), (1, 4), (3, 3), (8, 3), (3, 8)])
-def test_no_more_connections_than_allowed_and_everyone_has_a_turn(total: int, each: int) -> None:
+def test_connection_limits_hold_and_waiting_requests_are_served_in_order(total: int, each: int) -> None:
     async def test(server: ScriptedServer) -> None:
         client = HttpClient(total, each, 60.0)
         asked = [
@@ -128,7 +128,7 @@
     played(when_told, test)
 
 
-def test_an_idle_connection_elsewhere_makes_room() -> None:
+def test_idle_connection_to_another_host_is_closed_at_the_limit() -> None:
     async def test(server: ScriptedServer) -> None:
         client = HttpClient(1, 1, 60.0)
         await client.request("POST", server.address, "/", b"", 5)
@@ -143,7 +143,7 @@
     played(always_ok, test)
 
 
-def test_what_was_idle_for_long_is_not_used_again() -> None:
+def test_connection_idle_for_too_long_is_not_reused() -> None:
     async def test(server: ScriptedServer) -> None:
         client = HttpClient(2, 2, 0.0)
         for _ in range(3):
@@ -154,7 +154,7 @@
     played(always_ok, test)
 
 
-def test_a_question_on_a_connection_that_was_closed_is_asked_again_but_an_order_is_not() -> None:
+def test_get_on_a_closed_connection_is_retried_but_post_is_not() -> None:
     """A closed connection leaves it open whether a request was carried out: only a question may be repeated."""
 
     async def test(server: ScriptedServer) -> None:
@@ -181,7 +181,7 @@
     played(always_ok, test)
 
 
-def test_a_connection_that_the_server_has_closed_is_replaced() -> None:
+def test_connection_closed_by_the_server_is_replaced() -> None:
     async def test(server: ScriptedServer) -> None:
         client = HttpClient(2, 2, 60.0)
         for _ in range(3):
@@ -193,7 +193,7 @@
     played(one_each, test)
 
 
-def test_nobody_listens() -> None:
+def test_failed_connect_raises_connect_error_and_uses_no_slot() -> None:
     async def run() -> None:
         client = HttpClient(1, 1, 60.0)
         for address in (f"127.0.0.1:{free_port()}", "127.0.0.1:nonsense", "127.0.0.1"):
@@ -221,7 +221,7 @@
         pytest.param(b"", None, id="nothing"),
     ],
 )
-def test_answers_as_they_may_come(sent: bytes, expected: HttpAnswer | None) -> None:
+def test_valid_responses_are_parsed_and_others_rejected(sent: bytes, expected: HttpAnswer | None) -> None:
     async def script(server: ScriptedServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await server.read_request(reader)
         for byte in sent:
@@ -243,7 +243,7 @@
     played(script, test)
 
 
-def test_a_request_that_takes_too_long_gives_its_connection_up() -> None:
+def test_timed_out_request_closes_its_connection() -> None:
     """Guards against an answer that comes late and is taken for that of the next request."""
 
     async def test(server: ScriptedServer) -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -104,7 +104,7 @@
 
 
 @served()
-async def test_requests_of_one_connection_are_answered_in_turn_however_they_arrive(server: Server) -> None:
+async def test_fragmented_and_pipelined_requests_are_answered_in_order(server: Server) -> None:
     client = await server.connect()
     for byte in request(body=b'{"a":1}'):
         await client.send(bytes([byte]))
@@ -143,7 +143,7 @@
         pytest.param(request(path="/broken"), 503, id="broken"),
     ],
 )
-def test_what_is_no_good_request_is_answered_and_ends_nothing(data: bytes, status: int | None) -> None:
+def test_malformed_request_is_answered_and_the_server_continues(data: bytes, status: int | None) -> None:
     @served()
     async def play(server: Server) -> None:
         client = await server.connect()
@@ -160,7 +160,7 @@
 
 
 @served()
-async def test_a_body_that_goes_wrong_half_way_is_answered(server: Server) -> None:
+async def test_invalid_chunk_after_a_valid_one_is_answered(server: Server) -> None:
     """Guards against a connection that waits for ever: what follows cannot be told from the body any more."""
     client = await server.connect()
     await client.send(CHUNKED + CHUNK)
@@ -171,7 +171,7 @@
 
 
 @served()
-async def test_an_answer_that_is_the_last_is_given_whole_and_then_the_connection_ends(server: Server) -> None:
+async def test_last_response_is_sent_whole_before_the_connection_closes(server: Server) -> None:
     client = await server.connect()
     await client.send(request(path="/last"))
     status, headers, body = await client.answer()
@@ -183,7 +183,7 @@
 
 
 @served()
-async def test_a_client_that_does_not_read_its_answers_is_served_no_further(server: Server) -> None:
+async def test_client_that_does_not_read_responses_is_paused(server: Server) -> None:
     """Guards against memory taken by answers that nobody fetches."""
     client = await server.connect()
     await client.send(request(path="/large") * 100)
@@ -195,7 +195,7 @@
 
 
 @served()
-async def test_who_sends_many_requests_at_once_is_read_no_further_while_they_wait(server: Server) -> None:
+async def test_reading_pauses_while_pipelined_requests_wait(server: Server) -> None:
     client = await server.connect()
     await client.send(request(path="/later") + request(path="/x") * 3)
     await asyncio.sleep(0.05)
@@ -209,7 +209,7 @@
 
 
 @served()
-async def test_a_request_goes_on_when_its_client_is_gone(server: Server) -> None:
+async def test_request_completes_after_its_client_disconnects(server: Server) -> None:
     client = await server.connect()
     await client.send(request(path="/later"))
     await asyncio.sleep(0.05)
@@ -222,7 +222,7 @@
 
 
 @served(most=2)
-async def test_beyond_the_bound_an_idle_connection_makes_room_and_a_busy_one_does_not(server: Server) -> None:
+async def test_connection_limit_closes_an_idle_connection_but_no_busy_one(server: Server) -> None:
     idle, busy = await server.connect(), await server.connect()
     await idle.send(request())
     assert (await idle.answer())[0] == 200
@@ -236,7 +236,7 @@
     assert (await busy.answer())[0] == 201 and (await third.answer())[0] == 201
 
 
-def test_idle_connections_are_closed_after_their_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_closed_after_the_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_module, "IDLE_S", 0.2)
 
     @served()
@@ -252,7 +252,7 @@
     play()
 
 
-def test_an_answer_is_whole_on_the_wire() -> None:
+def test_response_is_encoded_as_http() -> None:
     assert encode_answer(Answer(421, b"{}"), close=False) == (
         b"HTTP/1.1 421 Misdirected Request\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
     )
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -68,7 +68,7 @@
 
 
 @with_site
-async def test_users_are_served_by_any_controller(site: Site) -> None:
+async def test_any_controller_serves_users(site: Site) -> None:
     followers = [label for label in "abc" if label != site.leader()]
     raw = raw_job(1, voyageS=0.5)
     await submit_until_accepted(site, followers[0], raw)
@@ -92,7 +92,7 @@
 
 
 @with_site
-async def test_bad_input_is_answered_at_once_and_changes_nothing(site: Site) -> None:
+async def test_invalid_input_is_rejected_and_changes_nothing(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     for label in "abc":
@@ -124,7 +124,7 @@
 
 
 @with_site
-async def test_an_accepted_job_outlives_every_controller(site: Site) -> None:
+async def test_accepted_jobs_survive_a_crash_of_all_controllers(site: Site) -> None:
     await submit_until_accepted(site, "a", raw_job(1, hands=3, voyageS=2.0))
     await submit_until_accepted(site, "a", raw_job(2, rig="group", hands=2, voyageS=2.0, crew="blue"))
     await wait_until(site.model.tasks_on_machines, "work has begun")
@@ -138,7 +138,7 @@
 
 
 @with_site
-async def test_a_leader_that_dies_is_replaced_and_a_restarted_one_joins(site: Site) -> None:
+async def test_crashed_leader_is_replaced_and_rejoins_as_a_follower(site: Site) -> None:
     first = site.leader()
     assert first is not None
     await submit_until_accepted(site, first, raw_job(1, hands=2, voyageS=3.0))
@@ -154,7 +154,7 @@
 
 
 @with_site
-async def test_a_refusal_seen_by_the_leader_alone_hands_over(site: Site) -> None:
+async def test_leader_that_alone_loses_the_store_is_replaced(site: Site) -> None:
     first = site.leader()
     assert first is not None
     await submit_until_accepted(site, first, raw_job(1, rig="daemon", hands=1))
@@ -170,7 +170,7 @@
 
 
 @with_site
-async def test_a_leader_that_no_worker_reaches_hands_over(site: Site) -> None:
+async def test_leader_that_no_worker_reaches_is_replaced(site: Site) -> None:
     first = site.leader()
     assert first is not None
     await submit_until_accepted(site, first, raw_job(1, rig="daemon", hands=1))
@@ -183,7 +183,7 @@
 
 
 @with_site
-async def test_an_outage_of_the_store_is_told_at_once_and_costs_no_work(site: Site) -> None:
+async def test_store_outage_is_answered_with_503_and_stops_no_task(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     await submit_until_accepted(site, leader, raw_job(1, rig="daemon", hands=1))
@@ -203,7 +203,7 @@
 
 
 @with_site
-async def test_a_cloud_that_is_down_delays_and_does_not_lose(site: Site) -> None:
+async def test_cloud_outage_delays_a_job_without_losing_it(site: Site) -> None:
     site.model.cloud_down = True
     await submit_until_accepted(site, "a", raw_job(1, voyageS=0.5))
     assert await get_job_state(site, "a", "req-000001") == "pending"
@@ -212,7 +212,7 @@
 
 
 @with_site
-async def test_a_full_queue_is_told_to_come_back(site: Site) -> None:
+async def test_full_queue_is_answered_with_429_and_retry_after(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     term = site.controllers[leader].scheduler
@@ -222,7 +222,7 @@
 
 
 @with_site
-async def test_operators_see_a_running_controller(site: Site) -> None:
+async def test_status_and_view_describe_a_running_controller(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     controller = site.controllers[leader]
@@ -233,7 +233,7 @@
     assert view.leader == leader and 0 <= view.store_success_age_s < 5
 
 
-def test_the_live_decorator_reports_failures() -> None:
+def test_with_site_decorator_reports_failures() -> None:
     """The other tests here must be able to fail."""
 
     @with_site
@@ -258,7 +258,7 @@
 
 
 @with_site
-async def test_a_leader_without_store_and_peers_gives_its_workers_up(site: Site) -> None:
+async def test_isolated_leader_steps_down_on_a_newer_fencing_token(site: Site) -> None:
     first = site.leader()
     assert first is not None
     await submit_until_accepted(site, first, raw_job(1, rig="daemon", hands=2))
@@ -285,7 +285,7 @@
 
 
 @with_site
-async def test_a_follower_that_cannot_reach_the_leader_sends_users_elsewhere(site: Site) -> None:
+async def test_follower_that_cannot_reach_the_leader_is_not_ready(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     follower = next(label for label in "abc" if label != leader)
@@ -312,7 +312,7 @@
 
 
 @with_site
-async def test_a_key_of_an_earlier_life_is_ended_at_once(site: Site) -> None:
+async def test_leader_key_of_an_earlier_incarnation_is_revoked_at_once(site: Site) -> None:
     """A put of a life before may be carried out after its successor has looked: nobody need wait for its lease."""
     for label in "abc":
         await site.kill(label)
@@ -333,7 +333,7 @@
 
 
 @with_site
-async def test_after_all_troubles_every_controller_answers_every_question(site: Site) -> None:
+async def test_every_controller_answers_after_an_outage_and_restarts(site: Site) -> None:
     for number in (1, 2, 3):
         await submit_until_accepted(
             site, "a", raw_job(number, rig="daemon", hands=1, crew=("red", "blue")[number % 2])
@@ -357,7 +357,7 @@
 
 
 @with_site
-async def test_a_leader_stays_unsure_while_all_are_refused_and_not_when_some_are_silent(site: Site) -> None:
+async def test_unconfirmed_leader_steps_down_only_if_a_peer_is_silent(site: Site) -> None:
     """Seen on the bench: an outage of a minute cost all running work, since the leader gave up after two leases."""
     leader = site.leader()
     assert leader is not None
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -57,7 +57,7 @@
         (("deployment", "resources", "fd_limit"), 100),
     ],
 )
-def test_a_bad_setting_is_named(path: tuple[str, ...], value: Any) -> None:
+def test_error_names_the_invalid_platform_setting(path: tuple[str, ...], value: Any) -> None:
     raw = raw_settings()
     table = raw
     for key in path[:-1]:
@@ -83,7 +83,7 @@
         ("[fleet]\ncut = 3\npartitioned = 4\n", "fleet.partitioned"),
     ],
 )
-def test_a_bad_operator_setting_is_named(tmp_path: Path, text: str, key: str) -> None:
+def test_error_names_the_invalid_operator_setting(tmp_path: Path, text: str, key: str) -> None:
     path = tmp_path / "ops.ini"
     path.write_text(text)
     with pytest.raises(SettingsError) as caught:
@@ -114,7 +114,7 @@
     ) == (0.1, 5, 7)
 
 
-def test_the_command_line_checks_and_reports(tmp_path: Path) -> None:
+def test_command_line_exit_codes_and_messages(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
     good.write_text(TOML)
     bad.write_text(TOML.replace("lease_s = 10.0", 'lease_s = "long"'))
--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -489,7 +489,7 @@
 
 
 @pytest.mark.parametrize("name", SURFACES)
-def test_a_surface_stays_as_it_is_written_down(name: str) -> None:
+def test_surface_matches_its_recorded_text(name: str) -> None:
     assert description(name) == (SURFACE_FILES / f"{name}.txt").read_text(encoding="utf-8")
 
 
@@ -549,7 +549,7 @@
 
 
 @pytest.mark.parametrize("name", ENUM_VALUES)
-def test_the_values_of_a_state_stay(name: str) -> None:
+def test_enum_values_are_unchanged(name: str) -> None:
     assert {member.name: member.value for member in _enumeration(name)} == ENUM_VALUES[name]
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -78,7 +78,7 @@
     return made
 
 
-def test_what_production_wrote_is_read_and_written_the_same_way() -> None:
+def test_production_records_round_trip_unchanged() -> None:
     jobs, orphans = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     assert len(jobs) == 6 and not orphans
     ours = layout()
@@ -103,7 +103,7 @@
             assert json.loads(wire.encode(ours.chunk_record(found, chunk))) == RECORDED["records"][key]
 
 
-def test_what_production_rewrites_loses_nothing_before_the_switch() -> None:
+def test_records_rewritten_by_production_lose_nothing_before_the_switch() -> None:
     jobs, _ = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     for found in jobs.values():
         rewritten = wire.encode(wire.decode(wire.encode(layout().head_record(found)), PlainHead))
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("row", ['["vm-1","north",1,"0"]', '["vm-1","north",1,"0",null,0]', '{"machine":"vm-1"}'])
-def test_a_placement_row_of_another_shape_is_refused(row: str) -> None:
+def test_placement_row_of_another_shape_is_rejected(row: str) -> None:
     """Guards against a row that a later version extends, and that we would cut when we rewrite its record."""
     text = b'["1-3",[["vm-1","north",1,"0",2.5],["vm-1","north",1,"4-6",null]]]'
     assert wire.encode(wire.decode(text, ChunkRecord)) == text
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(("rows", "switched"), [("records", False), ("second_version", True)])
-def test_what_the_version_before_wrote_is_read_and_written_to_the_letter(rows: str, switched: bool) -> None:
+def test_records_of_the_previous_version_round_trip_unchanged(rows: str, switched: bool) -> None:
     """Each version works on the other's data, of both data versions: what ours writes is what 0.4.0 would write."""
     written = BEFORE[rows]
     jobs, orphans = decode_job_records(items(JOBS_PREFIX, written), items(CHUNKS_PREFIX, written))
@@ -143,14 +143,14 @@
         assert jobs["req-000007"].spec.dependencies == ("req-000001", "req-000003")
 
 
-def test_messages_of_the_version_before_are_ours_to_the_letter() -> None:
+def test_messages_of_the_previous_version_round_trip_unchanged() -> None:
     for message in BEFORE["messages"]:
         known: Any = wire.decode(wire.encode(message), peers.PeerMessage)  # type: ignore[arg-type]
         assert json.loads(wire.encode(known)) == message
         assert getattr(known, "data_version", 2) == 2
 
 
-def test_messages_of_both_versions_are_understood() -> None:
+def test_production_messages_are_decoded_and_only_extended_at_the_end() -> None:
     for message in RECORDED["messages"]:
         raw = wire.encode(message)
         known: Any = wire.decode(raw, peers.PeerMessage)  # type: ignore[arg-type]
@@ -160,7 +160,7 @@
     assert json.loads(wire.encode(peers.Ping("a", 2))) == ["ping", "a", 2]
 
 
-def test_settings_name_the_limits_to_come() -> None:
+def test_settings_give_present_and_future_limits() -> None:
     today = platform()
     assert (today.value_bytes, today.txn_ops, today.first_value_bytes, today.first_txn_ops) == (8192, 24, 8192, 24)
     coming = platform(next=NEXT)
@@ -170,7 +170,7 @@
     assert "next" not in raw_settings()["deployment"]["state"]
 
 
-def test_a_move_that_ends_in_the_middle_leaves_the_old_records_valid() -> None:
+def test_interrupted_record_migration_leaves_the_old_records_valid() -> None:
     """Chunks of another split than the head names are garbage, of whatever number."""
     jobs, _ = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
     big = jobs["req-000003"]
@@ -207,7 +207,7 @@
     ) == {7}
 
 
-def test_a_cancellation_of_a_job_that_is_not_moved_yet_goes_first() -> None:
+def test_cancelled_job_is_migrated_before_other_jobs() -> None:
     model = ReferenceModel(3, platform(next=NEXT, value_kb=16.0), MACHINE_TYPES)
     model.elect(previous_version=True)
     for number in range(1, 6):
@@ -231,7 +231,7 @@
     assert not any(task.job.id == last for _, task in model.tasks_on_machines())
 
 
-def test_a_gang_of_many_records_can_change_before_the_switch() -> None:
+def test_gang_of_many_records_can_change_before_the_switch() -> None:
     """Guards against everything waiting behind it: more records than the lower limit allows to change at once."""
     site = platform(next=NEXT | {"txn_ops": 3})
     jobs, _ = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
@@ -247,7 +247,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_versions_take_turns_and_limits_fall(seed: int) -> None:
+def test_leaders_of_both_versions_alternate_while_limits_are_lowered(seed: int) -> None:
     """Old and new lead in turn and rewrite each other's records.
 
     The switch comes at any moment, limits fall at any later one, and a leader may end between any two
@@ -317,7 +317,7 @@
         await simulation.advance(5.0)
 
 
-def test_the_switch_comes_with_the_last_controller_and_limits_may_fall_at_once() -> None:
+def test_data_version_switches_after_the_last_upgrade_and_limits_may_be_lowered_at_once() -> None:
     async def scenario(simulation: Simulation) -> None:
         for number in range(1, 5):
             simulation.submit_until_accepted(big(number))
@@ -334,7 +334,7 @@
     simulation.run_scenario(scenario)
 
 
-def test_limits_that_fall_before_the_switch_prove_that_all_are_new() -> None:
+def test_limits_lowered_before_the_switch_cause_the_switch() -> None:
     """A refusal for size ends no term, turns in no circle and loses nothing."""
 
     async def scenario(simulation: Simulation) -> None:
@@ -360,7 +360,7 @@
     simulation.run_scenario(scenario)
 
 
-def test_what_a_submission_needs_is_answered_at_any_controller() -> None:
+def test_dependencies_are_checked_by_every_controller() -> None:
     async def scenario(simulation: Simulation) -> None:
         simulation.submit_until_accepted(raw_job(1, voyageS=40.0, hands=1))
         simulation.submit_until_accepted(raw_job(2, rig="daemon", hands=1, voyageS=0.0))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -43,13 +43,13 @@
         ("crew", "x" * 300),
     ],
 )
-def test_a_wrong_field_is_named(field: str, value: Any) -> None:
+def test_error_names_the_invalid_field(field: str, value: Any) -> None:
     with pytest.raises(InvalidFieldError) as caught:
         parse_submission(raw_job(**{field: value}))
     assert caught.value.field == field
 
 
-def test_a_missing_field_is_named_and_unknown_ones_are_ignored() -> None:
+def test_error_names_the_missing_field_and_unknown_fields_are_ignored() -> None:
     for field in ("nameId", "cargo", "hands", "stowS"):
         raw = raw_job()
         del raw[field]
@@ -72,7 +72,7 @@
         max_leaves=6,
     ).map(msgspec.json.encode)
 )
-def test_any_body_is_an_object_or_a_clean_error(body: bytes) -> None:
+def test_any_body_is_parsed_or_rejected_with_a_field_name(body: bytes) -> None:
     wrong_field = None
     try:
         raw = parse_object(body)
@@ -84,12 +84,12 @@
     assert wrong_field in (None, "body", "nameId")
 
 
-def test_deep_nesting_is_malformed_not_a_crash() -> None:
+def test_deep_nesting_is_rejected_without_a_crash() -> None:
     with pytest.raises(InvalidFieldError):
         parse_object(b'{"a":' + b"[" * 30_000 + b"]" * 30_000 + b"}")
 
 
-def test_names_on_the_wire() -> None:
+def test_wire_names_of_heartbeats_and_commands() -> None:
     heartbeat = wire.decode(
         b'{"bollard":"vm-1","addr":"h:1","build":"g","harbor":"a","driftwood":true,"watch":1,"knot":8,"helm":4,'
         b'"hands":[{"hand":"req-1/3","launch":2,"bearing":"exited","wreck":"done"}],"new":1}',
@@ -112,7 +112,7 @@
         assert parse_task_name(name) is None
 
 
-def test_controllers_talk_in_tagged_tuples() -> None:
+def test_peer_messages_are_tagged_arrays() -> None:
     text = wire.encode(peers.ForwardRequest("GET", "/v1/jobs/req-1", ""))
     assert text == b'["forward","GET","/v1/jobs/req-1",""]'
     assert wire.decode(text, peers.PeerMessage) == peers.ForwardRequest("GET", "/v1/jobs/req-1", "")  # type: ignore[arg-type]
