--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client over real connections: kept ones, bounds, answers in pieces, and servers that misbehave."""
+"""The HTTP client over real connections: reuse, limits, fragmented responses, and servers that misbehave."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,14 +14,14 @@
 
 
 class ScriptedServer:
-    """Answers each connection as a script says, and counts."""
+    """A server that runs a script on each connection, and counts connections and requests."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
         self.port = free_port()
-        self.connections = self.open = self.most_open = 0
+        self.connections = self.open = self.max_open = 0
         self.requests: list[bytes] = []
-        self.go_on = asyncio.Event()
+        self.release = asyncio.Event()
 
     @property
     def address(self) -> str:
@@ -29,7 +29,7 @@
         return f"127.0.0.1:{self.port}"
 
     async def read_request(self, reader: asyncio.StreamReader) -> bool:
-        """Take in one request; False at the connection's end."""
+        """Read and record one request; return False if the connection is closed."""
         try:
             head = await reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionResetError):
@@ -39,10 +39,10 @@
         return True
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Play the script on one connection."""
+        """Run the script on one connection."""
         self.connections += 1
         self.open += 1
-        self.most_open = max(self.most_open, self.open)
+        self.max_open = max(self.max_open, self.open)
         try:
             await self.script(self, reader, writer)
         except ConnectionResetError:
@@ -52,8 +52,8 @@
             writer.close()
 
 
-def played(script: Script, test: Callable[[ScriptedServer], Awaitable[None]]) -> None:
-    """Run a test against a server with that script."""
+def run_with_server(script: Script, test: Callable[[ScriptedServer], Awaitable[None]]) -> None:
+    """Run a test against a server that runs a script on each connection."""
 
     async def run() -> None:
         server = ScriptedServer(script)
@@ -71,14 +71,18 @@
         writer.write(OK)
 
 
-async def when_told(server: ScriptedServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def ok_after_release(
+    server: ScriptedServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     while await server.read_request(reader):
-        await server.go_on.wait()
+        await server.release.wait()
         writer.write(OK)
 
 
-async def one_each(server: ScriptedServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """One answer a connection, which is then closed without a word."""
+async def one_response_per_connection(
+    server: ScriptedServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
+    """Answer one request per connection; the connection is then closed without a `Connection: close` header."""
     if await server.read_request(reader):
         writer.write(OK)
 
@@ -98,34 +102,36 @@
         assert b"Content-Length" not in server.requests[-1]
         await client.close()
 
-    played(always_ok, test)
+    run_with_server(always_ok, test)
 
 
 @pytest.mark.parametrize(("total", "each"), [(1, 1), (1, 4), (3, 3), (8, 3), (3, 8)])
 def test_connection_limits_hold_and_waiting_requests_are_served_in_order(total: int, each: int) -> None:
     async def test(server: ScriptedServer) -> None:
         client = HttpClient(total, each, 60.0)
-        asked = [
+        tasks = [
             asyncio.ensure_future(client.request("POST", server.address, f"/{number}", b"", 30))
             for number in range(20)
         ]
         await asyncio.sleep(0.1)
         assert len(server.requests) == min(total, each)
-        # Some give up while they wait: their turns go to others.
-        for task in asked[5:9]:
+        # Some requests are cancelled while they wait: the next ones take their turns.
+        for task in tasks[5:9]:
             task.cancel()
-        server.go_on.set()
-        answers = await asyncio.gather(*asked, return_exceptions=True)
+        server.release.set()
+        answers = await asyncio.gather(*tasks, return_exceptions=True)
         assert [isinstance(answer, HttpAnswer) for answer in answers] == [not 5 <= n < 9 for n in range(20)]
-        assert server.most_open == min(total, each)
-        # Requests on connections of their own may pass one another on their way.
+        assert server.max_open == min(total, each)
+        # Requests on separate connections may overtake one another in transit.
         order = [int(request.split()[1][1:]) for request in server.requests]
-        due = [n for n in range(20) if not 5 <= n < 9]
-        passed = max(abs(order.index(number) - place) for place, number in enumerate(due))
-        assert sorted(order) == due and passed < min(total, each), "first come, first served"
+        expected_order = [n for n in range(20) if not 5 <= n < 9]
+        max_displacement = max(abs(order.index(number) - place) for place, number in enumerate(expected_order))
+        assert sorted(order) == expected_order and max_displacement < min(total, each), (
+            "requests are served in the order of their arrival"
+        )
         await client.close()
 
-    played(when_told, test)
+    run_with_server(ok_after_release, test)
 
 
 def test_idle_connection_to_another_host_is_closed_at_the_limit() -> None:
@@ -140,7 +146,7 @@
         await client.close()
         listening.close()
 
-    played(always_ok, test)
+    run_with_server(always_ok, test)
 
 
 def test_connection_idle_for_too_long_is_not_reused() -> None:
@@ -151,34 +157,37 @@
         assert server.connections == 3
         await client.close()
 
-    played(always_ok, test)
+    run_with_server(always_ok, test)
 
 
 def test_get_on_a_closed_connection_is_retried_but_post_is_not() -> None:
-    """A closed connection leaves it open whether a request was carried out: only a question may be repeated."""
+    """Guards against a request that is executed twice.
+
+    If the connection is closed, the client does not know whether the request was executed: only a GET may be retried.
+    """
 
     async def test(server: ScriptedServer) -> None:
         client = HttpClient(2, 2, 60.0)
         loop = asyncio.get_running_loop()
         await client.request("POST", server.address, "/", b"", 5)
         connection = client._idle[server.address][0]
-        # The server's close is on its way: we still take the connection for a good one.
-        sent = connection.exchange
+        # The connection is closed after the client has chosen it for the request.
+        original_exchange = connection.exchange
 
-        async def lost(request: bytes) -> HttpAnswer:
+        async def close_before_exchange(request: bytes) -> HttpAnswer:
             loop.call_soon(connection.close)
-            return await sent(request)
+            return await original_exchange(request)
 
-        connection.exchange = lost  # type: ignore[method-assign]
+        connection.exchange = close_before_exchange  # type: ignore[method-assign]
         assert (await client.request("GET", server.address, "/", None, 5)).status == 200
         connection = client._idle[server.address][0]
-        sent = connection.exchange
-        connection.exchange = lost  # type: ignore[method-assign]
+        original_exchange = connection.exchange
+        connection.exchange = close_before_exchange  # type: ignore[method-assign]
         with pytest.raises(HttpError):
             await client.request("POST", server.address, "/", b"", 5)
         await client.close()
 
-    played(always_ok, test)
+    run_with_server(always_ok, test)
 
 
 def test_connection_closed_by_the_server_is_replaced() -> None:
@@ -190,7 +199,7 @@
         assert server.connections == 3
         await client.close()
 
-    played(one_each, test)
+    run_with_server(one_response_per_connection, test)
 
 
 def test_failed_connect_raises_connect_error_and_uses_no_slot() -> None:
@@ -199,13 +208,13 @@
         for address in (f"127.0.0.1:{free_port()}", "127.0.0.1:nonsense", "127.0.0.1"):
             with pytest.raises(ConnectError):
                 await client.request("POST", address, "/", b"", 5)
-        assert not client._open, "what failed takes no place"
+        assert not client._open, "a failed connection uses no slot"
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize(
-    ("sent", "expected"),
+    ("response", "expected"),
     [
         pytest.param(b"HTTP/1.1 100 Continue\r\n\r\n" + OK, HttpAnswer(200, b"ok"), id="continue"),
         pytest.param(b"HTTP/1.1 204 No Content\r\n\r\n", HttpAnswer(204, b""), id="no content"),
@@ -221,16 +230,16 @@
         pytest.param(b"", None, id="nothing"),
     ],
 )
-def test_valid_responses_are_parsed_and_others_rejected(sent: bytes, expected: HttpAnswer | None) -> None:
+def test_valid_responses_are_parsed_and_others_rejected(response: bytes, expected: HttpAnswer | None) -> None:
     async def script(server: ScriptedServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await server.read_request(reader)
-        for byte in sent:
+        for byte in response:
             writer.write(bytes([byte]))
             await writer.drain()
 
     async def test(server: ScriptedServer) -> None:
         client = HttpClient(1, 1, 60.0)
-        # Whatever came, the place is free again for a second one.
+        # After any response the slot is free for a second request.
         for _ in range(2):
             if expected is not None:
                 assert await client.request("POST", server.address, "/", b"", 5) == expected
@@ -240,22 +249,22 @@
             await asyncio.sleep(0.05)
         await client.close()
 
-    played(script, test)
+    run_with_server(script, test)
 
 
 def test_timed_out_request_closes_its_connection() -> None:
-    """Guards against an answer that comes late and is taken for that of the next request."""
+    """Guards against a late response that is taken for the response to the next request."""
 
     async def test(server: ScriptedServer) -> None:
         client = HttpClient(1, 1, 60.0)
-        server.go_on.set()
+        server.release.set()
         assert (await client.request("POST", server.address, "/before", b"", 5)).status == 200
-        server.go_on.clear()
+        server.release.clear()
         with pytest.raises(TimeoutError):
             await client.request("POST", server.address, "/first", b"", 0.1)
-        server.go_on.set()
+        server.release.set()
         assert (await client.request("POST", server.address, "/second", b"", 5)).status == 200
         assert server.connections == 2
         await client.close()
 
-    played(when_told, test)
+    run_with_server(ok_after_release, test)
