--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,6 +1,6 @@
-"""The shape of the sources: which package imports which, no rings, sizes, and pages that name what there is.
+"""Architecture of the sources: imports between packages, import cycles, sizes, and names on documentation pages.
 
-An exception is listed with its reason and must shrink: a test fails when one is no longer needed.
+Each exception is listed with its reason. A test fails if an exception grows or is no longer needed.
 """
 
 import ast
@@ -20,7 +20,7 @@
 MAX_MODULE_LINES = 300
 MAX_FUNCTION_LINES = 40
 
-# Which package may import which, from the lowest floor up. All may import `errors`, and the version at the root.
+# The packages that each package may import, from the lowest layer up. All may import `errors` and the root package.
 MAY_IMPORT = {
     "errors": set[str](),
     "wire": set[str](),
@@ -79,28 +79,28 @@
     },
     "cli": {"settings", "controller", "sharing"},
 }
-# Arrows that run up: importing module and imported module, with the reason.
+# Allowed imports from a higher layer: importing module and imported module, with the reason.
 UPWARD_IMPORTS = {
-    ("api.forwarding", "peers.client"): "a follower's users are served through the leader's peer interface",
+    ("api.forwarding", "peers.client"): "a follower forwards user requests to the leader's peer interface",
 }
-# Packages within which modules import one another in a ring.
-IMPORT_CYCLES = {"sharing": "the host makes its parts, and each part is given the host"}
-# Modules of more lines than `MAX_MODULE_LINES`, with those they have: they may not grow.
+# Packages whose modules may import one another in a cycle, with the reason.
+IMPORT_CYCLES = {"sharing": "the shard host creates its parts, and each part refers to the shard host"}
+# Modules longer than `MAX_MODULE_LINES`, with their number of lines, which may not grow.
 LONG_MODULES: dict[str, int] = {}
-# Functions of more lines than `MAX_FUNCTION_LINES`, with those they have: they may not grow.
+# Functions longer than `MAX_FUNCTION_LINES`, with their number of lines, which may not grow.
 LONG_FUNCTIONS = {
-    # Names the parts of a term one by one, and does nothing else.
+    # Only creates the parts of a scheduler, one by one.
     "scheduler.scheduler:Scheduler.__init__": 41,
     "settings.platform:parse_platform": 76,
 }
 
-# -- imports --------------------------------------------------------------------------------------------------------
+# Imports.
 
 Graph = dict[str, set[str]]
 
 
 def modules(sources: Path) -> dict[str, Path]:
-    """Return the modules' files by their names within the package; a package's own module has the package's name."""
+    """Return module names, relative to `sources`, and their files; an `__init__.py` has the name of its package."""
     return {
         ".".join(path.relative_to(sources).with_suffix("").parts).removesuffix("__init__").rstrip("."): path
         for path in sorted(sources.rglob("*.py"))
@@ -108,7 +108,7 @@
 
 
 def imported_names(module: str, path: Path) -> Iterator[str]:
-    """Return what a module imports of `driftcleat`: anywhere in it, also for the type checker alone."""
+    """Yield the names that a module imports from `driftcleat`, also inside functions and for type checking only."""
     package = module if path.name == "__init__.py" else module.rpartition(".")[0]
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -125,19 +125,19 @@
 
 
 def import_graph(sources: Path) -> Graph:
-    """Return which module imports which."""
+    """Return for each module the modules that it imports."""
     known = modules(sources)
     graph: Graph = {module: set() for module in known}
     for module, path in known.items():
         for name in imported_names(module, path):
-            # The name of a module, or of something in one.
+            # `name` is a module or a name that a module defines.
             target = name if name in known else name.rpartition(".")[0]
             graph[module].add(target)
     return graph
 
 
-def rings(graph: Graph) -> list[list[str]]:
-    """Return the sets of modules that import one another, however far around."""
+def import_cycles(graph: Graph) -> list[list[str]]:
+    """Return the sets of modules that import one another, directly or through other modules."""
     reached = {module: _reachable(graph, module) for module in graph}
     found = {
         tuple(sorted(other for other in seen if module in reached[other]))
@@ -149,17 +149,17 @@
 
 def _reachable(graph: Graph, start: str) -> set[str]:
     seen: set[str] = set()
-    left = list(graph[start])
-    while left:
-        module = left.pop()
+    pending = list(graph[start])
+    while pending:
+        module = pending.pop()
         if module not in seen:
             seen.add(module)
-            left.extend(graph[module])
+            pending.extend(graph[module])
     return seen
 
 
 def package_of(module: str) -> str:
-    """Return the package of a module; a module beside the packages is its own."""
+    """Return the package of a module; a module outside of packages counts as a package."""
     return module.partition(".")[0]
 
 
@@ -176,9 +176,9 @@
 
 def test_every_package_has_a_layer() -> None:
     assert {package_of(module) for module in modules(SOURCES)} - {""} == set(MAY_IMPORT)
-    floors = list(MAY_IMPORT)
+    layers = list(MAY_IMPORT)
     for package, allowed in MAY_IMPORT.items():
-        assert allowed <= set(floors[: floors.index(package)]), f"{package} may import only what is below it"
+        assert allowed <= set(layers[: layers.index(package)]), f"{package} may import lower layers only"
 
 
 def test_packages_import_only_lower_layers() -> None:
@@ -189,9 +189,9 @@
     graph = import_graph(SOURCES)
     for module, target in UPWARD_IMPORTS:
         graph[module].discard(target)
-    found = rings(graph)
-    assert [ring for ring in found if {package_of(module) for module in ring} - set(IMPORT_CYCLES)] == []
-    assert {package_of(module) for ring in found for module in ring} == set(IMPORT_CYCLES)
+    found = import_cycles(graph)
+    assert [cycle for cycle in found if {package_of(module) for module in cycle} - set(IMPORT_CYCLES)] == []
+    assert {package_of(module) for cycle in found for module in cycle} == set(IMPORT_CYCLES)
 
 
 def test_packages_are_one_level_deep() -> None:
@@ -213,21 +213,21 @@
         path.parent.mkdir(exist_ok=True)
         path.write_text(text)
     graph = import_graph(tmp_path)
-    assert rings(graph) == [["cluster.jobs", "cluster.state"]]
+    assert import_cycles(graph) == [["cluster.jobs", "cluster.state"]]
     assert upward_imports(graph) == {("wire.users", "cluster.jobs")}
 
 
-# -- sizes ----------------------------------------------------------------------------------------------------------
+# Sizes.
 
 
 def long_modules(sources: Path) -> dict[str, int]:
-    """Return the modules of too many lines, with how many they have."""
+    """Return the modules that are too long, with their number of lines."""
     sizes = {module: len(path.read_text(encoding="utf-8").splitlines()) for module, path in modules(sources).items()}
     return {module: lines for module, lines in sizes.items() if lines > MAX_MODULE_LINES}
 
 
 def functions(node: ast.AST, within: str = "") -> Iterator[tuple[str, int]]:
-    """Return the names of all functions within a piece of code, and their lines from `def` on."""
+    """Yield the qualified name of each function within a node, and its number of lines from `def` on."""
     for inner in ast.iter_child_nodes(node):
         named = isinstance(inner, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef)
         name = f"{within}{inner.name}" if named else ""  # type: ignore[attr-defined]
@@ -237,7 +237,7 @@
 
 
 def long_functions(sources: Path) -> dict[str, int]:
-    """Return the functions of too many lines, with how many they have."""
+    """Return the functions that are too long, with their number of lines."""
     return {
         f"{module}:{name}": lines
         for module, path in modules(sources).items()
@@ -247,9 +247,9 @@
 
 
 def check_sizes(found: dict[str, int], excepted: dict[str, int]) -> None:
-    """Fail for what is too long and not excepted, what has grown, and exceptions that are not needed any more."""
+    """Fail if something is too long without an exception, has grown beyond it, or no longer needs it."""
     assert {name: lines for name, lines in found.items() if lines > excepted.get(name, 0)} == {}
-    assert set(excepted) - set(found) == set(), "these are short enough now: take them off the list"
+    assert set(excepted) - set(found) == set(), "these are short enough: remove them from the exceptions"
 
 
 def test_modules_are_short() -> None:
@@ -272,15 +272,15 @@
     check_sizes(long_modules(tmp_path), {"longer": MAX_MODULE_LINES + 1})
 
 
-# -- names on pages -------------------------------------------------------------------------------------------------
+# Names on documentation pages.
 
 
-class Names:
-    """All names that the sources define: of modules, classes and their members, functions, variables."""
+class DefinedNames:
+    """The names that the sources define: modules, classes and their members, functions, and variables."""
 
     def __init__(self, sources: Path) -> None:
         self.modules = modules(sources)
-        # What a module, or a class of this name, defines.
+        # Names that a module or class defines, by the name of the module or class.
         self.members: dict[str, set[str]] = defaultdict(set)
         self.bases: dict[str, set[str]] = defaultdict(set)
         self.classes: set[str] = set()
@@ -321,21 +321,21 @@
         return member in self.members[name] or any(self._class_has(base, member) for base in self.bases[name])
 
     def has(self, dotted: str) -> bool:
-        """Whether there is a `Class.member`, `module.name` or `package.module`."""
+        """Return whether the sources define a `Class.member`, `module.name` or `package.module`."""
         owner, _, name = dotted.rpartition(".")
         if owner in self.classes:
             return self._class_has(owner, name)
         if any(module == dotted or module.endswith(f".{dotted}") for module in self.modules):
             return True
-        holders = [module for module in self.modules if module == owner or module.endswith(f".{owner}")]
-        if holders:
-            return any(name in self.members[module] for module in holders)
-        # A member of a class that is named with its module.
+        matching_modules = [module for module in self.modules if module == owner or module.endswith(f".{owner}")]
+        if matching_modules:
+            return any(name in self.members[module] for module in matching_modules)
+        # The remaining form is `module.Class.member`.
         return "." in owner and self.has(owner) and self.has(f"{owner.rpartition('.')[2]}.{name}")
 
 
 def setting_names() -> set[str]:
-    """Return the names of settings as pages give them: whole, or the last part alone."""
+    """Return the names of settings as pages may give them: the full path, or its last part alone."""
     found: set[str] = set()
 
     def add(value: object, path: str) -> None:
@@ -355,7 +355,7 @@
 
 DOTTED = re.compile(r"[A-Za-z_][A-Za-z0-9_]*(\.[A-Za-z_][A-Za-z0-9_]*)+\Z")
 OUR_FILE = re.compile(r"[A-Za-z0-9_/.-]+\.(py|md)\Z")
-# Commands and requests, options, paths of URLs, and files of a platform or an operator, such as SITE.toml.
+# Commands and HTTP requests, options, URL paths, and names of settings or data files, such as SITE.toml.
 NOT_CHECKED = (
     re.compile(r"(run\.py|python|GET|POST|DELETE) [^`]+\Z"),
     re.compile(r"--[a-z-]+\Z"),
@@ -365,27 +365,27 @@
 
 
 def in_backticks(page: str) -> list[str]:
-    """Return the words in backticks outside blocks of code."""
+    """Return the texts in backticks on a page, except in code blocks."""
     return re.findall(r"`([^`\n]+)`", re.sub(r"^```.*?^```", "", page, flags=re.MULTILINE | re.DOTALL))
 
 
 class PageChecker:
-    """Tells which words in backticks name nothing that exists.
+    """Finds texts in backticks that name nothing that exists.
 
-    What has one of the forms in `NOT_CHECKED` is passed. All else names something that exists: a file, folder or
-    store key if it has a slash or the ending of one of our files; otherwise a setting, something that the sources
-    define, or the value of a state.
+    Texts that match `NOT_CHECKED` pass. A text with a slash, or with the suffix `.py` or `.md`, must name a file, a
+    directory, or the beginning of a store key. Any other text must name a setting, a name that the sources define, or
+    an enum value.
     """
 
     def __init__(self, root: Path = ROOT) -> None:
         self._root = root
-        self._names = Names(root / "driftcleat")
+        self._names = DefinedNames(root / "driftcleat")
         self._settings = setting_names()
         self._values = {str(value) for values in ENUM_VALUES.values() for value in values.values()}
         self._keys = (SURFACE_FILES / "store-keys.txt").read_text(encoding="utf-8").splitlines()
 
     def wrong(self, page: str) -> list[str]:
-        """Return the words that name nothing that exists."""
+        """Return the texts in backticks that name nothing that exists."""
         return [word for word in dict.fromkeys(in_backticks(page)) if not self._is_right(word)]
 
     def _is_right(self, word: str) -> bool:
@@ -412,7 +412,7 @@
 
 
 def code_columns(glossary: str) -> str:
-    """Return the last two columns of the glossary's tables: names in the code, and where they are mapped."""
+    """Return the last two columns of the glossary's tables: names in the code, and where they map to outer names."""
     rows = [line.strip().strip("|").split("|") for line in glossary.splitlines() if line.startswith("|")]
     return "\n".join("|".join(row[-2:]) for row in rows)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files are used only when every value is right; otherwise one line names file and key."""
+"""Settings files are accepted only if every value is valid; otherwise an error of one line names file and key."""
 
 from pathlib import Path
 from typing import Any
@@ -53,7 +53,7 @@
         (("deployment", "workers", "report_s"), None),
         (("deployment", "teams"), [{"name": "x"}, {"name": "x"}]),
         (("known",), [{"label": "a", "domain": "z", "address": "h:1"}]),
-        # Guards against a process that starts and then has no descriptor for its lease's renewal.
+        # Guards against a process that starts but has too few descriptors to keep its lease alive.
         (("deployment", "resources", "fd_limit"), 100),
     ],
 )
@@ -118,14 +118,14 @@
     good, bad = tmp_path / "good.toml", tmp_path / "bad.toml"
     good.write_text(TOML)
     bad.write_text(TOML.replace("lease_s = 10.0", 'lease_s = "long"'))
-    run = CliRunner()
-    assert run.invoke(main, ["check", str(good)]).exit_code == 0
-    result = run.invoke(main, ["check", str(bad)])
+    runner = CliRunner()
+    assert runner.invoke(main, ["check", str(good)]).exit_code == 0
+    result = runner.invoke(main, ["check", str(bad)])
     assert result.exit_code == 2 and "deployment.workers.lease_s" in result.output
     assert "Traceback" not in result.output and result.output.count("\n") == 1
-    result = run.invoke(main, ["--config", str(tmp_path / "none.toml")])
+    result = runner.invoke(main, ["--config", str(tmp_path / "none.toml")])
     assert result.exit_code == 2 and "none.toml" in result.output
-    assert "driftcleat" in run.invoke(main, ["--version"]).output
-    assert "check" in run.invoke(main, ["--help"]).output
-    result = run.invoke(main, ["status", "127.0.0.1:1"])
+    assert "driftcleat" in runner.invoke(main, ["--version"]).output
+    assert "check" in runner.invoke(main, ["--help"]).output
+    result = runner.invoke(main, ["status", "127.0.0.1:1"])
     assert result.exit_code == 1 and "cannot be reached" in result.output
--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -1,9 +1,9 @@
-"""What others rely on, held as written text: settings, command line, JSON, store keys, messages, values of states.
+"""Recorded texts of the external interfaces: settings, command line, JSON, store keys, messages, enum values.
 
-Each surface is described by a function and held in a file of `tests/surfaces`. The files were written by these same
-functions from the sources of 0.7.0, before the names in the code were changed: the functions name no struct and no
-attribute, so they describe both alike. A file changes only with an intended change of the interface; then
-`description(NAME)` gives its new text.
+Each surface is described by a function, and its expected description is a file in `tests/surfaces`. These functions
+wrote the files from the sources of 0.7.0. They name no struct and no attribute, so a rename in the code does not
+change a description. A file changes only with an intended change of the interface; `description(NAME)` then returns
+its new text.
 """
 
 import dataclasses
@@ -39,11 +39,11 @@
 ROOT = Path(__file__).resolve().parent.parent
 SURFACE_FILES = ROOT / "tests" / "surfaces"
 
-# -- settings -------------------------------------------------------------------------------------------------------
+# Settings.
 
 
-def _refusal(load: typing.Callable[[str], Any], path: Path, text: str) -> str:
-    """Return the text that refuses a settings file, or "accepted"."""
+def _load_result(load: typing.Callable[[str], Any], path: Path, text: str) -> str:
+    """Return the error message for a settings file with this text, or "accepted"."""
     path.write_text(text)
     try:
         load(str(path))
@@ -53,48 +53,48 @@
 
 
 def _operator_keys() -> Iterator[str]:
-    """Say each operators' key with its older name, default and bounds, and what refuses a value beyond them."""
+    """Yield each operator setting with its former name, default, bounds and help text."""
     for entry in dataclasses.fields(Tuning):
-        about = entry.metadata
-        names = about["key"] if about["alias"] is None else f"{about['key']} (once {about['alias']})"
-        bounds = f"{about['low']:g} to {about['high']:g}"
-        yield f"{about['section']}.{names} = {entry.default:g}, {bounds}: {about['help']}"
+        metadata = entry.metadata
+        names = metadata["key"] if metadata["alias"] is None else f"{metadata['key']} (once {metadata['alias']})"
+        bounds = f"{metadata['low']:g} to {metadata['high']:g}"
+        yield f"{metadata['section']}.{names} = {entry.default:g}, {bounds}: {metadata['help']}"
 
 
-def _operator_behaviour(folder: Path) -> Iterator[str]:
+def _operator_results(folder: Path) -> Iterator[str]:
     path = folder / "ops.ini"
     for entry in dataclasses.fields(Tuning):
-        about = entry.metadata
-        for name in filter(None, (about["key"], about["alias"])):
-            for value in (about["low"], about["high"], about["high"] * 2 + 1, "many"):
-                said = _refusal(load_tuning, path, f"[{about['section']}]\n{name} = {value}\n")
-                yield f"{about['section']}.{name} = {value}: {said}"
+        metadata = entry.metadata
+        for name in filter(None, (metadata["key"], metadata["alias"])):
+            for value in (metadata["low"], metadata["high"], metadata["high"] * 2 + 1, "many"):
+                result = _load_result(load_tuning, path, f"[{metadata['section']}]\n{name} = {value}\n")
+                yield f"{metadata['section']}.{name} = {value}: {result}"
     for text in ("[fleet]\nsample = 3\n", "[other]\nsample = 3\n", "[DEFAULT]\nidle = 3\n", "idle = 3\n"):
-        yield f"{text!r}: {_refusal(load_tuning, path, text)}"
+        yield f"{text!r}: {_load_result(load_tuning, path, text)}"
 
 
-def _sharing_behaviour(folder: Path) -> Iterator[str]:
+def _sharing_results(folder: Path) -> Iterator[str]:
     path = folder / "sharing.ini"
     for entry in dataclasses.fields(SharingSettings):
         yield f"sharing.{entry.name} = {entry.default}"
         for value in (-1, 0, 0.1, 1, 1.5, 33, 101, 10_001, "many"):
-            yield f"sharing.{entry.name} = {value}: " + _refusal(
+            yield f"sharing.{entry.name} = {value}: " + _load_result(
                 load_sharing, path, f"[sharing]\n{entry.name} = {value}\n"
             )
     for text in ("", "[other]\n", "[sharing]\nother = 1\n"):
-        yield f"{text!r}: {_refusal(load_sharing, path, text)}"
+        yield f"{text!r}: {_load_result(load_sharing, path, text)}"
 
 
 def operator_settings() -> Iterator[str]:
-    """Say the operators' INI files, that of sharing too."""
+    """Yield the settings of the operator's INI files, sharing included, and the results of loading values."""
     yield from _operator_keys()
     with tempfile.TemporaryDirectory() as folder:
-        yield from _operator_behaviour(Path(folder))
-        yield from _sharing_behaviour(Path(folder))
+        yield from _operator_results(Path(folder))
+        yield from _sharing_results(Path(folder))
 
 
 def full_settings() -> dict[str, Any]:
-    """Return platform settings with every name that is read, no value twice."""
+    """Return platform settings with every name that is read; no value occurs twice."""
     return {
         "label": "a",
         "domain": "north",
@@ -122,7 +122,7 @@
 
 
 def _paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """Return the path of each table and value within some settings, from the outermost in."""
+    """Yield the path of each table and value within nested settings; a table precedes its entries."""
     if path:
         yield path
     entries = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
@@ -130,18 +130,18 @@
         yield from _paths(inner, (*path, key))
 
 
-def _parsed(raw: Any) -> str:
-    """Return what settings are read as, or the text that refuses them."""
+def _parse_result(raw: Any) -> str:
+    """Return the values that settings are parsed to, or the error message."""
     try:
-        # The values in their order, without the names that they have in the code.
+        # Values in their order, without attribute names, so that a rename in the code changes nothing.
         return repr(dataclasses.astuple(parse_platform("site.toml", raw)))
     except SettingsError as error:
         return str(error)
 
 
 def platform_settings() -> Iterator[str]:
-    """Say what a platform's file is read as: whole, with each name missing, and with each value wrong."""
-    yield f"whole: {_parsed(full_settings())}"
+    """Yield the result of parsing platform settings: complete, with each name missing, with each value invalid."""
+    yield f"whole: {_parse_result(full_settings())}"
     for path in _paths(full_settings()):
         for change in ("missing", "wrong"):
             raw = full_settings()
@@ -152,12 +152,12 @@
                 del table[path[-1]]
             else:
                 table[path[-1]] = -1
-            yield f"{'.'.join(map(str, path))} {change}: {_parsed(raw)}"
+            yield f"{'.'.join(map(str, path))} {change}: {_parse_result(raw)}"
 
 
-# -- command line ---------------------------------------------------------------------------------------------------
+# Command line.
 
-CALLS = [
+COMMAND_LINES = [
     ["--help"],
     ["-h"],
     [],
@@ -189,7 +189,7 @@
     return "[" + ", ".join(map(_toml, value)) + "]" if isinstance(value, list) else json.dumps(value)
 
 
-def _lay_files(folder: Path) -> None:
+def _write_files(folder: Path) -> None:
     good = "".join(f"{key} = {_toml(value)}\n" for key, value in full_settings().items())
     files = {
         "good.toml": good,
@@ -204,34 +204,34 @@
 
 
 def command_line() -> Iterator[str]:
-    """Say what calls of `run.py` print, and their exit codes."""
+    """Yield the output and exit code of `run.py` for each of `COMMAND_LINES`."""
     environment = {"PATH": os.environ.get("PATH", ""), "COLUMNS": "100", "PYTHONDONTWRITEBYTECODE": "1"}
     with tempfile.TemporaryDirectory() as name:
-        _lay_files(Path(name))
-        for call in CALLS:
-            done = subprocess.run(
-                [sys.executable, str(ROOT / "run.py"), *call],
+        _write_files(Path(name))
+        for arguments in COMMAND_LINES:
+            process = subprocess.run(
+                [sys.executable, str(ROOT / "run.py"), *arguments],
                 cwd=name,
                 env=environment,
                 capture_output=True,
                 text=True,
                 check=False,
             )
-            yield f"$ run.py {' '.join(call)}"
-            yield from (f"  {line}".rstrip() for line in _without_version(done.stdout).splitlines())
-            yield from (f"  ! {line}".rstrip() for line in done.stderr.splitlines())
-            yield f"  exit code {done.returncode}"
+            yield f"$ run.py {' '.join(arguments)}"
+            yield from (f"  {line}".rstrip() for line in _without_version(process.stdout).splitlines())
+            yield from (f"  ! {line}".rstrip() for line in process.stderr.splitlines())
+            yield f"  exit code {process.returncode}"
 
 
 def _without_version(text: str) -> str:
     return text.replace(driftcleat.__version__, "VERSION")
 
 
-# -- JSON of the commands, paths ------------------------------------------------------------------------------------
+# Paths and JSON of the HTTP interfaces.
 
 
 def _keys(value: Any, path: str = "") -> Iterator[str]:
-    """Return the keys of plain data in their order, with the types of their values."""
+    """Yield the key paths of decoded JSON in their order, with the types of their values."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from _keys(inner, f"{path}.{key}" if path else key)
@@ -277,76 +277,76 @@
 ]
 
 
-async def _answers(controller: Any) -> list[str]:
-    """Return what a controller answers to each request: status, Retry-After, keys; the text of errors."""
+async def _response_lines(controller: Any) -> list[str]:
+    """Return the response to each of `REQUESTS`: status, Retry-After, keys of the body, and the text of errors."""
     lines = []
     for side, method, path, body in REQUESTS:
         handle = controller.handle_front if side == "front" else controller.handle_back
-        answer = await handle(method, path, body)
+        response = await handle(method, path, body)
         lines.append(f"{side} {method} {path} {body.decode()}".rstrip())
-        lines.append(f"  {answer.status}, Retry-After {answer.retry_after_s}")
-        data = json.loads(answer.body) if answer.body else None
+        lines.append(f"  {response.status}, Retry-After {response.retry_after_s}")
+        data = json.loads(response.body) if response.body else None
         if isinstance(data, dict):
             short = "error" in data or len(data) < 4
             lines.extend([f"  {json.dumps(data)}"] if short else [f"  {line}" for line in _keys(data)])
         else:
-            lines.append(f"  {_shape(data)}")
+            lines.append(f"  {_numbers_replaced_by_types(data)}")
     return lines
 
 
-def _shape(value: Any) -> str:
-    """Return plain data with the types in place of numbers, which depend on the moment."""
+def _numbers_replaced_by_types(value: Any) -> str:
+    """Return decoded JSON as text with types in place of numbers, which vary between runs."""
     if isinstance(value, list):
-        return "[" + ", ".join(map(_shape, value)) + "]"
+        return "[" + ", ".join(map(_numbers_replaced_by_types, value)) + "]"
     return type(value).__name__ if isinstance(value, (int, float)) and not isinstance(value, bool) else repr(value)
 
 
-async def _work(simulation: Simulation) -> None:
-    """Have a site work: jobs done, running and queued."""
+async def _run_jobs(simulation: Simulation) -> None:
+    """Run jobs in a simulation for 60 s: an array job and a service."""
     simulation.submit_until_accepted(raw_job(1, voyageS=1.0))
     simulation.submit_until_accepted(raw_job(2, rig="daemon", hands=3, voyageS=0.0, crew="blue"))
     await simulation.advance(60.0)
     await simulation.run_until(lambda: len(simulation.statuses) == 2)
 
 
-def answers() -> Iterator[str]:
-    """Say what leader and follower answer at each path, and a host that shares machines."""
+def responses() -> Iterator[str]:
+    """Yield the responses of a leader, of a follower, and of a shard host that is the coordinator."""
     simulation, shared, found = Simulation(1), ShardedSimulation(1), []
 
     async def scenario(running: Simulation) -> None:
-        await _work(running)
+        await _run_jobs(running)
         leader = running.leader_label()
         follower = next(label for label in LABELS if label != leader)
         for title, label in (("leader", str(leader)), ("follower", follower)):
             found.append(f"== {title}")
-            found.extend(await _answers(running.controllers[label]))
+            found.extend(await _response_lines(running.controllers[label]))
 
     async def sharded_scenario(running: Simulation) -> None:
         await shared.wait_until_ready()
-        await _work(running)
+        await _run_jobs(running)
         found.append("== coordinator of shares")
-        found.extend(await _answers(shared.controllers[str(shared.leader_label())]))
+        found.extend(await _response_lines(shared.controllers[str(shared.leader_label())]))
 
     simulation.run_scenario(scenario)
     shared.run_scenario(sharded_scenario)
     yield from found
 
 
-# -- store ----------------------------------------------------------------------------------------------------------
+# Store keys.
 
 
-def _written(simulation: Simulation, jobs: int) -> set[str]:
-    """Return the forms of all keys that a site writes, removes or compares, numbers as N."""
-    seen: set[str] = set()
-    carry_out = simulation.store_double.txn
+def _key_forms_used(simulation: Simulation, jobs: int) -> set[str]:
+    """Return the forms of all keys that a simulation writes, removes or compares, with N in place of numbers."""
+    keys: set[str] = set()
+    original_txn = simulation.store_double.txn
 
     def txn(body: bytes) -> tuple[int, Any]:
         raw = json.loads(body)
         for row in raw["if"]:
-            seen.add(row["key"])
+            keys.add(row["key"])
         for change in raw["then"]:
-            seen.add(change["put"] if "put" in change else change["remove"])
-        return carry_out(body)
+            keys.add(change["put"] if "put" in change else change["remove"])
+        return original_txn(body)
 
     simulation.store_double.txn = txn  # type: ignore[method-assign]
 
@@ -363,7 +363,7 @@
         await running.advance(90.0)
 
     simulation.run_scenario(scenario)
-    return {_key_form(key) for key in seen}
+    return {_key_form(key) for key in keys}
 
 
 def _key_form(key: str) -> str:
@@ -371,24 +371,24 @@
 
 
 def store_keys() -> Iterator[str]:
-    """Say the forms of the store's keys."""
-    limits: dict[str, Any] = {"next": {"value_kb": 2.0, "txn_ops": 4, "write_rps": 45.0}}
-    old = Simulation(3)
-    # Controllers that may be of an older version: the first data version stays.
-    old.old_version_controllers = set(LABELS)
+    """Yield the forms of the store keys in both data versions and with sharing."""
+    next_limits: dict[str, Any] = {"next": {"value_kb": 2.0, "txn_ops": 4, "write_rps": 45.0}}
+    version_1 = Simulation(3)
+    # If controllers of an older version may be present, data version 1 stays active.
+    version_1.old_version_controllers = set(LABELS)
     yield "== data version 1"
-    yield from sorted(_written(old, 4))
+    yield from sorted(_key_forms_used(version_1, 4))
     yield "== data version 2"
-    yield from sorted(_written(Simulation(3, **limits), 4))
+    yield from sorted(_key_forms_used(Simulation(3, **next_limits), 4))
     yield "== shares"
-    yield from sorted(_written(ShardedSimulation(3, **limits), 9))
+    yield from sorted(_key_forms_used(ShardedSimulation(3, **next_limits), 9))
 
 
-# -- messages and records -------------------------------------------------------------------------------------------
+# Messages and records.
 
 
-def _classes(kind: type) -> list[type]:
-    """Return all of our classes of a kind, wherever they are."""
+def _subclasses(kind: type) -> list[type]:
+    """Return all direct and indirect subclasses of `kind` that are defined in driftcleat."""
     for module in pkgutil.walk_packages(driftcleat.__path__, "driftcleat."):
         importlib.import_module(module.name)
     found: list[type] = []
@@ -401,15 +401,15 @@
     return found
 
 
-def _example(kind: Any, name: str, whole: bool) -> Any:
-    """Return a value of a type, made from the name that it has on the wire; `whole`: with what it need not have."""
+def _example(kind: Any, name: str, all_fields: bool) -> Any:
+    """Return a value of a type, derived from its name on the wire; `all_fields` includes optional fields."""
     if typing.get_args(kind):
-        return _generic_example(kind, name, whole)
+        return _generic_example(kind, name, all_fields)
     if issubclass(kind, tuple):
-        # A named one: on the wire it is like any other.
-        return _row_example(typing.get_type_hints(kind).values(), whole)
+        # A NamedTuple is encoded like any other tuple.
+        return _row_example(typing.get_type_hints(kind).values(), all_fields)
     if issubclass(kind, msgspec.Struct):
-        return _struct_example(kind, whole)
+        return _struct_example(kind, all_fields)
     if issubclass(kind, enum.Enum):
         return next(iter(kind))
     simple: dict[Any, Any] = {
@@ -423,31 +423,31 @@
     return simple[kind]
 
 
-def _generic_example(kind: Any, name: str, whole: bool) -> Any:
+def _generic_example(kind: Any, name: str, all_fields: bool) -> Any:
     origin, parts = typing.get_origin(kind), typing.get_args(kind)
     if origin is typing.Annotated:
-        return _example(parts[0], name, whole)
+        return _example(parts[0], name, all_fields)
     if origin in (typing.Union, types.UnionType):
-        return _example(next(part for part in parts if part is not type(None)), name, whole)
+        return _example(next(part for part in parts if part is not type(None)), name, all_fields)
     if origin is tuple and parts[-1] is not Ellipsis:
-        return _row_example(parts, whole)
+        return _row_example(parts, all_fields)
     if origin in (tuple, list):
-        return origin([_example(parts[0], name, whole)])
+        return origin([_example(parts[0], name, all_fields)])
     assert origin is dict, f"no example of {kind}"
-    return {_example(parts[0], name, whole): _example(parts[1], name, whole)}
+    return {_example(parts[0], name, all_fields): _example(parts[1], name, all_fields)}
 
 
-def _row_example(parts: Iterable[Any], whole: bool) -> tuple[Any, ...]:
-    return tuple(_example(part, f"at{number}", whole) for number, part in enumerate(parts))
+def _row_example(parts: Iterable[Any], all_fields: bool) -> tuple[Any, ...]:
+    return tuple(_example(part, f"at{number}", all_fields) for number, part in enumerate(parts))
 
 
-def _struct_example(kind: type[msgspec.Struct], whole: bool) -> msgspec.Struct:
+def _struct_example(kind: type[msgspec.Struct], all_fields: bool) -> msgspec.Struct:
     values = {}
     for number, field in enumerate(msgspec.structs.fields(kind)):
-        # Names of array-like structs are not on the wire: positions are.
+        # Array-like structs are encoded by position, so field names do not occur on the wire.
         name = f"at{number}" if kind.__struct_config__.array_like else field.encode_name
-        if whole or field.required:
-            values[field.name] = _example(field.type, name, whole)
+        if all_fields or field.required:
+            values[field.name] = _example(field.type, name, all_fields)
     return kind(**values)
 
 
@@ -458,18 +458,21 @@
 
 
 def messages() -> Iterator[str]:
-    """Say how each message and record is encoded: with all of its fields, and with those that it must have.
+    """Yield the encoding of each message and record: with all fields, and with the required fields only.
 
-    A row that is only part of others is shown in those: on the wire nothing tells it from a tuple.
+    An untagged array-like struct that is part of another one appears only within that one, since its encoding does
+    not differ from that of a tuple.
     """
     texts = set()
-    kinds: list[Any] = _classes(msgspec.Struct)
+    kinds: list[Any] = _subclasses(msgspec.Struct)
     parts = {part for kind in kinds for field in msgspec.structs.fields(kind) for part in _types_within(field.type)}
     for kind in kinds:
         if kind in parts and kind.__struct_config__.array_like and kind.__struct_config__.tag is None:
             continue
-        whole, least = (wire.encode(_struct_example(kind, whole=one)).decode() for one in (True, False))
-        texts.add(f"{whole} or {least}" if whole != least else whole)
+        all_fields, required_only = (
+            wire.encode(_struct_example(kind, all_fields=with_all)).decode() for with_all in (True, False)
+        )
+        texts.add(f"{all_fields} or {required_only}" if all_fields != required_only else all_fields)
     yield from sorted(texts)
 
 
@@ -477,14 +480,14 @@
     "operator-settings": operator_settings,
     "platform-settings": platform_settings,
     "command-line": command_line,
-    "answers": answers,
+    "answers": responses,
     "store-keys": store_keys,
     "messages": messages,
 }
 
 
 def description(name: str) -> str:
-    """Return the text of a surface as the sources have it now."""
+    """Return the description of a surface according to the present sources."""
     return "".join(f"{line}\n" for line in SURFACES[name]())
 
 
@@ -493,7 +496,7 @@
     assert description(name) == (SURFACE_FILES / f"{name}.txt").read_text(encoding="utf-8")
 
 
-# Names of the code, and the words that records, messages and `/status` have for them.
+# Names of enum members in the code, and their values in records, messages and `/status`.
 ENUM_VALUES: dict[str, dict[str, str | int]] = {
     "Role": {
         "FOLLOWER": "follower",
@@ -543,8 +546,8 @@
 
 
 def _enumeration(name: str) -> type[Any]:
-    """Return our enumeration of a name, wherever it is."""
-    (kind,) = [found for found in _classes(enum.Enum) if found.__name__ == name]
+    """Return the enum class of this name in driftcleat."""
+    (kind,) = [found for found in _subclasses(enum.Enum) if found.__name__ == name]
     return kind
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two versions side by side: what production wrote is read and rewritten without loss, the switch, falling limits."""
+"""Upgrades: records and messages of older versions, activation of data version 2, and lowered limits."""
 
 import json
 import random
@@ -25,20 +25,20 @@
 from .simulation import LABELS, Simulation
 
 
-def recorded(version: str) -> dict[str, Any]:
-    """Return what a version wrote itself: see `tools/record.py`."""
+def load_recorded(version: str) -> dict[str, Any]:
+    """Return the records and messages that a version wrote itself; `tools/record.py` recorded them."""
     return dict(json.loads((Path(__file__).parent / "recorded" / f"{version}.json").read_text()))
 
 
-RECORDED = recorded("production")
-# The version that landed before this one; it knows both data versions.
-BEFORE = recorded("0.4.0")
+RECORDED = load_recorded("production")
+# An earlier version that knows both data versions.
+PREVIOUS = load_recorded("0.4.0")
 
-NEXT = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0}
+NEXT_LIMITS = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 35.0}
 
 
-class PlainHead(msgspec.Struct, array_like=True):
-    """The plain model of a head as production reads and rewrites it."""
+class ReferenceHead(msgspec.Struct, array_like=True):
+    """The head record as production decodes and rewrites it."""
 
     spec: dict[str, Any]
     submitted: float
@@ -49,7 +49,7 @@
     places: list[tuple[str, str, int, str, float | None]]
 
 
-def items(prefix: str, rows: dict[str, Any] = RECORDED["records"]) -> list[state_messages.KeyValue]:
+def recorded_items(prefix: str, rows: dict[str, Any] = RECORDED["records"]) -> list[state_messages.KeyValue]:
     """Return the recorded records under a prefix."""
     return [
         state_messages.KeyValue(msgspec.Raw(wire.encode(value)), 5, key)
@@ -58,157 +58,175 @@
     ]
 
 
-def facts(found: Job) -> tuple[Any, ...]:
-    """Return all that is stored of a job."""
+def stored_fields(stored_job: Job) -> tuple[Any, ...]:
+    """Return the fields of a job that its records hold."""
     return (
-        found.spec,
-        found.submitted_at,
-        found.state,
-        found.last_attempt,
-        bytes(found.task_states),
-        found.placements,
-        found.tasks_done,
+        stored_job.spec,
+        stored_job.submitted_at,
+        stored_job.state,
+        stored_job.last_attempt,
+        bytes(stored_job.task_states),
+        stored_job.placements,
+        stored_job.tasks_done,
     )
 
 
-def layout(switched: bool = False) -> RecordLayout:
-    """Return the layout of the recorded limits, with lower ones to come."""
-    made = RecordLayout(2048, 4, RECORDED["value_bytes"], RECORDED["txn_ops"], ("north", "south"))
-    made.version_2_active = switched
-    return made
+def make_layout(version_2: bool = False) -> RecordLayout:
+    """Return a layout for the recorded limits and announced lower ones; `version_2` activates data version 2."""
+    layout = RecordLayout(2048, 4, RECORDED["value_bytes"], RECORDED["txn_ops"], ("north", "south"))
+    layout.version_2_active = version_2
+    return layout
 
 
 def test_production_records_round_trip_unchanged() -> None:
-    jobs, orphans = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
+    jobs, orphans = decode_job_records(recorded_items(JOBS_PREFIX), recorded_items(CHUNKS_PREFIX))
     assert len(jobs) == 6 and not orphans
-    ours = layout()
-    for found in jobs.values():
-        ours.assign_tasks_per_record(found)
-        assert found.tasks_per_record == 0
-        head = json.loads(wire.encode(ours.head_record(found)))
-        written = RECORDED["records"][JOBS_PREFIX + found.id]
-        spec, known = dict(head[0]), dict(written[0])
-        assert {name: value for name, value in spec.items() if name in known} == known
+    layout = make_layout()
+    for stored_job in jobs.values():
+        layout.assign_tasks_per_record(stored_job)
+        assert stored_job.tasks_per_record == 0
+        head = json.loads(wire.encode(layout.head_record(stored_job)))
+        written = RECORDED["records"][JOBS_PREFIX + stored_job.id]
+        spec, written_spec = dict(head[0]), dict(written[0])
+        assert {name: value for name, value in spec.items() if name in written_spec} == written_spec
         assert head[1:7] == written[1:]
-        beyond = [*head[7:], *(spec[name] for name in spec if name not in known)]
-        assert all(value in (None, 0, "") for value in beyond)
-        chunks = {ours.chunk_of(found, index) for index in range(found.spec.tasks)} - {0}
+        added_values = [*head[7:], *(spec[name] for name in spec if name not in written_spec)]
+        assert all(value in (None, 0, "") for value in added_values)
+        chunks = {layout.chunk_of(stored_job, index) for index in range(stored_job.spec.tasks)} - {0}
         assert chunks == {
             int(key.rpartition("/")[2])
             for key in RECORDED["records"]
-            if key.startswith(CHUNKS_PREFIX + found.id + "/")
+            if key.startswith(CHUNKS_PREFIX + stored_job.id + "/")
         }
         for chunk in chunks:
-            key = chunk_key(found.id, chunk)
-            assert json.loads(wire.encode(ours.chunk_record(found, chunk))) == RECORDED["records"][key]
-
-
-def test_records_rewritten_by_production_lose_nothing_before_the_switch() -> None:
-    jobs, _ = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
-    for found in jobs.values():
-        rewritten = wire.encode(wire.decode(wire.encode(layout().head_record(found)), PlainHead))
-        again = decode_head(state_messages.KeyValue(msgspec.Raw(rewritten), 9, JOBS_PREFIX + found.id))
-        whole = decode_head(
-            state_messages.KeyValue(msgspec.Raw(wire.encode(layout().head_record(found))), 9, JOBS_PREFIX + found.id)
+            key = chunk_key(stored_job.id, chunk)
+            assert json.loads(wire.encode(layout.chunk_record(stored_job, chunk))) == RECORDED["records"][key]
+
+
+def test_records_of_data_version_1_rewritten_by_production_lose_nothing() -> None:
+    jobs, _ = decode_job_records(recorded_items(JOBS_PREFIX), recorded_items(CHUNKS_PREFIX))
+    for stored_job in jobs.values():
+        rewritten = wire.encode(wire.decode(wire.encode(make_layout().head_record(stored_job)), ReferenceHead))
+        from_production = decode_head(state_messages.KeyValue(msgspec.Raw(rewritten), 9, JOBS_PREFIX + stored_job.id))
+        from_layout = decode_head(
+            state_messages.KeyValue(
+                msgspec.Raw(wire.encode(make_layout().head_record(stored_job))), 9, JOBS_PREFIX + stored_job.id
+            )
         )
-        assert facts(again) == facts(whole)
+        assert stored_fields(from_production) == stored_fields(from_layout)
 
 
 @pytest.mark.parametrize("row", ['["vm-1","north",1,"0"]', '["vm-1","north",1,"0",null,0]', '{"machine":"vm-1"}'])
 def test_placement_row_of_another_shape_is_rejected(row: str) -> None:
-    """Guards against a row that a later version extends, and that we would cut when we rewrite its record."""
+    """Guards against losing elements that a later version adds to a row, when this version rewrites the record."""
     text = b'["1-3",[["vm-1","north",1,"0",2.5],["vm-1","north",1,"4-6",null]]]'
     assert wire.encode(wire.decode(text, ChunkRecord)) == text
     with pytest.raises(wire.WireError):
         wire.decode(f'["1-3",[{row}]]'.encode(), ChunkRecord)
 
 
-@pytest.mark.parametrize(("rows", "switched"), [("records", False), ("second_version", True)])
-def test_records_of_the_previous_version_round_trip_unchanged(rows: str, switched: bool) -> None:
-    """Each version works on the other's data, of both data versions: what ours writes is what 0.4.0 would write."""
-    written = BEFORE[rows]
-    jobs, orphans = decode_job_records(items(JOBS_PREFIX, written), items(CHUNKS_PREFIX, written))
-    assert len(jobs) == (7 if switched else 6) and not orphans
-    ours = layout(switched)
-    for found in jobs.values():
-        ours.assign_tasks_per_record(found)
-        assert bool(found.tasks_per_record) == switched
-        assert json.loads(wire.encode(ours.head_record(found))) == written[JOBS_PREFIX + found.id]
-        for chunk in {ours.chunk_of(found, index) for index in range(found.spec.tasks)} - {0}:
+@pytest.mark.parametrize(("rows", "version_2"), [("records", False), ("second_version", True)])
+def test_records_of_the_previous_version_round_trip_unchanged(rows: str, version_2: bool) -> None:
+    """Guards against records that 0.4.0 cannot read: this version writes the same as 0.4.0, in both data versions."""
+    written = PREVIOUS[rows]
+    jobs, orphans = decode_job_records(recorded_items(JOBS_PREFIX, written), recorded_items(CHUNKS_PREFIX, written))
+    assert len(jobs) == (7 if version_2 else 6) and not orphans
+    layout = make_layout(version_2)
+    for stored_job in jobs.values():
+        layout.assign_tasks_per_record(stored_job)
+        assert bool(stored_job.tasks_per_record) == version_2
+        assert json.loads(wire.encode(layout.head_record(stored_job))) == written[JOBS_PREFIX + stored_job.id]
+        for chunk in {layout.chunk_of(stored_job, index) for index in range(stored_job.spec.tasks)} - {0}:
             assert (
-                json.loads(wire.encode(ours.chunk_record(found, chunk)))
-                == written[chunk_key(found.id, chunk, found.tasks_per_record)]
+                json.loads(wire.encode(layout.chunk_record(stored_job, chunk)))
+                == written[chunk_key(stored_job.id, chunk, stored_job.tasks_per_record)]
             )
-    if switched:
+    if version_2:
         assert jobs["req-000007"].spec.dependencies == ("req-000001", "req-000003")
 
 
 def test_messages_of_the_previous_version_round_trip_unchanged() -> None:
-    for message in BEFORE["messages"]:
-        known: Any = wire.decode(wire.encode(message), peers.PeerMessage)  # type: ignore[arg-type]
-        assert json.loads(wire.encode(known)) == message
-        assert getattr(known, "data_version", 2) == 2
+    for message in PREVIOUS["messages"]:
+        decoded: Any = wire.decode(wire.encode(message), peers.PeerMessage)  # type: ignore[arg-type]
+        assert json.loads(wire.encode(decoded)) == message
+        assert getattr(decoded, "data_version", 2) == 2
 
 
 def test_production_messages_are_decoded_and_only_extended_at_the_end() -> None:
     for message in RECORDED["messages"]:
         raw = wire.encode(message)
-        known: Any = wire.decode(raw, peers.PeerMessage)  # type: ignore[arg-type]
-        assert getattr(known, "data_version", 1) == 1, "it has not said that it is new"
-        # Ours has the same tag and begins with the same elements: what production does not know comes behind.
-        assert json.loads(wire.encode(known))[: len(message)] == message
+        decoded: Any = wire.decode(raw, peers.PeerMessage)  # type: ignore[arg-type]
+        assert getattr(decoded, "data_version", 1) == 1, (
+            "without a data version in the message, its sender knows version 1 only"
+        )
+        # The message has the same tag and begins with the same elements; those unknown to production are at its end.
+        assert json.loads(wire.encode(decoded))[: len(message)] == message
     assert json.loads(wire.encode(peers.Ping("a", 2))) == ["ping", "a", 2]
 
 
 def test_settings_give_present_and_future_limits() -> None:
-    today = platform()
-    assert (today.value_bytes, today.txn_ops, today.first_value_bytes, today.first_txn_ops) == (8192, 24, 8192, 24)
-    coming = platform(next=NEXT)
-    assert (coming.value_bytes, coming.txn_ops, coming.write_rps, coming.state_rps) == (2048, 4, 35.0, 200.0)
-    assert (coming.first_value_bytes, coming.first_txn_ops) == (8192, 24)
-    assert platform(next={"value_kb": 99.0}).value_bytes == 8192, "a higher one is no reason to write more"
+    present = platform()
+    assert (present.value_bytes, present.txn_ops, present.first_value_bytes, present.first_txn_ops) == (
+        8192,
+        24,
+        8192,
+        24,
+    )
+    future = platform(next=NEXT_LIMITS)
+    assert (future.value_bytes, future.txn_ops, future.write_rps, future.state_rps) == (2048, 4, 35.0, 200.0)
+    assert (future.first_value_bytes, future.first_txn_ops) == (8192, 24)
+    assert platform(next={"value_kb": 99.0}).value_bytes == 8192, (
+        "a higher future limit does not raise the present one"
+    )
     assert "next" not in raw_settings()["deployment"]["state"]
 
 
 def test_interrupted_record_migration_leaves_the_old_records_valid() -> None:
-    """Chunks of another split than the head names are garbage, of whatever number."""
-    jobs, _ = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
-    big = jobs["req-000003"]
-    new = layout(switched=True)
-    split = new.preferred_tasks_per_record(big)
-    assert 1 < split < 50 and new.needs_migration(big)
-    half = [
+    """Guards against loss of records if a leader fails while it migrates a job.
+
+    Chunks with another number of tasks per record than the head names are garbage, whatever their chunk number.
+    """
+    jobs, _ = decode_job_records(recorded_items(JOBS_PREFIX), recorded_items(CHUNKS_PREFIX))
+    large_job = jobs["req-000003"]
+    version_2_layout = make_layout(version_2=True)
+    tasks_per_record = version_2_layout.preferred_tasks_per_record(large_job)
+    assert 1 < tasks_per_record < 50 and version_2_layout.needs_migration(large_job)
+    partial_chunks = [
         state_messages.KeyValue(
-            msgspec.Raw(wire.encode(new.chunk_record_in_split(big, split, number))),
+            msgspec.Raw(wire.encode(version_2_layout.chunk_record_in_split(large_job, tasks_per_record, number))),
             7,
-            chunk_key(big.id, number, split),
+            chunk_key(large_job.id, number, tasks_per_record),
         )
         for number in range(1, 4)
     ]
-    again, orphans = decode_job_records(items(JOBS_PREFIX), [*items(CHUNKS_PREFIX), *half])
-    assert facts(again[big.id]) == facts(big)
-    assert orphans == [key_value.key for key_value in half]
-    whole = [
+    partly_migrated, orphans = decode_job_records(
+        recorded_items(JOBS_PREFIX), [*recorded_items(CHUNKS_PREFIX), *partial_chunks]
+    )
+    assert stored_fields(partly_migrated[large_job.id]) == stored_fields(large_job)
+    assert orphans == [key_value.key for key_value in partial_chunks]
+    all_chunks = [
         state_messages.KeyValue(
-            msgspec.Raw(wire.encode(new.chunk_record_in_split(big, split, number))),
+            msgspec.Raw(wire.encode(version_2_layout.chunk_record_in_split(large_job, tasks_per_record, number))),
             7,
-            chunk_key(big.id, number, split),
+            chunk_key(large_job.id, number, tasks_per_record),
         )
-        for number in range(1, -(-240 // split))
+        for number in range(1, -(-240 // tasks_per_record))
     ]
-    moved = big.copy()
-    moved.tasks_per_record = split
-    head = state_messages.KeyValue(msgspec.Raw(wire.encode(new.head_record(moved))), 8, JOBS_PREFIX + big.id)
-    assert len(bytes(head.value)) <= 2048 and all(len(bytes(key_value.value)) <= 2048 for key_value in whole)
-    after, orphans = decode_job_records([head], [*items(CHUNKS_PREFIX), *whole])
-    assert facts(after[big.id]) == facts(big)
-    assert {key_value.key for key_value in whole}.isdisjoint(orphans) and set(
-        after[big.id].chunk_mod_revisions.values()
+    migrated = large_job.copy()
+    migrated.tasks_per_record = tasks_per_record
+    head = state_messages.KeyValue(
+        msgspec.Raw(wire.encode(version_2_layout.head_record(migrated))), 8, JOBS_PREFIX + large_job.id
+    )
+    assert len(bytes(head.value)) <= 2048 and all(len(bytes(key_value.value)) <= 2048 for key_value in all_chunks)
+    migrated_jobs, orphans = decode_job_records([head], [*recorded_items(CHUNKS_PREFIX), *all_chunks])
+    assert stored_fields(migrated_jobs[large_job.id]) == stored_fields(large_job)
+    assert {key_value.key for key_value in all_chunks}.isdisjoint(orphans) and set(
+        migrated_jobs[large_job.id].chunk_mod_revisions.values()
     ) == {7}
 
 
 def test_cancelled_job_is_migrated_before_other_jobs() -> None:
-    model = ReferenceModel(3, platform(next=NEXT, value_kb=16.0), MACHINE_TYPES)
+    model = ReferenceModel(3, platform(next=NEXT_LIMITS, value_kb=16.0), MACHINE_TYPES)
     model.elect(previous_version=True)
     for number in range(1, 6):
         model.submit(job(number, hands=110, cores=0.1, accelerators=0.0, memGb=0.1, voyageS=300.0))
@@ -225,44 +243,47 @@
     while model.statuses[last] != "cancelled":
         model.step(0.02)
     assert len(scheduler.migration.jobs_to_migrate) >= before - 2 > 0, (
-        "its move goes before the others', but for one that had begun"
+        "it is migrated before all other jobs, except for one whose migration has begun"
     )
     model.run(model.platform.cancel_s)
     assert not any(task.job.id == last for _, task in model.tasks_on_machines())
 
 
-def test_gang_of_many_records_can_change_before_the_switch() -> None:
-    """Guards against everything waiting behind it: more records than the lower limit allows to change at once."""
-    site = platform(next=NEXT | {"txn_ops": 3})
-    jobs, _ = decode_job_records(items(JOBS_PREFIX), items(CHUNKS_PREFIX))
+def test_gang_of_many_records_can_change_in_data_version_1() -> None:
+    """Guards against a batch that stays empty since the gang has more records than a transaction may then change."""
+    settings = platform(next=NEXT_LIMITS | {"txn_ops": 3})
+    jobs, _ = decode_job_records(recorded_items(JOBS_PREFIX), recorded_items(CHUNKS_PREFIX))
     gang = jobs["req-000005"]
-    ours = layout()
-    assert max(ours.chunk_of(gang, index) for index in range(gang.spec.tasks)) + 1 > site.txn_ops - 1
-    cluster = ClusterState(5, {gang.id: gang}, dict(MACHINE_TYPES), 0.0, site.lease_s)
-    scheduler = Scheduler(site, Tuning(), cluster, ours, random.Random(1), lambda: 0.0, lambda: 0.0)
+    layout = make_layout()
+    assert max(layout.chunk_of(gang, index) for index in range(gang.spec.tasks)) + 1 > settings.txn_ops - 1
+    cluster = ClusterState(5, {gang.id: gang}, dict(MACHINE_TYPES), 0.0, settings.lease_s)
+    scheduler = Scheduler(settings, Tuning(), cluster, layout, random.Random(1), lambda: 0.0, lambda: 0.0)
     name = next(iter(gang.placements.values())).machine
     cluster.record_terminated(cluster.register_machine(name, "big", "north", False, "", 0.0), 0.0)
     batch = scheduler.build_batch()
-    assert batch.task_transitions and len(json.loads(encode_batch(batch, ours, 5, 1, 0).body)["then"]) > site.txn_ops
+    assert (
+        batch.task_transitions
+        and len(json.loads(encode_batch(batch, layout, 5, 1, 0).body)["then"]) > settings.txn_ops
+    )
 
 
 @pytest.mark.parametrize("seed", range(24))
 def test_leaders_of_both_versions_alternate_while_limits_are_lowered(seed: int) -> None:
-    """Old and new lead in turn and rewrite each other's records.
+    """Guards against lost or misread records while both versions lead in turn and rewrite each other's records.
 
-    The switch comes at any moment, limits fall at any later one, and a leader may end between any two
-    transactions.
+    Data version 2 is activated at a random step and limits are lowered at a later one. A leader may crash between any
+    two transactions.
     """
     rng = random.Random(seed)
-    model = ReferenceModel(seed, platform(next=NEXT, value_kb=rng.choice([4.0, 8.0, 16.0])), MACHINE_TYPES)
+    model = ReferenceModel(seed, platform(next=NEXT_LIMITS, value_kb=rng.choice([4.0, 8.0, 16.0])), MACHINE_TYPES)
     model.elect(previous_version=rng.random() < 0.7)
     model.fault_rate = rng.choice([0.0, 0.2])
-    switch_at, fall_after = rng.randrange(4, 20), rng.randrange(0, 8)
-    switched_at = None
+    upgrade_step, lowering_delay = rng.randrange(4, 20), rng.randrange(0, 8)
+    activation_step = None
     for step in range(30):
         number = step + 1
-        needs: list[str] = (
-            rng.sample(sorted(model.statuses), min(len(model.statuses), 2)) if switched_at is not None else []
+        dependencies: list[str] = (
+            rng.sample(sorted(model.statuses), min(len(model.statuses), 2)) if activation_step is not None else []
         )
         model.submit(
             job(
@@ -274,20 +295,20 @@
                 rig=rng.choice(["array", "array", "daemon", "group"]) if number % 3 else "array",
                 crew=rng.choice(["red", "blue"]),
                 voyageS=rng.choice([3.0, 20.0, 60.0]),
-                tows=needs,
+                tows=dependencies,
             )
         )
         if model.statuses and rng.random() < 0.2:
             model.cancel(rng.choice(sorted(model.statuses)))
-        new = step >= switch_at
-        if rng.random() < 0.25 or model.leader.stepped_down or (new and model.leader.previous_version):
+        upgraded = step >= upgrade_step
+        if rng.random() < 0.25 or model.leader.stepped_down or (upgraded and model.leader.previous_version):
             model.leader.crashed = rng.random() < 0.7
-            model.elect(rng.choice("abc"), previous_version=not new and rng.random() < 0.5)
-        if new:
+            model.elect(rng.choice("abc"), previous_version=not upgraded and rng.random() < 0.5)
+        if upgraded:
             model.leader.scheduler.migration.request_latch()
-        if switched_at is None and DATA_VERSION_KEY in model.store.data:
-            switched_at = step
-        if switched_at is not None and step >= switched_at + fall_after:
+        if activation_step is None and DATA_VERSION_KEY in model.store.data:
+            activation_step = step
+        if activation_step is not None and step >= activation_step + lowering_delay:
             model.store.lower_limits()
         model.run(rng.choice([0.05, 0.3, 2.0, 6.0]))
         model.poll_all()
@@ -298,18 +319,20 @@
     assert not model.leader.scheduler.migration.jobs_to_migrate
 
 
-# -- whole controllers ---------------------------------------------------------------------------------------
+# Complete controllers in the simulator.
 
 
-def big(number: int, **more: Any) -> dict[str, Any]:
-    """Return an array that takes several records."""
+def large_array(number: int, **more: Any) -> dict[str, Any]:
+    """Return the submission of an array job that needs several records."""
     return raw_job(number, hands=100, cores=0.1, accelerators=0.0, memGb=0.1, voyageS=60.0, **more)
 
 
-async def upgraded_one_by_one(simulation: Simulation) -> None:
-    """Each controller ends and comes back new; the last one makes the switch possible."""
+async def upgrade_one_by_one(simulation: Simulation) -> None:
+    """Restart each controller with the new version; only after the last one may data version 2 be activated."""
     for label in LABELS:
-        assert DATA_VERSION_KEY not in simulation.store.data, "not before every controller is new"
+        assert DATA_VERSION_KEY not in simulation.store.data, (
+            "data version 2 must not be active before every controller is upgraded"
+        )
         simulation.crash(label)
         await simulation.advance(2.0)
         simulation.old_version_controllers.discard(label)
@@ -317,37 +340,40 @@
         await simulation.advance(5.0)
 
 
-def test_data_version_switches_after_the_last_upgrade_and_limits_may_be_lowered_at_once() -> None:
+def test_data_version_2_is_activated_by_the_last_upgrade_and_limits_may_be_lowered_at_once() -> None:
     async def scenario(simulation: Simulation) -> None:
         for number in range(1, 5):
-            simulation.submit_until_accepted(big(number))
+            simulation.submit_until_accepted(large_array(number))
         await simulation.advance(12.0)
-        await upgraded_one_by_one(simulation)
+        await upgrade_one_by_one(simulation)
         await simulation.run_until(lambda: DATA_VERSION_KEY in simulation.store.data, 10.0)
         simulation.lower_limits()
         simulation.cancel_until_confirmed("req-000002")
         await simulation.verify_recovery()
         assert simulation.store_double.rejected_txns == 0
 
-    simulation = Simulation(2, value_kb=16.0, next=NEXT)
+    simulation = Simulation(2, value_kb=16.0, next=NEXT_LIMITS)
     simulation.old_version_controllers.update(LABELS)
     simulation.run_scenario(scenario)
 
 
-def test_limits_lowered_before_the_switch_cause_the_switch() -> None:
-    """A refusal for size ends no term, turns in no circle and loses nothing."""
+def test_lowered_limits_activate_data_version_2() -> None:
+    """Guards against a transaction rejected for its size that ends the leader's term, is retried forever or is lost.
+
+    Limits are lowered only after every controller is upgraded, so the rejection also allows data version 2.
+    """
 
     async def scenario(simulation: Simulation) -> None:
         leader = simulation.leader_label()
         assert leader is not None and DATA_VERSION_KEY not in simulation.store.data
         token = simulation.controllers[leader].election.fencing_token
         simulation.lower_limits()
-        # Each task on a machine of its own: more than the lower limit holds, in one record of the first version.
+        # Each task needs a machine of its own, so the job exceeds the lower limit in one record of data version 1.
         simulation.submit_until_accepted(raw_job(1, hands=75, cores=16.0, accelerators=0.0, voyageS=60.0))
         for _ in range(75):
             simulation.boot(ScaleOutRecord("big", "north", False, 1, 0.0))
         await simulation.run_until(lambda: DATA_VERSION_KEY in simulation.store.data, 60.0)
-        simulation.submit_until_accepted(big(4))
+        simulation.submit_until_accepted(large_array(4))
         await simulation.verify_recovery()
         assert (
             simulation.controllers[leader].election.fencing_token == token
@@ -355,7 +381,7 @@
         )
         assert set(simulation.statuses.values()) == {"done"}
 
-    simulation = Simulation(3, value_kb=16.0, next=NEXT)
+    simulation = Simulation(3, value_kb=16.0, next=NEXT_LIMITS)
     simulation.old_version_controllers.update(LABELS)
     simulation.run_scenario(scenario)
 
@@ -367,7 +393,7 @@
         await simulation.advance(3.0)
         for label in LABELS:
             too_many = [f"req-{number:018d}" for number in range(10**17, 10**17 + 9 * 10**15, 10**13)]
-            for needs, expected in (
+            for dependencies, expected in (
                 (["req-000099"], 422),
                 (["req-000002"], 422),
                 (["req-000050"], 422),
@@ -375,19 +401,19 @@
                 (["x"], 400),
                 (too_many, 400),
             ):
-                status, _ = await simulation.request("POST", "/v1/jobs", raw_job(50, tows=needs), label)
-                assert status == expected, (label, needs[:3])
+                status, _ = await simulation.request("POST", "/v1/jobs", raw_job(50, tows=dependencies), label)
+                assert status == expected, (label, dependencies[:3])
             assert (await simulation.request("GET", "/v1/jobs/req-000050", label=label))[0] == 404
         simulation.submit_until_accepted(raw_job(3, tows=["req-000001"], hands=1))
         await simulation.advance(1.0)
         simulation.submit_until_accepted(raw_job(4, tows=["req-000003", "req-000003"], hands=1))
         await simulation.advance(1.0)
-        # A repeat is known by its id, whatever else it says.
+        # A resubmission is recognized by its id, even if its other fields differ.
         assert (await simulation.request("POST", "/v1/jobs", raw_job(4, tows=["req-000099"])))[0] == 200
         leader = simulation.leader_label()
         assert leader is not None
         follower = next(label for label in LABELS if label != leader)
-        # What hangs below a cancelled job is called cancelled by whoever answers, from the records alone.
+        # Every controller reports dependents of a cancelled job as cancelled, from the records alone.
         simulation.controllers[leader].scheduler.admission.append_dependent_cancellations = lambda batch: None  # type: ignore[union-attr,method-assign]
         await simulation.cancel_until_confirmed("req-000001")
         simulation.partition(follower)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""What users, workers and the store send is checked field by field."""
+"""Decoding and encoding: submissions are validated field by field, worker and peer messages keep their format."""
 
 from typing import Any
 
