--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -138,9 +138,9 @@
 
         async def get_status(number: int) -> int:
             try:
-                async with session.get(f"http://{site.platforms[leader].bind}/v1/jobs/req-{number:06d}") as answer:
-                    await answer.read()
-                    return answer.status
+                async with session.get(f"http://{site.platforms[leader].bind}/v1/jobs/req-{number:06d}") as response:
+                    await response.read()
+                    return response.status
             except aiohttp.ClientError:
                 return 0
 
@@ -344,10 +344,12 @@
     for machine in scheduler.cluster.machines.values():
         machine.created_at -= 100.0
     assert {machine.zone for machine in scheduler.reachability.no_longer_listed(now[0])} == {"north"}
-    heard = scheduler.cluster.machines["vm-north-0"]
-    heard.last_heartbeat_at, before = now[0], heard.last_heartbeat_at
-    assert heard not in scheduler.reachability.no_longer_listed(now[0]), "its last heartbeat is newer than the list"
-    heard.last_heartbeat_at = before
+    reporting = scheduler.cluster.machines["vm-north-0"]
+    reporting.last_heartbeat_at, before = now[0], reporting.last_heartbeat_at
+    assert reporting not in scheduler.reachability.no_longer_listed(now[0]), (
+        "its last heartbeat is newer than the list"
+    )
+    reporting.last_heartbeat_at = before
     assert scheduler.select_scale_in(plan_keeping_all_machines(scheduler), now[0]) == [], (
         "a machine that the list contains is waited for"
     )
@@ -540,8 +542,8 @@
             )
     forward = json.dumps(["forward", "POST", "/v1/jobs/req-000001/cancel", ""]).encode()
     assert site.model.session is not None
-    async with site.model.session.post(f"http://{site.platforms[second].back}/peer", data=forward) as answer:
-        assert b'"done"' in (await answer.read()).replace(b"\\", b"")
+    async with site.model.session.post(f"http://{site.platforms[second].back}/peer", data=forward) as response:
+        assert b'"done"' in (await response.read()).replace(b"\\", b"")
     # A lease whose request was abandoned has no key attached, so its expiry changes nothing.
     site.store.last_lease_id += 1
     site.store.leases[site.store.last_lease_id], site.store.ttl[site.store.last_lease_id] = (
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -92,8 +92,8 @@
         client = HttpClient(4, 4, 60.0)
         client.headers["X-Sender"] = "a"
         for _ in range(3):
-            answer = await client.request("POST", server.address, "/x", b"{}", 5)
-            assert answer == HttpAnswer(200, b"ok")
+            response = await client.request("POST", server.address, "/x", b"{}", 5)
+            assert response == HttpAnswer(200, b"ok")
         assert server.connections == 1
         assert server.requests[0].startswith(b"POST /x HTTP/1.1\r\n") and server.requests[0].endswith(b"\r\n\r\n{}")
         assert b"X-Sender: a\r\n" in server.requests[0]
@@ -119,8 +119,8 @@
         for task in tasks[5:9]:
             task.cancel()
         server.release.set()
-        answers = await asyncio.gather(*tasks, return_exceptions=True)
-        assert [isinstance(answer, HttpAnswer) for answer in answers] == [not 5 <= n < 9 for n in range(20)]
+        responses = await asyncio.gather(*tasks, return_exceptions=True)
+        assert [isinstance(response, HttpAnswer) for response in responses] == [not 5 <= n < 9 for n in range(20)]
         assert server.max_open == min(total, each)
         # Requests on separate connections may overtake one another in transit.
         order = [int(request.split()[1][1:]) for request in server.requests]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -104,8 +104,8 @@
             (raw_job(5, hands=0), "hands"),
             (raw_job(5, rig="swarm"), "rig"),
         ):
-            status, answer, _ = await site.call(label, "POST", "/v1/jobs", body)
-            assert (status, answer["field"]) == (400, field)
+            status, response, _ = await site.call(label, "POST", "/v1/jobs", body)
+            assert (status, response["field"]) == (400, field)
         assert (await site.call(label, "POST", "/v1/jobs", b" " * 70_000))[0] == 413
         assert (await site.call(label, "POST", "/v1/jobs", raw_job(6, crew="green")))[0] == 422
         assert (await site.call(label, "POST", "/v1/jobs", raw_job(6, cores=99.0)))[0] == 422
@@ -149,8 +149,8 @@
     await wait_for_job_state(site, second, "req-000001", "done")
     site.start(first)
     await wait_for_job_state(site, first, "req-000001", "done")
-    status, answer, _ = await site.call(first, "POST", "/agent/beat", {})
-    assert (status, answer) == (421, {"harbormaster": second})
+    status, response, _ = await site.call(first, "POST", "/agent/beat", {})
+    assert (status, response) == (421, {"harbormaster": second})
 
 
 @with_site
@@ -190,7 +190,7 @@
     await wait_for_job_state(site, leader, "req-000001", "running")
     before = [(worker.name, task.attempt) for worker, task in site.model.tasks_on_machines()]
     site.store.down_for.add("all")
-    await wait_until(lambda: site.leader() is None, "unsure")
+    await wait_until(lambda: site.leader() is None, "no confirmed leader")
     for label in "abc":
         status, _, headers = await site.call(label, "POST", "/v1/jobs", raw_job(2))
         assert status == 503 and int(headers["Retry-After"]) >= 1
@@ -228,8 +228,8 @@
     leader = site.leader()
     assert leader is not None
     controller = site.controllers[leader]
-    answer = await controller.handle_back("GET", "/status", b"")
-    status = wire.decode(answer.body, dict)
+    response = await controller.handle_back("GET", "/status", b"")
+    status = wire.decode(response.body, dict)
     assert status["role"] == "leading" and status["leader"] == leader and status["batch"]["count"] >= 0
     view = wire.decode((await controller.answer_peer(wire.encode(peers.ViewRequest("x")))).body, peers.ViewResponse)
     assert view.leader == leader and 0 <= view.store_success_age_s < 5
@@ -345,7 +345,7 @@
             site, "a", raw_job(number, rig="daemon", hands=1, crew=("red", "blue")[number % 2])
         )
     site.store.down_for.add("all")
-    await wait_until(lambda: site.leader() is None, "unsure")
+    await wait_until(lambda: site.leader() is None, "no confirmed leader")
     for label in "abc":
         await site.kill(label)
     for label in "abc":
@@ -373,7 +373,7 @@
     election = site.controllers[leader].election
     election.max_unconfirmed_s = 0.8
     site.store.down_for.add("all")
-    await wait_until(lambda: election.role.value == "unsure", "unsure")
+    await wait_until(lambda: election.role.value == "unsure", "the leader is unconfirmed")
     await asyncio.sleep(3.0)
     assert election.role.value == "unsure", "no other controller can lead"
     await site.kill(next(label for label in "abc" if label != leader))
--- a/tests/test_surfaces.py
+++ b/tests/test_surfaces.py
@@ -302,7 +302,7 @@
 
 
 async def _run_jobs(simulation: Simulation) -> None:
-    """Run jobs in a simulation for 60 s: an array job and a service."""
+    """Run an array job and a service in a simulation for 60 s, so that it has a completed and a running job."""
     simulation.submit_until_accepted(raw_job(1, voyageS=1.0))
     simulation.submit_until_accepted(raw_job(2, rig="daemon", hands=3, voyageS=0.0, crew="blue"))
     await simulation.advance(60.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -243,14 +243,14 @@
     while model.statuses[last] != "cancelled":
         model.step(0.02)
     assert len(scheduler.migration.jobs_to_migrate) >= before - 2 > 0, (
-        "it is migrated before all other jobs, except for one whose migration has begun"
+        "its records are migrated before those of other jobs, except for one whose migration has begun"
     )
     model.run(model.platform.cancel_s)
     assert not any(task.job.id == last for _, task in model.tasks_on_machines())
 
 
 def test_gang_of_many_records_can_change_in_data_version_1() -> None:
-    """Guards against a batch that stays empty since the gang has more records than a transaction may then change."""
+    """Guards against work waiting behind a gang that has more records than the lower limit lets one batch change."""
     settings = platform(next=NEXT_LIMITS | {"txn_ops": 3})
     jobs, _ = decode_job_records(recorded_items(JOBS_PREFIX), recorded_items(CHUNKS_PREFIX))
     gang = jobs["req-000005"]
