--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Real controllers on loopback, with stand-ins for everything around them."""
+"""Real controllers on loopback, with protocol doubles of the store, the cloud and the workers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,43 +14,43 @@
 from .samples import job, raw_job
 
 
-def live(test: Callable[[Site], Awaitable[None]]) -> Callable[[], None]:
-    """Run a test with a site of its own."""
+def with_site(test: Callable[[Site], Awaitable[None]]) -> Callable[[], None]:
+    """Run a test with a `Site` of its own, once a leader is elected and has loaded the machine types."""
 
     def run() -> None:
-        async def inside() -> None:
+        async def main() -> None:
             async with Site() as site:
                 await wait_until(site.leader, "a leader")
                 leader = site.leader()
                 await wait_until(
                     lambda: all(site.controllers[label].leader == leader for label in site.running),
-                    "all know the leader",
+                    "all controllers know the leader",
                 )
                 await wait_until(
                     lambda: site.controllers[str(leader)].scheduler.cluster.machine_types, "the machine types"
                 )
                 await test(site)
 
-        asyncio.run(inside())
+        asyncio.run(main())
 
     run.__name__, run.__doc__ = test.__name__, test.__doc__
     return run
 
 
-async def accepted(site: Site, label: str, raw: dict[str, Any]) -> None:
-    """Submit until it is accepted, as users do."""
+async def submit_until_accepted(site: Site, label: str, raw: dict[str, Any]) -> None:
+    """Submit a job until it is accepted, retrying after 429 and 503 as users do."""
     site.model.specs[raw["nameId"]] = job(int(raw["nameId"][4:]), **raw)
 
-    async def once() -> bool:
+    async def is_accepted() -> bool:
         status, _, _ = await site.call(label, "POST", "/v1/jobs", raw)
         assert status in (200, 201, 429, 503)
         return status in (200, 201)
 
-    await wait_until(once, "accepted")
+    await wait_until(is_accepted, "the job is accepted")
 
 
-async def state_of(site: Site, label: str, job_id: str) -> str | None:
-    """Ask for a job's state."""
+async def get_job_state(site: Site, label: str, job_id: str) -> str | None:
+    """Return the state of a job as a controller reports it; None if the request fails."""
     try:
         status, body, _ = await site.call(label, "GET", f"/v1/jobs/{job_id}")
     except aiohttp.ClientError:
@@ -58,41 +58,41 @@
     return body["bearing"] if status == 200 else None
 
 
-async def reaches(site: Site, label: str, job_id: str, state: str) -> None:
-    """Poll until a job has a state."""
+async def wait_for_job_state(site: Site, label: str, job_id: str, state: str) -> None:
+    """Poll a controller until it reports a job in a state."""
 
-    async def once() -> bool:
-        return await state_of(site, label, job_id) == state
+    async def has_state() -> bool:
+        return await get_job_state(site, label, job_id) == state
 
-    await wait_until(once, f"{job_id} {state}")
+    await wait_until(has_state, f"{job_id} {state}")
 
 
-@live
-async def test_users_are_served_by_any_controller(site: Site) -> None:
+@with_site
+async def test_any_controller_serves_users(site: Site) -> None:
     followers = [label for label in "abc" if label != site.leader()]
     raw = raw_job(1, voyageS=0.5)
-    await accepted(site, followers[0], raw)
+    await submit_until_accepted(site, followers[0], raw)
     status, body, _ = await site.call(followers[1], "POST", "/v1/jobs", raw)
     assert (status, body["nameId"]) == (200, "req-000001")
     for label in "abc":
-        await reaches(site, label, "req-000001", "done")
-    # A repeat of any form is known by its id, whatever else it says.
+        await wait_for_job_state(site, label, "req-000001", "done")
+    # A resubmission is recognized by its id, even if its other fields differ.
     status, body, _ = await site.call(followers[0], "POST", "/v1/jobs", {"nameId": "req-000001", "crew": 7})
     assert (status, body["bearing"]) == (200, "done")
     status, body, _ = await site.call(followers[0], "POST", "/v1/jobs/req-000001/cancel")
     assert (status, body["bearing"]) == (200, "done")
-    await accepted(site, followers[0], raw_job(2, rig="daemon", hands=1))
-    await reaches(site, followers[0], "req-000002", "running")
+    await submit_until_accepted(site, followers[0], raw_job(2, rig="daemon", hands=1))
+    await wait_for_job_state(site, followers[0], "req-000002", "running")
     status, body, _ = await site.call(followers[1], "POST", "/v1/jobs/req-000002/cancel")
     assert (status, body["bearing"]) == (200, "cancelled")
-    await wait_until(lambda: not site.model.tasks_on_machines(), "all is gone")
+    await wait_until(lambda: not site.model.tasks_on_machines(), "no task is left")
     for label in "abc":
-        assert await state_of(site, label, "req-000002") == "cancelled"
+        assert await get_job_state(site, label, "req-000002") == "cancelled"
         assert (await site.call(label, "GET", "/ready"))[0] == 200
 
 
-@live
-async def test_bad_input_is_answered_at_once_and_changes_nothing(site: Site) -> None:
+@with_site
+async def test_invalid_input_is_rejected_and_changes_nothing(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     for label in "abc":
@@ -104,8 +104,8 @@
             (raw_job(5, hands=0), "hands"),
             (raw_job(5, rig="swarm"), "rig"),
         ):
-            status, answer, _ = await site.call(label, "POST", "/v1/jobs", body)
-            assert (status, answer["field"]) == (400, field)
+            status, response, _ = await site.call(label, "POST", "/v1/jobs", body)
+            assert (status, response["field"]) == (400, field)
         assert (await site.call(label, "POST", "/v1/jobs", b" " * 70_000))[0] == 413
         assert (await site.call(label, "POST", "/v1/jobs", raw_job(6, crew="green")))[0] == 422
         assert (await site.call(label, "POST", "/v1/jobs", raw_job(6, cores=99.0)))[0] == 422
@@ -123,120 +123,122 @@
     ).status == 400 and controller.metrics.malformed_peer_messages == 1
 
 
-@live
-async def test_an_accepted_job_outlives_every_controller(site: Site) -> None:
-    await accepted(site, "a", raw_job(1, hands=3, voyageS=2.0))
-    await accepted(site, "a", raw_job(2, rig="group", hands=2, voyageS=2.0, crew="blue"))
-    await wait_until(site.model.tasks_on_machines, "work has begun")
+@with_site
+async def test_accepted_jobs_survive_a_crash_of_all_controllers(site: Site) -> None:
+    await submit_until_accepted(site, "a", raw_job(1, hands=3, voyageS=2.0))
+    await submit_until_accepted(site, "a", raw_job(2, rig="group", hands=2, voyageS=2.0, crew="blue"))
+    await wait_until(site.model.tasks_on_machines, "tasks are running")
     for label in "abc":
         await site.kill(label)
     for label in "abc":
         site.start(label)
     await wait_until(site.leader, "a leader again")
     for number in (1, 2):
-        await reaches(site, "b", f"req-{number:06d}", "done")
+        await wait_for_job_state(site, "b", f"req-{number:06d}", "done")
 
 
-@live
-async def test_a_leader_that_dies_is_replaced_and_a_restarted_one_joins(site: Site) -> None:
+@with_site
+async def test_crashed_leader_is_replaced_and_rejoins_as_a_follower(site: Site) -> None:
     first = site.leader()
     assert first is not None
-    await accepted(site, first, raw_job(1, hands=2, voyageS=3.0))
+    await submit_until_accepted(site, first, raw_job(1, hands=2, voyageS=3.0))
     token = site.controllers[first].election.fencing_token
     await site.kill(first)
     second = await wait_until(site.leader, "another leader")
     assert second != first and site.controllers[second].election.fencing_token > token
-    await reaches(site, second, "req-000001", "done")
+    await wait_for_job_state(site, second, "req-000001", "done")
     site.start(first)
-    await reaches(site, first, "req-000001", "done")
-    status, answer, _ = await site.call(first, "POST", "/agent/beat", {})
-    assert (status, answer) == (421, {"harbormaster": second})
+    await wait_for_job_state(site, first, "req-000001", "done")
+    status, response, _ = await site.call(first, "POST", "/agent/beat", {})
+    assert (status, response) == (421, {"harbormaster": second})
 
 
-@live
-async def test_a_refusal_seen_by_the_leader_alone_hands_over(site: Site) -> None:
+@with_site
+async def test_leader_that_alone_loses_the_store_is_replaced(site: Site) -> None:
     first = site.leader()
     assert first is not None
-    await accepted(site, first, raw_job(1, rig="daemon", hands=1))
-    await reaches(site, first, "req-000001", "running")
+    await submit_until_accepted(site, first, raw_job(1, rig="daemon", hands=1))
+    await wait_for_job_state(site, first, "req-000001", "running")
     site.identify_to_store(first)
     site.store.down_for.add(first)
     second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
     site.store.down_for.clear()
     attempts = {task.attempt for _, task in site.model.tasks_on_machines()}
-    assert await state_of(site, second, "req-000001") in ("pending", "running")
-    await reaches(site, second, "req-000001", "running")
-    assert {task.attempt for _, task in site.model.tasks_on_machines()} == attempts, "no work was lost"
+    assert await get_job_state(site, second, "req-000001") in ("pending", "running")
+    await wait_for_job_state(site, second, "req-000001", "running")
+    assert {task.attempt for _, task in site.model.tasks_on_machines()} == attempts, "no task was restarted"
 
 
-@live
-async def test_a_leader_that_no_worker_reaches_hands_over(site: Site) -> None:
+@with_site
+async def test_leader_that_no_worker_reaches_is_replaced(site: Site) -> None:
     first = site.leader()
     assert first is not None
-    await accepted(site, first, raw_job(1, rig="daemon", hands=1))
-    await reaches(site, first, "req-000001", "running")
-    front = site.model.controller_addresses.pop(first)
+    await submit_until_accepted(site, first, raw_job(1, rig="daemon", hands=1))
+    await wait_for_job_state(site, first, "req-000001", "running")
+    address = site.model.controller_addresses.pop(first)
     second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
-    site.model.controller_addresses[first] = front
-    await accepted(site, second, raw_job(2, voyageS=0.5))
-    await reaches(site, first, "req-000002", "done")
+    site.model.controller_addresses[first] = address
+    await submit_until_accepted(site, second, raw_job(2, voyageS=0.5))
+    await wait_for_job_state(site, first, "req-000002", "done")
 
 
-@live
-async def test_an_outage_of_the_store_is_told_at_once_and_costs_no_work(site: Site) -> None:
+@with_site
+async def test_store_outage_is_answered_with_503_and_stops_no_task(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
-    await accepted(site, leader, raw_job(1, rig="daemon", hands=1))
-    await reaches(site, leader, "req-000001", "running")
+    await submit_until_accepted(site, leader, raw_job(1, rig="daemon", hands=1))
+    await wait_for_job_state(site, leader, "req-000001", "running")
     before = [(worker.name, task.attempt) for worker, task in site.model.tasks_on_machines()]
     site.store.down_for.add("all")
-    await wait_until(lambda: site.leader() is None, "unsure")
+    await wait_until(lambda: site.leader() is None, "no confirmed leader")
     for label in "abc":
         status, _, headers = await site.call(label, "POST", "/v1/jobs", raw_job(2))
         assert status == 503 and int(headers["Retry-After"]) >= 1
-        assert (await site.call(label, "GET", "/v1/jobs/req-000009"))[0] == 503, "nobody can say it is unknown"
+        assert (await site.call(label, "GET", "/v1/jobs/req-000009"))[0] == 503, (
+            "without the store no controller can tell that the job is unknown"
+        )
     site.store.heal()
     await wait_until(site.leader, "a leader again")
     assert [(worker.name, task.attempt) for worker, task in site.model.tasks_on_machines()] == before
-    await accepted(site, leader, raw_job(2, voyageS=0.5))
-    await reaches(site, leader, "req-000002", "done")
+    await submit_until_accepted(site, leader, raw_job(2, voyageS=0.5))
+    await wait_for_job_state(site, leader, "req-000002", "done")
 
 
-@live
-async def test_a_cloud_that_is_down_delays_and_does_not_lose(site: Site) -> None:
+@with_site
+async def test_cloud_outage_delays_a_job_without_losing_it(site: Site) -> None:
     site.model.cloud_down = True
-    await accepted(site, "a", raw_job(1, voyageS=0.5))
-    assert await state_of(site, "a", "req-000001") == "pending"
+    await submit_until_accepted(site, "a", raw_job(1, voyageS=0.5))
+    assert await get_job_state(site, "a", "req-000001") == "pending"
     site.model.cloud_down = False
-    await reaches(site, "a", "req-000001", "done")
+    await wait_for_job_state(site, "a", "req-000001", "done")
 
 
-@live
-async def test_a_full_queue_is_told_to_come_back(site: Site) -> None:
+@with_site
+async def test_full_queue_is_answered_with_429_and_retry_after(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
-    term = site.controllers[leader].scheduler
-    term.admission.max_waiting = 0.0
+    scheduler = site.controllers[leader].scheduler
+    scheduler.admission.max_waiting = 0.0
     status, _, headers = await site.call(leader, "POST", "/v1/jobs", raw_job(1))
     assert status == 429 and int(headers["Retry-After"]) >= 1
 
 
-@live
-async def test_operators_see_a_running_controller(site: Site) -> None:
+@with_site
+async def test_status_and_view_describe_a_running_controller(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     controller = site.controllers[leader]
-    answer = await controller.handle_back("GET", "/status", b"")
-    status = wire.decode(answer.body, dict)
+    response = await controller.handle_back("GET", "/status", b"")
+    status = wire.decode(response.body, dict)
     assert status["role"] == "leading" and status["leader"] == leader and status["batch"]["count"] >= 0
     view = wire.decode((await controller.answer_peer(wire.encode(peers.ViewRequest("x")))).body, peers.ViewResponse)
     assert view.leader == leader and 0 <= view.store_success_age_s < 5
 
 
-def test_the_live_decorator_reports_failures() -> None:
-    """The other tests here must be able to fail."""
+def test_with_site_decorator_reports_failures() -> None:
+    """Guards against a decorator that hides assertion errors of the tests."""
 
-    @live
+    @with_site
     async def fails(site: Site) -> None:
         assert site.leader() is None
 
@@ -244,98 +246,106 @@
         fails()
 
 
-async def cut_peers(site: Site, label: str) -> list[Any]:
-    """No controller reaches this one, and it reaches none; return what undoes it."""
-    undo: list[Any] = []
+async def disconnect_peers(site: Site, label: str) -> list[Any]:
+    """Cut the connections between a controller and its peers, both ways; return callables that restore them."""
+    restore: list[Any] = []
     for other in site.running:
         client = site.controllers[other].peers
-        kept = dict(client.addresses)
-        undo.append(lambda client=client, kept=kept: client.addresses.update(kept))
+        addresses = dict(client.addresses)
+        restore.append(lambda client=client, addresses=addresses: client.addresses.update(addresses))
         for name in list(client.addresses):
             if label in (other, name):
                 client.addresses[name] = "127.0.0.1:1"
-    return undo
+    return restore
 
 
-@live
-async def test_a_leader_without_store_and_peers_gives_its_workers_up(site: Site) -> None:
+@with_site
+async def test_isolated_leader_steps_down_on_a_newer_fencing_token(site: Site) -> None:
     first = site.leader()
     assert first is not None
-    await accepted(site, first, raw_job(1, rig="daemon", hands=2))
-    await reaches(site, first, "req-000001", "running")
+    await submit_until_accepted(site, first, raw_job(1, rig="daemon", hands=2))
+    await wait_for_job_state(site, first, "req-000001", "running")
     before = {(worker.name, task.index, task.attempt) for worker, task in site.model.tasks_on_machines()}
-    undo = await cut_peers(site, first)
-    # It would step down by itself after a while; here only a worker's token can tell it.
+    restore = await disconnect_peers(site, first)
+    # The limit is raised so that the leader does not step down by itself: only a worker's fencing token can show it
+    # that there is a newer leader.
     site.controllers[first].election.max_unconfirmed_s = 1000.0
     site.identify_to_store(first)
     site.store.down_for.add(first)
     second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
     batches = site.controllers[first].commit_pipeline.batch_sequence
     await wait_until(
-        lambda: not site.controllers[first].election.may_answer_heartbeats, "the old one has stepped down"
+        lambda: not site.controllers[first].election.may_answer_heartbeats, "the old leader has stepped down"
     )
-    assert site.controllers[first].commit_pipeline.batch_sequence == batches, "it decided nothing"
-    await accepted(site, second, raw_job(2, voyageS=0.5))
-    await reaches(site, second, "req-000002", "done")
+    assert site.controllers[first].commit_pipeline.batch_sequence == batches, "the old leader built no batch"
+    await submit_until_accepted(site, second, raw_job(2, voyageS=0.5))
+    await wait_for_job_state(site, second, "req-000002", "done")
     assert before <= {(worker.name, task.index, task.attempt) for worker, task in site.model.tasks_on_machines()}
-    for back in undo:
-        back()
+    for reconnect in restore:
+        reconnect()
     site.store.down_for.clear()
-    await reaches(site, first, "req-000001", "running")
+    await wait_for_job_state(site, first, "req-000001", "running")
 
 
-@live
-async def test_a_follower_that_cannot_reach_the_leader_sends_users_elsewhere(site: Site) -> None:
+@with_site
+async def test_follower_that_cannot_reach_the_leader_is_not_ready(site: Site) -> None:
     leader = site.leader()
     assert leader is not None
     follower = next(label for label in "abc" if label != leader)
     assert (await site.call(follower, "GET", "/ready"))[0] == 200
-    await accepted(site, leader, raw_job(1, voyageS=0.5))
-    undo = await cut_peers(site, leader)
+    await submit_until_accepted(site, leader, raw_job(1, voyageS=0.5))
+    restore = await disconnect_peers(site, leader)
 
     async def ready(label: str) -> bool:
         return (await site.call(label, "GET", "/ready"))[0] == 200
 
-    async def unready() -> bool:
+    async def follower_is_not_ready() -> bool:
         return not await ready(follower)
 
-    await wait_until(unready, "the follower is not ready")
+    await wait_until(follower_is_not_ready, "the follower is not ready")
     assert await ready(leader)
     status, _, headers = await site.call(follower, "POST", "/v1/jobs", raw_job(2))
     assert (status, headers["Connection"]) == (503, "close") and int(headers["Retry-After"]) >= 1
-    assert await state_of(site, follower, "req-000001") in ("pending", "running", "done"), "the store still tells"
-    for back in undo:
-        back()
+    assert await get_job_state(site, follower, "req-000001") in ("pending", "running", "done"), (
+        "the state is still read from the store"
+    )
+    for reconnect in restore:
+        reconnect()
     await wait_until(lambda: ready(follower), "ready again")
 
 
-@live
-async def test_a_key_of_an_earlier_life_is_ended_at_once(site: Site) -> None:
-    """A put of a life before may be carried out after its successor has looked: nobody need wait for its lease."""
+@with_site
+async def test_leader_key_of_an_earlier_incarnation_is_revoked_at_once(site: Site) -> None:
+    """Guards against waiting for the old lease to expire.
+
+    The store may execute a put of the leader key by an earlier incarnation after the new one has looked for it.
+    """
     for label in "abc":
         await site.kill(label)
     site.store.down_for.add("all")
     for label in "abc":
         site.start(label)
-    # Every controller has looked for a key of its own and got no answer before the late put is carried out.
+    # Every controller has looked for a key of its own, and got no response, before the late put is executed.
     await asyncio.sleep(1.5)
     site.store.last_lease_id += 1
     lease = site.store.last_lease_id
     site.store.ttl[lease] = 3600.0
     site.store.leases[lease] = site.store.now() + 3600.0
     site.store.store.revision += 1
-    site.store.store.data["driftcleat/leader"] = (["a", "a life before"], site.store.store.revision)
+    site.store.store.data["driftcleat/leader"] = (["a", "earlier incarnation"], site.store.store.revision)
     site.store.attached["driftcleat/leader"] = lease
     site.store.heal()
-    await wait_until(site.leader, "a leader, long before that lease would end")
+    await wait_until(site.leader, "a leader, long before that lease would expire")
 
 
-@live
-async def test_after_all_troubles_every_controller_answers_every_question(site: Site) -> None:
+@with_site
+async def test_every_controller_answers_after_an_outage_and_restarts(site: Site) -> None:
     for number in (1, 2, 3):
-        await accepted(site, "a", raw_job(number, rig="daemon", hands=1, crew=("red", "blue")[number % 2]))
+        await submit_until_accepted(
+            site, "a", raw_job(number, rig="daemon", hands=1, crew=("red", "blue")[number % 2])
+        )
     site.store.down_for.add("all")
-    await wait_until(lambda: site.leader() is None, "unsure")
+    await wait_until(lambda: site.leader() is None, "no confirmed leader")
     for label in "abc":
         await site.kill(label)
     for label in "abc":
@@ -345,25 +355,28 @@
         for number in (1, 2, 3):
 
             async def answered(label: str = label, number: int = number) -> bool:
-                return await state_of(site, label, f"req-{number:06d}") is not None
+                return await get_job_state(site, label, f"req-{number:06d}") is not None
 
             await wait_until(answered, f"{label} answers")
     for number in (1, 2, 3):
-        await reaches(site, "b", f"req-{number:06d}", "running")
+        await wait_for_job_state(site, "b", f"req-{number:06d}", "running")
+
 
+@with_site
+async def test_unconfirmed_leader_steps_down_only_if_a_peer_is_silent(site: Site) -> None:
+    """Guards against losing all running tasks in a store outage of a minute.
 
-@live
-async def test_a_leader_stays_unsure_while_all_are_refused_and_not_when_some_are_silent(site: Site) -> None:
-    """Seen on the bench: an outage of a minute cost all running work, since the leader gave up after two leases."""
+    If the leader stepped down after 2 leases although no other controller could lead, the workers' leases expired.
+    """
     leader = site.leader()
     assert leader is not None
     election = site.controllers[leader].election
     election.max_unconfirmed_s = 0.8
     site.store.down_for.add("all")
-    await wait_until(lambda: election.role.value == "unsure", "unsure")
+    await wait_until(lambda: election.role.value == "unsure", "the leader is unconfirmed")
     await asyncio.sleep(3.0)
-    assert election.role.value == "unsure", "nobody else can lead"
+    assert election.role.value == "unsure", "no other controller can lead"
     await site.kill(next(label for label in "abc" if label != leader))
-    await wait_until(lambda: election.role.value == "follower", "one that is silent may lead")
+    await wait_until(lambda: election.role.value == "follower", "a peer that does not respond may lead")
     site.store.heal()
     await wait_until(site.leader, "a leader again")
