--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -7,7 +7,7 @@
 
 from driftcleat.net import ConnectError, HttpClient, HttpError, HttpResponse
 
-from .protocol_doubles import free_port
+from .protocol_doubles import free_port, wait_until
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 Script = Callable[["ScriptedServer", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -113,6 +113,8 @@
             asyncio.ensure_future(client.request("POST", server.address, f"/{number}", b"", 30))
             for number in range(20)
         ]
+        # Wait for the permitted requests, however slow the machine is; after that, no further request may arrive.
+        await wait_until(lambda: len(server.requests) >= min(total, each), "the permitted requests")
         await asyncio.sleep(0.1)
         assert len(server.requests) == min(total, each)
         # Some requests are cancelled while they wait: the next ones take their turns.
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,21 +14,21 @@
 from .samples import job, raw_job
 
 
+def is_ready(site: Site) -> bool:
+    """Return whether every controller knows the present leader, and that leader has loaded the machine types."""
+    leader = site.leader()
+    if leader is None or any(site.controllers[label].leader != leader for label in site.running):
+        return False
+    return bool(site.controllers[leader].scheduler.cluster.machine_types)
+
+
 def with_site(test: Callable[[Site], Awaitable[None]]) -> Callable[[], None]:
     """Run a test with a `Site` of its own, once a leader is elected and has loaded the machine types."""
 
     def run() -> None:
         async def main() -> None:
             async with Site() as site:
-                await wait_until(site.leader, "a leader")
-                leader = site.leader()
-                await wait_until(
-                    lambda: all(site.controllers[label].leader == leader for label in site.running),
-                    "all controllers know the leader",
-                )
-                await wait_until(
-                    lambda: site.controllers[str(leader)].scheduler.cluster.machine_types, "the machine types"
-                )
+                await wait_until(lambda: is_ready(site), "all controllers know the leader")
                 await test(site)
 
         asyncio.run(main())
