--- a/driftcleat/controller/recovery.py
+++ b/driftcleat/controller/recovery.py
@@ -55,8 +55,8 @@
     return RecordLayout(
         platform.value_bytes,
         platform.txn_ops,
-        platform.first_value_bytes,
-        platform.first_txn_ops,
+        platform.version_1_value_bytes,
+        platform.version_1_txn_ops,
         platform.zones,
     )
 
--- a/driftcleat/scheduler/batch_builder.py
+++ b/driftcleat/scheduler/batch_builder.py
@@ -62,7 +62,7 @@
         """
         batch = self._build_within(self._platform.txn_ops, available_operations)
         if self._needs_first_version_limit(batch):
-            batch = self._build_within(self._platform.first_txn_ops, available_operations)
+            batch = self._build_within(self._platform.version_1_txn_ops, available_operations)
         return batch
 
     def _needs_first_version_limit(self, batch: Batch) -> bool:
@@ -76,7 +76,7 @@
             return False
         if not (self._cluster.machines_to_reconcile or self._drainer.pending):
             return False
-        return not self._layout.version_2_active and self._platform.first_txn_ops > self._platform.txn_ops
+        return not self._layout.version_2_active and self._platform.version_1_txn_ops > self._platform.txn_ops
 
     def _build_within(self, transaction_operations: int, available_operations: float) -> Batch:
         """Return a batch for a transaction of at most `transaction_operations` operations."""
--- a/driftcleat/settings/platform.py
+++ b/driftcleat/settings/platform.py
@@ -77,8 +77,8 @@
     value_bytes: int
     txn_ops: int
     # The current limits, by which data version 1 splits jobs into records.
-    first_value_bytes: int
-    first_txn_ops: int
+    version_1_value_bytes: int
+    version_1_txn_ops: int
     cloud_rps: float
     list_lag_s: float
     core_share: float
@@ -238,8 +238,8 @@
         write_rps=min(write_rps, next_limits.number("write_rps", write_rps, positive=True)),
         value_bytes=int(min(value_kb, next_limits.number("value_kb", value_kb, positive=True)) * 1024),
         txn_ops=min(txn_ops, next_limits.count("txn_ops", txn_ops)),
-        first_value_bytes=int(value_kb * 1024),
-        first_txn_ops=txn_ops,
+        version_1_value_bytes=int(value_kb * 1024),
+        version_1_txn_ops=txn_ops,
         cloud_rps=cloud.number("rps", positive=True),
         list_lag_s=cloud.number("list_lag_s"),
         core_share=resources.number("core_share", 1.0, positive=True),
--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -64,7 +64,7 @@
         self.data: dict[str, tuple[Any, int]] = {}
         self.revision = 0
         # The limits that hold until `lower_limits` is called.
-        self.value_bytes, self.txn_ops = platform.first_value_bytes, platform.first_txn_ops
+        self.value_bytes, self.txn_ops = platform.version_1_value_bytes, platform.version_1_txn_ops
 
     def lower_limits(self) -> None:
         """Apply the lower limits that the settings announce; records that are stored already stay readable."""
@@ -408,7 +408,9 @@
         """Make a controller the leader: write the leader key and load all records into a new scheduler."""
         token = self.store.put_leader(label)
         site = self.platform
-        layout = RecordLayout(site.value_bytes, site.txn_ops, site.first_value_bytes, site.first_txn_ops, site.zones)
+        layout = RecordLayout(
+            site.value_bytes, site.txn_ops, site.version_1_value_bytes, site.version_1_txn_ops, site.zones
+        )
         layout.version_2_active = DATA_VERSION_KEY in self.store.data
         assert not (previous_version and layout.version_2_active), "the previous version cannot read data version 2"
         jobs, orphans = decode_job_records(self.store.items(JOBS_PREFIX), self.store.items(CHUNKS_PREFIX))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -162,10 +162,15 @@
 
 def test_settings_name_the_limits_to_come() -> None:
     today = platform()
-    assert (today.value_bytes, today.txn_ops, today.first_value_bytes, today.first_txn_ops) == (8192, 24, 8192, 24)
+    assert (today.value_bytes, today.txn_ops, today.version_1_value_bytes, today.version_1_txn_ops) == (
+        8192,
+        24,
+        8192,
+        24,
+    )
     coming = platform(next=NEXT)
     assert (coming.value_bytes, coming.txn_ops, coming.write_rps, coming.state_rps) == (2048, 4, 35.0, 200.0)
-    assert (coming.first_value_bytes, coming.first_txn_ops) == (8192, 24)
+    assert (coming.version_1_value_bytes, coming.version_1_txn_ops) == (8192, 24)
     assert platform(next={"value_kb": 99.0}).value_bytes == 8192, "a higher one is no reason to write more"
     assert "next" not in raw_settings()["deployment"]["state"]
 
