--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -30,9 +30,9 @@
 
 # Returns seconds.
 Clock = Callable[[], float]
-AskPeers = Callable[[], Awaitable[PeerSurvey]]
-# Takes the arguments of `Election`: platform, tuning, store, rng, clock, recover, on_step_down, ask_peers and
-# ask_leader.
+QueryPeers = Callable[[], Awaitable[PeerSurvey]]
+# Takes the arguments of `Election`: platform, tuning, store, rng, clock, recover, on_step_down, query_peers and
+# query_leader.
 ElectionFactory = Callable[
     [
         Platform,
@@ -42,8 +42,8 @@
         Clock,
         Callable[[int], Awaitable[None]],
         Callable[[], None],
-        AskPeers,
-        AskPeers,
+        QueryPeers,
+        QueryPeers,
     ],
     Election,
 ]
@@ -81,7 +81,7 @@
     # Ends the current term.
     end_term: Callable[[], None]
     # Queries every other controller.
-    ask_peers: AskPeers
+    query_peers: QueryPeers
 
 
 class ControllerParts(NamedTuple):
@@ -152,8 +152,8 @@
         context.clock,
         callbacks.recover,
         callbacks.end_term,
-        callbacks.ask_peers,
-        surveyor.ask_leader,
+        callbacks.query_peers,
+        surveyor.query_leader,
     )
 
 
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -45,7 +45,7 @@
         factories = factories if factories is not None else Factories()
         network = factories.network(platform, clock, self.reply_front, self.handle_back)
         context = BuildContext(platform, tuning, self.rng, clock, network)
-        callbacks = TermCallbacks(self._recover, self._end_term, self._ask_peers)
+        callbacks = TermCallbacks(self._recover, self._end_term, self._query_peers)
         parts = build_parts(context, callbacks, factories)
         self._network = network
         self.front = network.front
@@ -143,7 +143,7 @@
         self.users.drop_outstanding()
         self.active_term.announce_commit()
 
-    async def _ask_peers(self) -> PeerSurvey:
+    async def _query_peers(self) -> PeerSurvey:
         """Query the other controllers about the store and the leader.
 
         A leader does so only while its leadership is unconfirmed, so users' requests that wait for a commit are
@@ -151,7 +151,7 @@
         """
         if self.election.is_leader:
             self.users.drop_outstanding()
-        return await self.surveyor.ask_all()
+        return await self.surveyor.query_all()
 
     def reply_front(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
         """Answer a request at `bind`; heartbeats are answered without a task if possible."""
@@ -165,6 +165,6 @@
         """Answer a request at `back`."""
         return await self._routes.handle_back(method, path, body)
 
-    async def answer_peer(self, body: bytes) -> Response:
+    async def handle_peer(self, body: bytes) -> Response:
         """Answer another controller's message."""
-        return await self._routes.answer_peer(body)
+        return await self._routes.handle_peer(body)
--- a/driftcleat/controller/routes.py
+++ b/driftcleat/controller/routes.py
@@ -70,12 +70,12 @@
     async def handle_back(self, method: str, path: str, body: bytes) -> Response:
         """Answer a request at `back`."""
         if path == PEER_PATH:
-            return await self.answer_peer(body) if method == "POST" else _method_not_allowed("POST")
+            return await self.handle_peer(body) if method == "POST" else _method_not_allowed("POST")
         if path in STATUS_PATHS:
             return Response(200, wire.encode(self._status.read())) if method == "GET" else _method_not_allowed("GET")
         return _not_found()
 
-    async def answer_peer(self, body: bytes) -> Response:
+    async def handle_peer(self, body: bytes) -> Response:
         """Answer another controller's message."""
         return await self._peer_api.handle(body)
 
--- a/driftcleat/leadership/callbacks.py
+++ b/driftcleat/leadership/callbacks.py
@@ -15,6 +15,6 @@
     # Called after the term has ended.
     on_step_down: Callable[[], None]
     # Queries every other controller.
-    ask_peers: Callable[[], Awaitable[PeerSurvey]]
+    query_peers: Callable[[], Awaitable[PeerSurvey]]
     # Queries only the known leader.
-    ask_leader: Callable[[], Awaitable[PeerSurvey]]
+    query_leader: Callable[[], Awaitable[PeerSurvey]]
--- a/driftcleat/leadership/election.py
+++ b/driftcleat/leadership/election.py
@@ -42,11 +42,11 @@
         clock: Callable[[], float],
         recover: Callable[[int], Awaitable[None]],
         on_step_down: Callable[[], None],
-        ask_peers: Callable[[], Awaitable[PeerSurvey]],
-        ask_leader: Callable[[], Awaitable[PeerSurvey]],
+        query_peers: Callable[[], Awaitable[PeerSurvey]],
+        query_leader: Callable[[], Awaitable[PeerSurvey]],
     ) -> None:
         super().__init__(platform, tuning, clock)
-        self.callbacks = ElectionCallbacks(recover, on_step_down, ask_peers, ask_leader)
+        self.callbacks = ElectionCallbacks(recover, on_step_down, query_peers, query_leader)
         self.leader_key = LeaderKey(self, store)
         self.leader_loop = self.make_leader_loop(store, platform, tuning)
         self.campaign = self.make_campaign(store, f"{rng.getrandbits(64):016x}")
--- a/driftcleat/leadership/follower_loop.py
+++ b/driftcleat/leadership/follower_loop.py
@@ -49,7 +49,7 @@
         # this second check, this controller would follow itself until the lease expires.
         if await self._leader_key.revoke_if_ours(key_value):
             return
-        self._state.record_leader_contact(await self._callbacks.ask_leader())
+        self._state.record_leader_contact(await self._callbacks.query_leader())
         await self.wait_for_change()
 
     async def wait_for_change(self) -> None:
@@ -72,7 +72,7 @@
         heartbeats here.
         """
         state = self._state
-        survey = await self._callbacks.ask_peers()
+        survey = await self._callbacks.query_peers()
         state.observe_leader(survey.leader, survey.highest_fencing_token)
         state.record_leader_contact(survey)
         if survey.peer_reaches_store:
--- a/driftcleat/leadership/leader_loop.py
+++ b/driftcleat/leadership/leader_loop.py
@@ -96,7 +96,7 @@
         """
         state = self._state
         sent_at = state.clock()
-        survey = await self._callbacks.ask_peers()
+        survey = await self._callbacks.query_peers()
         if survey.highest_fencing_token > state.fencing_token:
             state.back_off_until = state.clock() + self._back_off_s
             self.step_down(f"a controller has seen term {survey.highest_fencing_token}")
--- a/driftcleat/peers/survey.py
+++ b/driftcleat/peers/survey.py
@@ -37,7 +37,7 @@
         self._active_term = active_term
         self._clock = clock
 
-    async def ask_all(self) -> PeerSurvey:
+    async def query_all(self) -> PeerSurvey:
         """Ask all other controllers for their views of the store and the leader."""
         asked_at = self._clock()
         views = await self._peers.request_views(self._active_term.election.ttl_s * VIEW_TIMEOUT_FRACTION)
@@ -53,7 +53,7 @@
             and all(view.has_read_leader_key for view in views),
         )
 
-    async def ask_leader(self) -> PeerSurvey:
+    async def query_leader(self) -> PeerSurvey:
         """Ask the leader when its leadership was last confirmed."""
         asked_at = self._clock()
         leader = self._active_term.leader
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -482,14 +482,14 @@
     site.store.down_for.add(inside)
     election = site.controllers[inside].election
     asked: list[bool] = []
-    ask = election.callbacks.ask_peers
+    ask = election.callbacks.query_peers
 
     async def noted() -> PeerSurvey:
         outlook: PeerSurvey = await ask()
         asked.append(outlook.peer_reaches_store)
         return outlook
 
-    election.callbacks.ask_peers = noted
+    election.callbacks.query_peers = noted
     await wait_until(lambda: len(asked) > 3, "it has asked")
     assert all(asked) and election.lease_keeping_token is None
     assert election.role.value == "follower"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -119,7 +119,7 @@
     controller = site.controllers[leader]
     assert controller.metrics.malformed_heartbeats == 1 and not controller.scheduler.cluster.machines
     assert (
-        await controller.answer_peer(b'["shutdown"]')
+        await controller.handle_peer(b'["shutdown"]')
     ).status == 400 and controller.metrics.malformed_peer_messages == 1
 
 
@@ -229,7 +229,7 @@
     answer = await controller.handle_back("GET", "/status", b"")
     status = wire.decode(answer.body, dict)
     assert status["role"] == "leading" and status["leader"] == leader and status["batch"]["count"] >= 0
-    view = wire.decode((await controller.answer_peer(wire.encode(peers.ViewRequest("x")))).body, peers.ViewResponse)
+    view = wire.decode((await controller.handle_peer(wire.encode(peers.ViewRequest("x")))).body, peers.ViewResponse)
     assert view.leader == leader and 0 <= view.store_success_age_s < 5
 
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -99,7 +99,7 @@
         scheduler = controller.scheduler
         assert scheduler is not None
         await controller.handle_front("POST", "/agent/beat", b"{")
-        await controller.answer_peer(b"{")
+        await controller.handle_peer(b"{")
         await controller.handle_front("GET", "/v1/jobs/req-000001", b"")
         status = await shown(simulation, label)
         assert status["controller"] == status["leader"] == label
