--- a/driftcleat/cloud/autoscaler.py
+++ b/driftcleat/cloud/autoscaler.py
@@ -86,11 +86,11 @@
             self._terminator.terminate(scheduler.find_or_register_machine(name, now), "no heartbeat in this term")
         if now < scheduler.pacing.placement_starts_at:
             return
-        failures = scheduler.reachability.detect_failures(now)
-        plan = scheduler.plan_scale_out(now, failures, max_scale_out)
+        failure_detector = scheduler.reachability.detect_failures(now)
+        plan = scheduler.plan_scale_out(now, failure_detector, max_scale_out)
         if log.isEnabledFor(logging.DEBUG):
             log.debug("fleet: %s", scheduler.summary())
-        for machine in scheduler.select_scale_in(plan, now, failures):
+        for machine in scheduler.select_scale_in(plan, now, failure_detector):
             self._terminator.terminate(machine, f"scale-in while {machine.state.value}")
         self._consolidate(scheduler, plan, now)
         self._request_scale_out(scheduler, plan)
--- a/driftcleat/scheduler/demand.py
+++ b/driftcleat/scheduler/demand.py
@@ -36,15 +36,15 @@
         self.expected = ExpectedDemand(context, arrivals)
         self.free_capacity = FreeCapacity(context, scale_out)
 
-    def plan(self, now: float, failures: FailureDetector, max_machines: int) -> CapacityPlan:
+    def plan(self, now: float, failure_detector: FailureDetector, max_machines: int) -> CapacityPlan:
         """Return which machines to create, at most `max_machines`, and which existing ones the demand uses."""
         demands = self.queued.demands()
-        demands.extend(self.presumed_lost.demands(failures, now))
+        demands.extend(self.presumed_lost.demands(failure_detector, now))
         demands.extend(self.expected.demands(now))
         if log.isEnabledFor(logging.DEBUG):
             log.debug("demand by class: %s", [(demand.spec.job_class, demand.tasks) for demand in demands])
         zones = {zone for machine_type in self._cluster.machine_types.values() for zone in machine_type.zones}
-        partitioned = {zone for zone in zones if failures.is_partitioned_now(zone)}
+        partitioned = {zone for zone in zones if failure_detector.is_partitioned_now(zone)}
 
         def is_refused(offer: MachineOffer) -> bool:
             return self._scale_out.is_refused(offer, now) or offer.zone in partitioned
--- a/driftcleat/scheduler/presumed_lost_demand.py
+++ b/driftcleat/scheduler/presumed_lost_demand.py
@@ -18,7 +18,7 @@
         self._cluster = context.cluster
         self._reachability = reachability
 
-    def demands(self, failures: FailureDetector, now: float) -> list[Demand]:
+    def demands(self, failure_detector: FailureDetector, now: float) -> list[Demand]:
         """Return the demand of the two highest priorities on machines that miss heartbeats together with many others.
 
         Only machines whose lease has expired count. Replacements boot while it is still unknown whether the machines
@@ -28,8 +28,8 @@
         lost_tasks: dict[str, int] = {}
         for machine in self._cluster.machines.values():
             if (
-                failures.is_correlated(machine.zone)
-                and not failures.is_partitioned(machine.zone)
+                failure_detector.is_correlated(machine.zone)
+                and not failure_detector.is_partitioned(machine.zone)
                 and self._reachability.is_running(machine)
                 and self._reachability.heartbeat_age_s(machine, now) > self._platform.lease_s
             ):
--- a/driftcleat/scheduler/reachability.py
+++ b/driftcleat/scheduler/reachability.py
@@ -55,13 +55,13 @@
         """Return a failure detector that has counted by zone the machines that miss heartbeats as of now."""
         lease_s = self._platform.lease_s
         tuning = self._tuning
-        failures = FailureDetector(
+        failure_detector = FailureDetector(
             lease_s * tuning.machine_loss_timeout_leases,
             lease_s * tuning.partition_timeout_leases,
             tuning.correlated_failure_share,
         )
         # A machine with a heartbeat since then misses none; this cheap check comes first, as it covers most machines.
-        not_missing_since = now - failures.suspicion_timeout_s
+        not_missing_since = now - failure_detector.suspicion_timeout_s
         missing: dict[str, int] = {}
         known: dict[str, int] = {}
         for machine in self._cluster.machines.values():
@@ -69,17 +69,17 @@
                 continue
             known[machine.zone] = known.get(machine.zone, 0) + 1
             is_recent = machine.last_heartbeat is not None and machine.last_heartbeat_at >= not_missing_since
-            if not is_recent and self.heartbeat_age_s(machine, now) > failures.suspicion_timeout_s:
+            if not is_recent and self.heartbeat_age_s(machine, now) > failure_detector.suspicion_timeout_s:
                 missing[machine.zone] = missing.get(machine.zone, 0) + 1
         for zone, count in known.items():
-            failures.add_machines(zone, missing.get(zone, 0), count)
+            failure_detector.add_machines(zone, missing.get(zone, 0), count)
         # A machine that is known only from stored records counts once, in the zone of its first placement.
         for placements in self._cluster.unconfirmed_placements.values():
             for placement in placements.values():
-                failures.add_machine(placement.zone, now - self._cluster.started_at)
+                failure_detector.add_machine(placement.zone, now - self._cluster.started_at)
                 break
-        failures.retain_recent_failures(self._failures_until, now)
-        return failures
+        failure_detector.retain_recent_failures(self._failures_until, now)
+        return failure_detector
 
     def likely_unreachable(self, machine: Machine, now: float) -> bool:
         """Return whether a command request to a machine is likely to fail."""
@@ -103,11 +103,12 @@
         term_age_s = now - self._cluster.started_at
         if term_age_s <= self._platform.lease_s * self._tuning.machine_loss_timeout_leases:
             return set()
-        failures = self.detect_failures(now)
+        failure_detector = self.detect_failures(now)
         return {
             name
             for name, placements in self._cluster.unconfirmed_placements.items()
-            if term_age_s > max(failures.heartbeat_timeout_s(placement.zone) for placement in placements.values())
+            if term_age_s
+            > max(failure_detector.heartbeat_timeout_s(placement.zone) for placement in placements.values())
             or (self._listed is not None and name not in self._listed and term_age_s > self._always_listed_age_s)
         }
 
--- a/driftcleat/scheduler/scale_in.py
+++ b/driftcleat/scheduler/scale_in.py
@@ -24,7 +24,7 @@
     """Facts about the whole fleet that hold during one selection of machines."""
 
     plan: CapacityPlan
-    failures: FailureDetector
+    failure_detector: FailureDetector
     now: float
     # Whether all machines have had time to send a heartbeat in this term.
     term_older_than_lease: bool
@@ -44,37 +44,39 @@
         self._candidates = candidates
         self._reachability = reachability
 
-    def select(self, plan: CapacityPlan, in_flight: set[str], now: float, failures: FailureDetector) -> list[Machine]:
+    def select(
+        self, plan: CapacityPlan, in_flight: set[str], now: float, failure_detector: FailureDetector
+    ) -> list[Machine]:
         """Return the machines to delete: idle, drained, late to boot, presumed lost or unresponsive.
 
         Machines `in_flight` are left out, since the batch in flight places or stops tasks on them.
         """
         view = FleetView(
             plan,
-            failures,
+            failure_detector,
             now,
             term_older_than_lease=now - self._cluster.started_at > self._platform.lease_s,
-            replaceable=self._replaceable(failures, now),
+            replaceable=self._replaceable(failure_detector, now),
             many_unresponsive=self._are_many_unresponsive(now),
         )
         return [
             machine
             for machine in self._cluster.machines.values()
-            if not self._is_healthy_and_in_use(machine, failures, now)
+            if not self._is_healthy_and_in_use(machine, failure_detector, now)
             and machine.state not in (MachineState.TERMINATING, MachineState.TERMINATED)
             and machine.name not in in_flight
             and self._is_surplus(machine, view)
         ]
 
     @staticmethod
-    def _is_healthy_and_in_use(machine: Machine, failures: FailureDetector, now: float) -> bool:
+    def _is_healthy_and_in_use(machine: Machine, failure_detector: FailureDetector, now: float) -> bool:
         """Return whether a machine is up, sends heartbeats, acknowledges responses and has tasks, as most do."""
         return (
             machine.state is MachineState.UP
             and bool(machine.tasks)
             and not machine.unacknowledged_responses
             and machine.last_heartbeat is not None
-            and now - machine.last_heartbeat_at <= failures.isolated_timeout_s
+            and now - machine.last_heartbeat_at <= failure_detector.isolated_timeout_s
         )
 
     def _is_surplus(self, machine: Machine, view: FleetView) -> bool:
@@ -85,9 +87,10 @@
                 and now - machine.created_at > self._boot_s(machine) * self._tuning.boot_timeout_boot_times
             )
         heartbeat_age_s = self._reachability.heartbeat_age_s(machine, now)
-        if heartbeat_age_s > view.failures.isolated_timeout_s:
+        if heartbeat_age_s > view.failure_detector.isolated_timeout_s:
             presumed_lost = (
-                heartbeat_age_s > view.failures.heartbeat_timeout_s(machine.zone) or machine.name in view.replaceable
+                heartbeat_age_s > view.failure_detector.heartbeat_timeout_s(machine.zone)
+                or machine.name in view.replaceable
             )
             return view.term_older_than_lease and presumed_lost
         if machine.state is MachineState.BOOTING:
@@ -121,7 +124,7 @@
                 unresponsive += 1
         return unresponsive > max(TOLERATED_UNRESPONSIVE_MACHINES, up // TOLERATED_UNRESPONSIVE_DIVISOR)
 
-    def _replaceable(self, failures: FailureDetector, now: float) -> set[str]:
+    def _replaceable(self, failure_detector: FailureDetector, now: float) -> set[str]:
         """Return machines that miss heartbeats with many others and whose work fits on machines with its images.
 
         Waiting for such machines would only keep their work queued although there is room for it. If the images had
@@ -132,11 +135,11 @@
             machine
             for machine in self._cluster.machines.values()
             if self._reachability.is_running(machine)
-            and failures.is_correlated(machine.zone)
-            and not (failures.is_partitioned(machine.zone) and self._platform.controllers_in(machine.zone))
-            and failures.isolated_timeout_s
+            and failure_detector.is_correlated(machine.zone)
+            and not (failure_detector.is_partitioned(machine.zone) and self._platform.controllers_in(machine.zone))
+            and failure_detector.isolated_timeout_s
             < self._reachability.heartbeat_age_s(machine, now)
-            <= failures.correlated_timeout_s
+            <= failure_detector.correlated_timeout_s
         ]
         if not missing:
             return set()
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -214,21 +214,27 @@
     # Fleet size
 
     def plan_scale_out(
-        self, now: float, failures: FailureDetector | None = None, max_machines: int = MAX_MACHINES_PER_REQUEST
+        self,
+        now: float,
+        failure_detector: FailureDetector | None = None,
+        max_machines: int = MAX_MACHINES_PER_REQUEST,
     ) -> CapacityPlan:
         """Return which machines to create for queued and expected work, and which existing ones that work would use.
 
-        `failures` is the result of `reachability.detect_failures`, which is called if it is None; `max_machines`
+        `failure_detector` is the result of `reachability.detect_failures`, called if it is None; `max_machines`
         limits the machines that one plan creates.
         """
-        return self.demand.plan(now, failures or self.reachability.detect_failures(now), max_machines)
+        return self.demand.plan(now, failure_detector or self.reachability.detect_failures(now), max_machines)
 
     def select_scale_in(
-        self, plan: CapacityPlan, now: float, failures: FailureDetector | None = None
+        self, plan: CapacityPlan, now: float, failure_detector: FailureDetector | None = None
     ) -> list[Machine]:
         """Return the machines to scale in: those that the plan does not need, and those that are presumed lost."""
         return self._scale_in.select(
-            plan, self._batch_builder.in_flight.machines, now, failures or self.reachability.detect_failures(now)
+            plan,
+            self._batch_builder.in_flight.machines,
+            now,
+            failure_detector or self.reachability.detect_failures(now),
         )
 
     def consolidation_candidate(self, now: float) -> Machine | None:
