--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -84,8 +84,8 @@
     query_peers: QueryPeers
 
 
-class ControllerParts(NamedTuple):
-    """The parts of one controller, as `build_parts` returns them."""
+class ControllerComponents(NamedTuple):
+    """The parts of one controller, as `build_components` returns them."""
 
     network: Network
     active_term: ActiveTerm[Scheduler]
@@ -103,7 +103,7 @@
     metrics: Metrics
 
 
-def build_parts(context: BuildContext, callbacks: TermCallbacks, factories: Factories) -> ControllerParts:
+def build_components(context: BuildContext, callbacks: TermCallbacks, factories: Factories) -> ControllerComponents:
     """Build the parts of a controller; no loop runs and no listener is open yet."""
     platform = context.platform
     tuning = context.tuning
@@ -121,7 +121,7 @@
     users = _build_users(context, active_term, factories.users)
     heartbeats = HeartbeatApi(platform, tuning, active_term, metrics, clock, context.network.front.limiter)
     dispatcher = StopDispatcher(platform, tuning, clients.workers, active_term, background, clock)
-    return ControllerParts(
+    return ControllerComponents(
         network=context.network,
         active_term=active_term,
         election=election,
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -8,7 +8,7 @@
 
 from driftcleat.api import Response
 from driftcleat.api.server import ResponseOrAwaitable
-from driftcleat.controller.assembly import BuildContext, Factories, TermCallbacks, build_parts
+from driftcleat.controller.assembly import BuildContext, Factories, TermCallbacks, build_components
 from driftcleat.controller.recovery import recover
 from driftcleat.controller.routes import Routes
 from driftcleat.leadership import PeerSurvey
@@ -46,27 +46,27 @@
         network = factories.network(platform, clock, self.reply_front, self.handle_back)
         context = BuildContext(platform, tuning, self.rng, clock, network)
         callbacks = TermCallbacks(self._recover, self._end_term, self._query_peers)
-        parts = build_parts(context, callbacks, factories)
+        components = build_components(context, callbacks, factories)
         self._network = network
         self.front = network.front
         self.store = network.clients.store
         self.cloud = network.clients.cloud
         self.workers = network.clients.workers
         self.peers = network.clients.peers
-        self.active_term = parts.active_term
-        self.election = parts.election
-        self.surveyor = parts.surveyor
-        self.users = parts.users
-        self.heartbeats = parts.heartbeats
-        self.peer_api = parts.peer_api
-        self.commit_pipeline = parts.commit_pipeline
-        self.dispatcher = parts.dispatcher
-        self.fleet_manager = parts.fleet_manager
-        self.overload = parts.overload
-        self.background = parts.background
-        self.metrics = parts.metrics
-        self._loop_delay = parts.loop_delay
-        self._routes = Routes(platform, tuning, clock, parts)
+        self.active_term = components.active_term
+        self.election = components.election
+        self.surveyor = components.surveyor
+        self.users = components.users
+        self.heartbeats = components.heartbeats
+        self.peer_api = components.peer_api
+        self.commit_pipeline = components.commit_pipeline
+        self.dispatcher = components.dispatcher
+        self.fleet_manager = components.fleet_manager
+        self.overload = components.overload
+        self.background = components.background
+        self.metrics = components.metrics
+        self._loop_delay = components.loop_delay
+        self._routes = Routes(platform, tuning, clock, components)
         self._is_serving = False
 
     async def run(self) -> None:
--- a/driftcleat/controller/routes.py
+++ b/driftcleat/controller/routes.py
@@ -5,7 +5,7 @@
 from driftcleat import wire
 from driftcleat.api import Response
 from driftcleat.api.server import ResponseOrAwaitable
-from driftcleat.controller.assembly import ControllerParts
+from driftcleat.controller.assembly import ControllerComponents
 from driftcleat.controller.network import HEARTBEAT_PATH
 from driftcleat.controller.status import StatusReport
 from driftcleat.peers.client import PEER_PATH
@@ -19,16 +19,16 @@
     """Dispatches each HTTP request to the part of the controller that answers it."""
 
     def __init__(
-        self, platform: Platform, tuning: Tuning, clock: Callable[[], float], parts: ControllerParts
+        self, platform: Platform, tuning: Tuning, clock: Callable[[], float], components: ControllerComponents
     ) -> None:
         self._clock = clock
-        self._election = parts.election
-        self._surveyor = parts.surveyor
-        self._users = parts.users
-        self._heartbeats = parts.heartbeats
-        self._peer_api = parts.peer_api
-        self._metrics = parts.metrics
-        self._status = StatusReport(platform.label, clock, parts)
+        self._election = components.election
+        self._surveyor = components.surveyor
+        self._users = components.users
+        self._heartbeats = components.heartbeats
+        self._peer_api = components.peer_api
+        self._metrics = components.metrics
+        self._status = StatusReport(platform.label, clock, components)
         # How long a controller stays ready, in seconds, after it last led or reached the leader.
         self._readiness_grace_s = platform.lease_s * tuning.readiness_grace_leases
         self._leader_reached_at = float("-inf")
--- a/driftcleat/controller/status.py
+++ b/driftcleat/controller/status.py
@@ -4,34 +4,34 @@
 from typing import Any
 
 from driftcleat.cluster import ClusterState
-from driftcleat.controller.assembly import ControllerParts
+from driftcleat.controller.assembly import ControllerComponents
 from driftcleat.leadership import Election
 from driftcleat.net import ConnectionLimiter
 from driftcleat.scheduler import Scheduler
 
 
 class StatusReport:
-    """Collects the status of one controller from its parts."""
+    """Collects the status of one controller from its components."""
 
-    def __init__(self, label: str, clock: Callable[[], float], parts: ControllerParts) -> None:
+    def __init__(self, label: str, clock: Callable[[], float], components: ControllerComponents) -> None:
         self._label = label
         self._clock = clock
-        self._parts = parts
+        self._components = components
 
     def read(self) -> dict[str, Any]:
         """Return the current status; a controller without a leader term omits the scheduler's figures."""
-        parts = self._parts
-        clients = parts.network.clients
+        components = self._components
+        clients = components.network.clients
         status = {
-            **self._leadership(parts.election),
-            **parts.metrics.durations(),
-            "requests_shed": parts.users.requests_shed,
-            **parts.metrics.rejected_messages(),
+            **self._leadership(components.election),
+            **components.metrics.durations(),
+            "requests_shed": components.users.requests_shed,
+            **components.metrics.rejected_messages(),
             "bad_store_answers": clients.store.malformed_responses,
             "bad_cloud_answers": clients.cloud.malformed_responses,
-            **_connections(parts.network.front.limiter),
+            **_connections(components.network.front.limiter),
         }
-        scheduler = parts.active_term.scheduler
+        scheduler = components.active_term.scheduler
         if scheduler is not None:
             status |= _workload(scheduler) | _counters(scheduler)
         return status
@@ -42,7 +42,7 @@
             "role": election.role.value,
             "leader": election.leader,
             "term": election.leader_fencing_token,
-            "holds": self._parts.active_term.may_decide,
+            "holds": self._components.active_term.may_decide,
             "lease_left_s": round(election.lease.remaining_s(self._clock()), 3),
         }
 
