--- a/driftcleat/cloud/inventory.py
+++ b/driftcleat/cloud/inventory.py
@@ -19,7 +19,7 @@
 RUNNING = "running"
 FAILED = "failed"
 # Number of times per report interval that the loop checks whether the list is due.
-CHECKS_PER_REPORT_INTERVAL = 4
+CHECKS_PER_HEARTBEAT_INTERVAL = 4
 # The fraction of the cloud's rate limit that the pages of the list may use.
 LIST_RATE_SHARE = 1 / 3
 # The minimum pause between two lists, in request intervals of the cloud's rate limit, and the maximum number of lists
@@ -75,7 +75,7 @@
                         self._reconcile(scheduler, machines)
                 except CloudError as error:
                     log.debug("cloud: machines not listed: %s", error)
-            await asyncio.sleep(self._platform.report_s / CHECKS_PER_REPORT_INTERVAL)
+            await asyncio.sleep(self._platform.report_s / CHECKS_PER_HEARTBEAT_INTERVAL)
 
     def list_pause_s(self, machines: int) -> float:
         """Return the pause in seconds between two lists of this many machines.
--- a/driftcleat/cloud/machine_types.py
+++ b/driftcleat/cloud/machine_types.py
@@ -17,7 +17,7 @@
 # Known types are refreshed after this many seconds.
 REFRESH_INTERVAL_S = 20
 # Number of times per report interval that the loop checks whether a refresh is due.
-CHECKS_PER_REPORT_INTERVAL = 4
+CHECKS_PER_HEARTBEAT_INTERVAL = 4
 
 
 class MachineTypeCatalog:
@@ -51,7 +51,7 @@
                     await self._refresh(scheduler)
                 except CloudError as error:
                     log.debug("cloud: machine types not refreshed: %s", error)
-            await asyncio.sleep(self._platform.report_s / CHECKS_PER_REPORT_INTERVAL)
+            await asyncio.sleep(self._platform.report_s / CHECKS_PER_HEARTBEAT_INTERVAL)
 
     def _is_due(self, scheduler: Scheduler) -> bool:
         return not scheduler.cluster.machine_types or self._clock() - self._refreshed_at > REFRESH_INTERVAL_S
--- a/driftcleat/cloud/provisioner.py
+++ b/driftcleat/cloud/provisioner.py
@@ -14,8 +14,8 @@
 log = logging.getLogger(__name__)
 
 # Number of rounds per report interval, and of retries per report interval after a failed request.
-ROUNDS_PER_REPORT_INTERVAL = 30
-RETRIES_PER_REPORT_INTERVAL = 6
+ROUNDS_PER_HEARTBEAT_INTERVAL = 30
+RETRIES_PER_HEARTBEAT_INTERVAL = 6
 
 
 class Provisioner:
@@ -36,7 +36,7 @@
     async def run(self) -> None:
         """Send all open requests periodically; never returns."""
         while True:
-            await asyncio.sleep(self._platform.report_s / ROUNDS_PER_REPORT_INTERVAL)
+            await asyncio.sleep(self._platform.report_s / ROUNDS_PER_HEARTBEAT_INTERVAL)
             scheduler = self._active_term.deciding_scheduler
             if scheduler is None:
                 continue
@@ -56,7 +56,7 @@
             self._record_refusal(scheduler, request)
         except CloudError as error:
             log.debug("scale-out request %s: failed: %s", request.name, error)
-            await asyncio.sleep(self._platform.report_s / RETRIES_PER_REPORT_INTERVAL)
+            await asyncio.sleep(self._platform.report_s / RETRIES_PER_HEARTBEAT_INTERVAL)
             return
         log.debug(
             "scale-out request %s: created %d of %d %s machines of type %s in zone %s",
--- a/driftcleat/cloud/terminator.py
+++ b/driftcleat/cloud/terminator.py
@@ -13,8 +13,8 @@
 log = logging.getLogger(__name__)
 
 # Number of rounds per report interval, and of retries per report interval after a failed request.
-ROUNDS_PER_REPORT_INTERVAL = 15
-RETRIES_PER_REPORT_INTERVAL = 6
+ROUNDS_PER_HEARTBEAT_INTERVAL = 15
+RETRIES_PER_HEARTBEAT_INTERVAL = 6
 
 
 class Terminator:
@@ -63,7 +63,7 @@
     async def run(self) -> None:
         """Delete machines in batches; never returns."""
         while True:
-            await asyncio.sleep(self._platform.report_s / ROUNDS_PER_REPORT_INTERVAL)
+            await asyncio.sleep(self._platform.report_s / ROUNDS_PER_HEARTBEAT_INTERVAL)
             scheduler = self._active_term.enforcing_scheduler
             if scheduler is None:
                 continue
@@ -74,7 +74,7 @@
                 await self._cloud.delete_machines(names)
             except CloudError as error:
                 log.debug("cloud: %d machines not deleted: %s", len(names), error)
-                await asyncio.sleep(self._platform.report_s / RETRIES_PER_REPORT_INTERVAL)
+                await asyncio.sleep(self._platform.report_s / RETRIES_PER_HEARTBEAT_INTERVAL)
                 continue
             if self._active_term.scheduler is scheduler:
                 self._record_deleted(scheduler, names)
--- a/driftcleat/cloud/token_announcer.py
+++ b/driftcleat/cloud/token_announcer.py
@@ -11,7 +11,7 @@
 from driftcleat.workers.dispatch import StopDispatcher
 
 # Maximum number of announcements per report interval.
-ANNOUNCEMENTS_PER_REPORT_INTERVAL = 300
+ANNOUNCEMENTS_PER_HEARTBEAT_INTERVAL = 300
 
 
 class FencingTokenAnnouncer:
@@ -57,6 +57,6 @@
                     and machine.state is MachineState.BOOTING
                 ):
                     self._background.spawn(self._dispatcher.announce_fencing_token(machine.address))
-                    await asyncio.sleep(self._platform.report_s / ANNOUNCEMENTS_PER_REPORT_INTERVAL)
+                    await asyncio.sleep(self._platform.report_s / ANNOUNCEMENTS_PER_HEARTBEAT_INTERVAL)
         finally:
             self._in_progress = False
