--- a/driftcleat/api/forwarding.py
+++ b/driftcleat/api/forwarding.py
@@ -44,7 +44,7 @@
         self._max_in_progress = max_in_progress
         self._in_progress = 0
         # Number of requests refused because too many others were waiting for the leader.
-        self.requests_shed = 0
+        self.requests_rejected = 0
 
     @property
     def is_saturated(self) -> bool:
@@ -65,7 +65,7 @@
         if request.forwarded or leader is None or leader == self._label:
             return self._responses.unavailable_here("no leader")
         if self.is_saturated and not is_cancellation(request.path):
-            self.requests_shed += 1
+            self.requests_rejected += 1
             return self._responses.unavailable("too many requests wait for the leader")
         message = peer_messages.ForwardRequest(request.method, request.path, body.decode("utf-8", "replace"))
         # A poll that the leader does not answer can still be answered from the records.
--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -72,7 +72,7 @@
         self._clock = clock
         self._max_in_progress = max_in_progress
         self._in_progress = 0
-        self._requests_shed = 0
+        self._requests_rejected = 0
         self.retry_s = max(1, round(tuning.retry_after_intervals * platform.report_s))
         self.max_store_wait_s = platform.report_s / STORE_WAIT_DIVISOR
         responses = self._responses = RetryResponses(self.retry_s)
@@ -92,9 +92,9 @@
         }
 
     @property
-    def requests_shed(self) -> int:
+    def requests_rejected(self) -> int:
         """Return how many requests were refused because too many others were in progress."""
-        return self._requests_shed + self._forwarder.requests_shed
+        return self._requests_rejected + self._forwarder.requests_rejected
 
     def unavailable(self, reason: str) -> Response:
         """Return the response to a request that cannot be carried out now, with the time of a retry."""
@@ -126,7 +126,7 @@
         if self._in_progress >= self._max_in_progress and not is_cancellation(path):
             # Guards against users' requests that take the processor time and the connections that heartbeats need.
             # A cancellation is always accepted, since it ends work that is no longer needed.
-            self._requests_shed += 1
+            self._requests_rejected += 1
             return self.unavailable("too many requests are under way")
         deadline = Deadline(self._clock, self.time_limit_s(method, forwarded))
         pattern, job_id = _match(path)
--- a/driftcleat/controller/status.py
+++ b/driftcleat/controller/status.py
@@ -25,7 +25,7 @@
         status = {
             **self._leadership(components.election),
             **components.metrics.durations(),
-            "requests_shed": components.users.requests_shed,
+            "requests_shed": components.users.requests_rejected,
             **components.metrics.rejected_messages(),
             "bad_store_answers": clients.store.malformed_responses,
             "bad_cloud_answers": clients.cloud.malformed_responses,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -75,7 +75,7 @@
         for answer in await asyncio.gather(*waiting, cancelling):
             assert answer is not None and answer.status == 200
         # Completed requests no longer count against the limit.
-        assert users.requests_shed == 2
+        assert users.requests_rejected == 2
         later = await users.handle("GET", "/v1/jobs/req-000001", b"")
         assert later is not None and later.status == 200
 
