--- a/driftcleat/cluster/batch.py
+++ b/driftcleat/cluster/batch.py
@@ -159,10 +159,10 @@
         self.unmet_dependencies[job.id] = unmet or set()
         self._open_for_change(job.id)
 
-    def cancel_job(self, job_id: str, wall_s: float) -> None:
-        """Cancel a job; `wall_s` is the wall-clock time in seconds."""
+    def cancel_job(self, job_id: str, wall_clock_s: float) -> None:
+        """Cancel a job; `wall_clock_s` is the wall-clock time in seconds."""
         job = self._open_for_change(job_id)
-        job.cancelled_at = wall_s
+        job.cancelled_at = wall_clock_s
         transition_job(job, JobState.CANCELLED)
         self.finish_job_if_complete(job_id)
 
--- a/driftcleat/scheduler/cancellations.py
+++ b/driftcleat/scheduler/cancellations.py
@@ -22,11 +22,11 @@
 
         Jobs that were cancelled less than `older_than_s` seconds ago are left out.
         """
-        wall_time = self._wall_clock()
+        wall_clock_s = self._wall_clock()
         machines_by_job: dict[str, set[str]] = {}
         for job_id in self._cluster.cancelled_jobs:
             job = self._cluster.jobs[job_id]
-            if wall_time - job.cancelled_at < older_than_s:
+            if wall_clock_s - job.cancelled_at < older_than_s:
                 continue
             machines = {
                 placement.machine
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -102,12 +102,12 @@
             self.pacing,
         )
 
-    def _record_recovered_jobs(self, now: float, wall_time: float) -> None:
+    def _record_recovered_jobs(self, now: float, wall_clock_s: float) -> None:
         """Count jobs recovered from the store as arrivals at the time of their submission."""
         for job in self.cluster.jobs.values():
             self.layout.assign_tasks_per_record(job)
             if self.cluster.dependencies_met(job):
-                self._arrivals.record(job.spec, now - max(0.0, wall_time - job.submitted_at))
+                self._arrivals.record(job.spec, now - max(0.0, wall_clock_s - job.submitted_at))
 
     # Life cycle of a batch
 
