--- a/driftcleat/sharing/election.py
+++ b/driftcleat/sharing/election.py
@@ -175,9 +175,9 @@
         else:
             await asyncio.sleep(self._state.ttl_s * HANDOFF_POLL_PAUSE)
 
-    def step_down(self, why: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Step down, which also ends a hand-off."""
-        super().step_down(why)
+        super().step_down(reason)
         self._release_deadline = None
 
     async def keep_alive(self) -> None:
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -291,7 +291,7 @@
             if not shard.isascii() or not shard.isdigit() or int(shard) not in self.engines:
                 return Response.error(404, "no such share")
             return await self.engines[int(shard)].handle_back(method, PEER_PATH, body)
-        answer = await self.operators.handle(method, path, body)
-        if answer is not None:
-            return answer
+        response = await self.operators.handle(method, path, body)
+        if response is not None:
+            return response
         return await self.first_engine.handle_back(method, path, body)
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -43,7 +43,7 @@
     shares: list[ShardRow]
 
 
-class MoveOrder(msgspec.Struct):
+class OperatorMoveRequest(msgspec.Struct):
     """An operator's request to move a shard."""
 
     share: int
@@ -70,7 +70,7 @@
         try:
             if path == PATH:
                 return await self._handle_message(wire.decode(body, SharingMessage))  # type: ignore[arg-type]
-            return await self._handle_order(wire.decode(body, MoveOrder))
+            return await self._handle_move(wire.decode(body, OperatorMoveRequest))
         except wire.WireError as error:
             self.malformed += 1
             log.info("malformed sharing message or move request: %s", error)
@@ -87,10 +87,10 @@
             return Response(200, wire.encode(await host.coordinator_loops.move(message)))
         return Response.error(400, "not a request")
 
-    async def _handle_order(self, order: MoveOrder) -> Response:
+    async def _handle_move(self, move: OperatorMoveRequest) -> Response:
         """Carry out an operator's request, or forward it to the coordinator."""
         host = self._host
-        request = MoveRequest(order.share, order.receiver)
+        request = MoveRequest(move.share, move.receiver)
         coordinator = host.coordinator
         if host.may_decide:
             response: SharingMessage = await host.coordinator_loops.move(request)
--- a/driftcleat/sharing/shard_store.py
+++ b/driftcleat/sharing/shard_store.py
@@ -62,9 +62,9 @@
         """Return how many responses of the store were malformed."""
         return self._inner.malformed_responses
 
-    async def get(self, key: str, most_wait_s: float | None = None) -> messages.KeyValue | None:
+    async def get(self, key: str, max_wait_s: float | None = None) -> messages.KeyValue | None:
         """Return a key of the shard with its value; None if it does not exist."""
-        key_value = await self._inner.get(shard_key(self._shard, key), most_wait_s)
+        key_value = await self._inner.get(shard_key(self._shard, key), max_wait_s)
         return self._without_shard_key(key_value) if key_value is not None else None
 
     async def list_page(
