--- a/driftcleat/sharing/process_lease.py
+++ b/driftcleat/sharing/process_lease.py
@@ -11,11 +11,11 @@
 log = logging.getLogger(__name__)
 
 # A renewal younger than this fraction of the pause between renewals is not repeated for another shard.
-FRESH_RENEWAL = 0.7
+RECENT_KEEP_ALIVE = 0.7
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseRenewal:
+class ConfirmedLease:
     """A lease, and when the last request was sent that restored its full time to live."""
 
     lease: int
@@ -25,9 +25,11 @@
 class ProcessLease:
     """Grants the lease at its first use and keeps it alive; concurrent callers are served by one request."""
 
-    def __init__(self, store: StoreClient, ttl_s: float, renewal_pause_s: float, clock: Callable[[], float]) -> None:
-        self._store, self._ttl_s, self._pause_s, self._clock = store, ttl_s, renewal_pause_s, clock
-        self._last_renewal: LeaseRenewal | None = None
+    def __init__(
+        self, store: StoreClient, ttl_s: float, keep_alive_pause_s: float, clock: Callable[[], float]
+    ) -> None:
+        self._store, self._ttl_s, self._pause_s, self._clock = store, ttl_s, keep_alive_pause_s, clock
+        self._confirmed_lease: ConfirmedLease | None = None
         self._lock = asyncio.Lock()
         # Number of grant and keep-alive requests sent.
         self.requests = 0
@@ -35,23 +37,23 @@
     @property
     def lease(self) -> int | None:
         """Return the id of the current lease, or None if none is known."""
-        return self._last_renewal.lease if self._last_renewal is not None else None
+        return self._confirmed_lease.lease if self._confirmed_lease is not None else None
 
-    async def renew_or_grant(self) -> int:
+    async def keep_alive_or_grant(self) -> int:
         """Return a lease that was kept alive, or granted, by a request sent after this call."""
         called_at = self._clock()
         async with self._lock:
-            if self._last_renewal is not None:
-                if self._last_renewal.sent_at >= called_at:
-                    return self._last_renewal.lease
+            if self._confirmed_lease is not None:
+                if self._confirmed_lease.sent_at >= called_at:
+                    return self._confirmed_lease.lease
                 try:
-                    return (await self._send_keep_alive(self._last_renewal.lease)).lease
+                    return (await self._send_keep_alive(self._confirmed_lease.lease)).lease
                 except LeaseNotFoundError:
                     log.info("lease of this process expired; a new one is granted")
             sent_at = self._clock()
             self.requests += 1
-            self._last_renewal = LeaseRenewal(await self._store.grant_lease(self._ttl_s), sent_at)
-            return self._last_renewal.lease
+            self._confirmed_lease = ConfirmedLease(await self._store.grant_lease(self._ttl_s), sent_at)
+            return self._confirmed_lease.lease
 
     async def keep_alive(self, lease: int) -> float:
         """Keep a lease alive unless it was renewed recently; return when the last successful request was sent.
@@ -60,20 +62,20 @@
         holds a newer lease.
         """
         async with self._lock:
-            last_renewal = self._last_renewal
-            if last_renewal is None or last_renewal.lease != lease:
+            confirmed_lease = self._confirmed_lease
+            if confirmed_lease is None or confirmed_lease.lease != lease:
                 raise LeaseNotFoundError(f"lease {lease} has expired")
-            if self._clock() - last_renewal.sent_at < self._pause_s * FRESH_RENEWAL:
-                return last_renewal.sent_at
+            if self._clock() - confirmed_lease.sent_at < self._pause_s * RECENT_KEEP_ALIVE:
+                return confirmed_lease.sent_at
             return (await self._send_keep_alive(lease)).sent_at
 
-    async def _send_keep_alive(self, lease: int) -> LeaseRenewal:
+    async def _send_keep_alive(self, lease: int) -> ConfirmedLease:
         sent_at = self._clock()
         self.requests += 1
         try:
             await self._store.keep_lease_alive(lease, self._ttl_s * 0.5)
         except LeaseNotFoundError:
-            self._last_renewal = None
+            self._confirmed_lease = None
             raise
-        self._last_renewal = LeaseRenewal(lease, sent_at)
-        return self._last_renewal
+        self._confirmed_lease = ConfirmedLease(lease, sent_at)
+        return self._confirmed_lease
--- a/driftcleat/sharing/shard_store.py
+++ b/driftcleat/sharing/shard_store.py
@@ -102,7 +102,7 @@
 
     async def grant_lease(self, ttl_s: float) -> int:
         """Return the process's lease with its full time to live; `ttl_s` is ignored."""
-        return await self._lease.renew_or_grant()
+        return await self._lease.keep_alive_or_grant()
 
     async def keep_lease_alive(self, lease: int, timeout_s: float) -> None:
         """Keep the process's lease alive; `timeout_s` is ignored."""
