--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -46,7 +46,7 @@
         """Answer one heartbeat: as the leader, as a partitioned follower that extends leases, or with a redirect."""
         election = self._active_term.election
         partition_token = election.lease_keeping_token
-        if not election.may_answer_heartbeats and partition_token is None:
+        if not election.may_respond_to_heartbeats and partition_token is None:
             return self._redirect()
         received_at = self._clock()
         try:
@@ -118,7 +118,7 @@
     ) -> Response:
         """Return the response with the commands for a machine; a redirect if the term has ended."""
         election = self._active_term.election
-        if self._active_term.scheduler is not scheduler or not election.may_answer_heartbeats:
+        if self._active_term.scheduler is not scheduler or not election.may_respond_to_heartbeats:
             return _redirect_to(None)
         started_at = self._clock()
         response = _respond(
--- a/driftcleat/api/server.py
+++ b/driftcleat/api/server.py
@@ -56,7 +56,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         self._reader.feed(data)
-        self._answer_requests()
+        self._respond_to_requests()
         self._apply_backpressure()
 
     def pause_writing(self) -> None:
@@ -66,7 +66,7 @@
     def resume_writing(self) -> None:
         """Answer requests again once the client has read its responses."""
         self._writable = True
-        self._answer_requests()
+        self._respond_to_requests()
         self._apply_backpressure()
 
     def _apply_backpressure(self) -> None:
@@ -82,7 +82,7 @@
             else:
                 transport.pause_reading()
 
-    def _answer_requests(self) -> None:
+    def _respond_to_requests(self) -> None:
         """Answer complete requests in order, until one has to be awaited."""
         while not self._busy and self._writable and self._reader.has_items:
             item = self._reader.pop()
@@ -116,7 +116,7 @@
             log.exception("request %s %s failed", request.method, request.path)
             response = Response.error(503, "internal error", retry_after_s=RETRY_AFTER_S)
         self._respond(request, response)
-        self._answer_requests()
+        self._respond_to_requests()
         self._apply_backpressure()
 
     def _respond(self, request: HttpRequest, response: Response) -> None:
--- a/driftcleat/controller/routes.py
+++ b/driftcleat/controller/routes.py
@@ -63,7 +63,7 @@
         A follower that is rejected by the leader, or that takes a dead controller for the leader, is not ready: it
         would receive a part of the users' requests and could serve none of them.
         """
-        if self._election.may_answer_heartbeats or await self._surveyor.reaches_leader():
+        if self._election.may_respond_to_heartbeats or await self._surveyor.reaches_leader():
             self._leader_reached_at = self._clock()
         return self._clock() - self._leader_reached_at < self._readiness_grace_s
 
--- a/driftcleat/leadership/active_term.py
+++ b/driftcleat/leadership/active_term.py
@@ -50,7 +50,7 @@
 
         An unconfirmed leader carries them out too, for as long as it may answer heartbeats.
         """
-        unconfirmed = self.election.role is Role.UNCONFIRMED_LEADER and self.election.may_answer_heartbeats
+        unconfirmed = self.election.role is Role.UNCONFIRMED_LEADER and self.election.may_respond_to_heartbeats
         return self.scheduler if unconfirmed or self.may_decide else None
 
     @property
--- a/driftcleat/leadership/leader_loop.py
+++ b/driftcleat/leadership/leader_loop.py
@@ -104,7 +104,7 @@
             return
         if survey.all_have_read_leader_key:
             state.peers_confirmed_at = sent_at
-        if not state.may_answer_heartbeats:
+        if not state.may_respond_to_heartbeats:
             # If another controller reaches the store, a new leader has sent its token to the workers by now, unless
             # they and this controller are partitioned from it together.
             self.step_down("unconfirmed for too long")
--- a/driftcleat/leadership/permissions.py
+++ b/driftcleat/leadership/permissions.py
@@ -79,7 +79,7 @@
         return self.role is Role.LEADER and self.lease.is_valid(self.clock())
 
     @property
-    def may_answer_heartbeats(self) -> bool:
+    def may_respond_to_heartbeats(self) -> bool:
         """Whether heartbeats are answered with this controller's own fencing token.
 
         Checked against the clock at each heartbeat, so that the bound holds even if the process was suspended or a
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -94,7 +94,7 @@
         election = self._active_term.election
         return messages.Pong(
             self._platform.label,
-            election.may_answer_heartbeats,
+            election.may_respond_to_heartbeats,
             election.leader,
             election.leader_fencing_token,
             self._leader_status(),
--- a/driftcleat/sharing/election.py
+++ b/driftcleat/sharing/election.py
@@ -167,7 +167,7 @@
         key_value = await self._store.get(LEADER_KEY)
         if key_value is None or key_value.mod_revision != self._state.fencing_token:
             self.step_down("the shard is handed off" if key_value is not None else "lease expired")
-        elif self._state.clock() > deadline or not self._state.may_answer_heartbeats:
+        elif self._state.clock() > deadline or not self._state.may_respond_to_heartbeats:
             lease = key_value.lease_id
             self.step_down("no controller acquired the released shard in time")
             if lease is not None:
--- a/driftcleat/workers/dispatch.py
+++ b/driftcleat/workers/dispatch.py
@@ -57,7 +57,7 @@
         while True:
             await asyncio.sleep(self._platform.report_s * self._tuning.command_scan_intervals)
             scheduler = self._active_term.scheduler
-            if scheduler is None or not self._active_term.election.may_answer_heartbeats:
+            if scheduler is None or not self._active_term.election.may_respond_to_heartbeats:
                 continue
             async for name in in_slices(list(scheduler.cluster.machines), MACHINES_PER_SLICE):
                 self._send_stops(scheduler, name)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -70,25 +70,25 @@
     held.lease.record_grant(7, NOW)
     assert held.is_leader is leading
     assert held.may_decide is (role is Role.LEADER)
-    assert held.may_answer_heartbeats is leading
+    assert held.may_respond_to_heartbeats is leading
     assert held.may_send_starts is leading
 
 
 @pytest.mark.parametrize("role", Role)
 def test_without_lease_and_confirmation_no_role_permits_anything(role: Role) -> None:
     bare = state(role)
-    assert not bare.may_decide and not bare.may_answer_heartbeats and not bare.may_send_starts
+    assert not bare.may_decide and not bare.may_respond_to_heartbeats and not bare.may_send_starts
     assert bare.lease_keeping_token is None and not bare.may_become_partitioned
 
 
 def test_peers_that_confirm_permit_starts_for_a_moment_and_answers_for_longer() -> None:
     leader = state(Role.UNCONFIRMED_LEADER)
     leader.peers_confirmed_at = NOW - leader.ttl_s * 0.39
-    assert leader.may_send_starts and leader.may_answer_heartbeats and not leader.may_decide
+    assert leader.may_send_starts and leader.may_respond_to_heartbeats and not leader.may_decide
     leader.peers_confirmed_at = NOW - leader.ttl_s * 0.41
-    assert not leader.may_send_starts and leader.may_answer_heartbeats
+    assert not leader.may_send_starts and leader.may_respond_to_heartbeats
     leader.peers_confirmed_at = NOW - leader.max_unconfirmed_s - 0.01
-    assert not leader.may_answer_heartbeats
+    assert not leader.may_respond_to_heartbeats
 
 
 def test_a_partitioned_follower_keeps_leases_until_the_bound_or_a_higher_token() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -272,7 +272,7 @@
     second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
     batches = site.controllers[first].commit_pipeline.batch_sequence
     await wait_until(
-        lambda: not site.controllers[first].election.may_answer_heartbeats, "the old one has stepped down"
+        lambda: not site.controllers[first].election.may_respond_to_heartbeats, "the old one has stepped down"
     )
     assert site.controllers[first].commit_pipeline.batch_sequence == batches, "it decided nothing"
     await accepted(site, second, raw_job(2, voyageS=0.5))
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -160,7 +160,7 @@
         assert (
             not election.may_decide and not election.may_send_starts and engine.active_term.deciding_scheduler is None
         )
-        assert election.may_answer_heartbeats, "leases are kept"
+        assert election.may_respond_to_heartbeats, "leases are kept"
         assert simulation.controllers[giver].handoffs.state(1) is HandoffState.RELEASING
         # The process renews its lease for its other shares, or for this one: that gives nothing back.
         await engine.election.leader_loop.keep_alive()
