--- a/driftcleat/scheduler/batch_builder.py
+++ b/driftcleat/scheduler/batch_builder.py
@@ -61,11 +61,11 @@
         `available_operations` is the number of operations that the store's write rate allows now.
         """
         batch = self._build_within(self._platform.txn_ops, available_operations)
-        if self._needs_first_version_limit(batch):
+        if self._needs_version_1_limit(batch):
             batch = self._build_within(self._platform.version_1_txn_ops, available_operations)
         return batch
 
-    def _needs_first_version_limit(self, batch: Batch) -> bool:
+    def _needs_version_1_limit(self, batch: Batch) -> bool:
         """Return whether a batch is empty although changes are pending that the limit of data version 1 may admit.
 
         In data version 1 a large gang may span more records than the lower limit of data version 2 lets one
--- a/driftcleat/sharing/cloud.py
+++ b/driftcleat/sharing/cloud.py
@@ -23,7 +23,7 @@
 
 # Age from which the first shard takes an unregistered machine, as a multiple of the lag of the cloud's list: until
 # then the shard that created the machine may still register it.
-UNOWNED_GRACE_LAGS = 2.0
+UNREGISTERED_GRACE_LAGS = 2.0
 # Time without being listed after which a machine's key is removed, as a multiple of the lag of the cloud's list.
 UNREGISTER_LAGS = 12.0
 
@@ -152,7 +152,7 @@
         unowned = [
             machine.name
             for machine in listed
-            if self._view.shard_of(machine.name) is None and machine.age_s > self._lag_s * UNOWNED_GRACE_LAGS
+            if self._view.shard_of(machine.name) is None and machine.age_s > self._lag_s * UNREGISTERED_GRACE_LAGS
         ]
         try:
             await self._registry.register(unowned, FIRST_SHARD)
--- a/driftcleat/sharing/coordinator.py
+++ b/driftcleat/sharing/coordinator.py
@@ -104,7 +104,7 @@
         for move in assignment.moves:
             first_seen_at = self._move_first_seen_at.setdefault(move.shard, now)
             timed_out = now - first_seen_at > self._settings.move * self._heartbeat_s
-            target_lost = move.target not in live_controllers and self._all_could_report(now)
+            target_lost = move.target not in live_controllers and self._all_had_time_to_send_status(now)
             if timed_out or target_lost:
                 self.refusals[move.shard] = (
                     f"{move.target} {'sends no status' if target_lost else 'did not acquire the share in time'}"
@@ -112,7 +112,7 @@
                 return drop_move(assignment, move.shard)
         return None
 
-    def _all_could_report(self, now: float) -> bool:
+    def _all_had_time_to_send_status(self, now: float) -> bool:
         """Return whether every live controller has had time to report to this coordinator."""
         return now - self._reset_at > self._status_timeout_s * 2
 
@@ -120,7 +120,7 @@
         self, assignment: ShardAssignment, live_controllers: list[str], now: float
     ) -> ShardAssignment | None:
         """Reassign a shard of a controller that is presumed lost to the controller with the fewest shards."""
-        if not self._all_could_report(now) or not live_controllers:
+        if not self._all_had_time_to_send_status(now) or not live_controllers:
             return None
         for shard in range(1, assignment.shard_count):
             owner = assignment.owner(shard)
--- a/tools/load/fleet.py
+++ b/tools/load/fleet.py
@@ -43,7 +43,7 @@
         self.failures[reason] = self.failures.get(reason, 0) + 1
 
 
-class LoadWorld(HttpReferenceModel):
+class LoadModel(HttpReferenceModel):
     """The workers and the cloud of a fleet."""
 
     def __init__(self, platform: Any) -> None:
--- a/tools/load/processes.py
+++ b/tools/load/processes.py
@@ -14,7 +14,7 @@
 from driftcleat.settings import Team
 from tests.protocol_doubles import Site, wait_until
 
-from .fleet import LoadWorld
+from .fleet import LoadModel
 from .sizes import SIZES, Size
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -26,13 +26,13 @@
 class LoadSite(Site):
     """A site whose controllers and state service are separate processes."""
 
-    model: LoadWorld
+    model: LoadModel
 
     def __init__(self, size: Size, throttled: bool = False) -> None:
         """Prepare a site; if `throttled`, each controller is limited to its share of a core."""
         super().__init__()
         self.size, self.throttled = size, throttled
-        self.model = LoadWorld(self.platforms["a"])
+        self.model = LoadModel(self.platforms["a"])
         unlimited = Team("red", 0.0, 0.0, 0.0, 0.0)
         self.model.platform = dataclasses.replace(
             self.model.platform, teams={"red": unlimited}, report_s=size.report_s, lease_s=size.lease_s
--- a/tools/mixed.py
+++ b/tools/mixed.py
@@ -111,11 +111,11 @@
     async def attempt() -> bool:
         for label in list(site.model.controller_addresses):
             try:
-                status, answer, _ = await site.call(label, "GET", f"/v1/jobs/{job_id}")
+                status, body, _ = await site.call(label, "GET", f"/v1/jobs/{job_id}")
             except OSError:
                 continue
             if status == 200:
-                return bool(answer["bearing"] == state)
+                return bool(body["bearing"] == state)
         return False
 
     await wait_until(attempt, f"{job_id} {state}", 120.0)
