--- a/driftcleat/api/forwarding.py
+++ b/driftcleat/api/forwarding.py
@@ -68,7 +68,7 @@
             self.requests_rejected += 1
             return self._responses.unavailable("too many requests wait for the leader")
         message = peer_messages.ForwardRequest(request.method, request.path, body.decode("utf-8", "replace"))
-        # A poll that the leader does not answer can still be answered from the records.
+        # If the leader does not respond to a poll, the status can still be read from the records.
         timeout_s = request.deadline.left_s * (LEADER_POLL_FRACTION if request.method == "GET" else 1.0)
         self._in_progress += 1
         try:
--- a/driftcleat/api/heartbeats.py
+++ b/driftcleat/api/heartbeats.py
@@ -1,4 +1,4 @@
-"""Handling of workers' heartbeats: they are applied to the cluster state and answered with commands."""
+"""Handling of workers' heartbeats: each is applied to the cluster state, and the response contains commands."""
 
 import asyncio
 import logging
@@ -20,7 +20,7 @@
 
 
 class HeartbeatApi:
-    """Answers heartbeats: at once, or after the commit of the exits that a heartbeat reports."""
+    """Responds to heartbeats: at once, or after the commit of the exits that a heartbeat reports."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.heartbeats_received = 0
 
     def handle(self, body: bytes) -> ResponseOrAwaitable:
-        """Answer one heartbeat: as the leader, as a partitioned follower that extends leases, or with a redirect."""
+        """Respond to a heartbeat: as the leader, as a partitioned follower that extends leases, or by a redirect."""
         election = self._active_term.election
         partition_token = election.lease_keeping_token
         if not election.may_respond_to_heartbeats and partition_token is None:
@@ -67,7 +67,7 @@
         return self._apply(scheduler, heartbeat, received_at)
 
     def _apply(self, scheduler: Scheduler, heartbeat: Heartbeat, received_at: float) -> ResponseOrAwaitable:
-        """Apply a heartbeat to the cluster state and answer it."""
+        """Apply a heartbeat to the cluster state and return its response."""
         machine = apply_heartbeat(scheduler.cluster, heartbeat, received_at)
         self._metrics.record_part("reports", self._clock() - received_at)
         if machine is None:
--- a/driftcleat/api/job_status.py
+++ b/driftcleat/api/job_status.py
@@ -1,4 +1,4 @@
-"""Polls of a job's status: answered from the cache, the leader's cluster state, or the records."""
+"""Polls of a job's status, which is read from the cache, the leader's cluster state, or the records."""
 
 from driftcleat import wire
 from driftcleat.api.dependencies import DependencyLookup
@@ -15,7 +15,7 @@
 
 
 class JobStatusPolls:
-    """Answers polls; a follower forwards them and reads the records if the leader does not answer."""
+    """Responds to polls; a follower forwards them and reads the records if the leader does not respond."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
             saturated = self._forwarder.is_saturated
             response = await self._forwarder.forward(request)
             if saturated or response.status in (200, 404):
-                # The records are read only if the leader does not answer: if it is overloaded, it needs the store's
+                # The records are read only if the leader does not respond: if it is overloaded, it needs the store's
                 # capacity for itself.
                 return response
         return await self._poll_records(request.job_id, scheduler)
@@ -58,7 +58,7 @@
         return status
 
     async def _poll_records(self, job_id: str, scheduler: Scheduler | None) -> Response:
-        """Answer a poll from the records.
+        """Return the response to a poll from the records.
 
         The head record is read first, so that a job that ends between the two reads is still found.
         """
--- a/driftcleat/api/server.py
+++ b/driftcleat/api/server.py
@@ -25,7 +25,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection; its requests are answered one after the other."""
+    """One connection; its requests are handled one after the other."""
 
     __slots__ = ("_busy", "_listener", "_loop", "_reader", "_reading", "_writable", "last_used", "transport")
 
@@ -52,7 +52,7 @@
         self._listener.remove(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse received bytes and answer the requests that are complete."""
+        """Parse received bytes and respond to the requests that are complete."""
         if self.transport is None or self.transport.is_closing():
             return
         self._reader.feed(data)
@@ -60,11 +60,11 @@
         self._apply_backpressure()
 
     def pause_writing(self) -> None:
-        """Stop answering requests while the client does not read its responses."""
+        """Stop handling requests while the client does not read its responses."""
         self._writable = False
 
     def resume_writing(self) -> None:
-        """Answer requests again once the client has read its responses."""
+        """Handle requests again once the client has read its responses."""
         self._writable = True
         self._respond_to_requests()
         self._apply_backpressure()
@@ -83,7 +83,7 @@
                 transport.pause_reading()
 
     def _respond_to_requests(self) -> None:
-        """Answer complete requests in order, until one has to be awaited."""
+        """Respond to complete requests in order, until one has to be awaited."""
         while not self._busy and self._writable and self._reader.has_items:
             item = self._reader.pop()
             if isinstance(item, Response):
@@ -135,7 +135,7 @@
             transport.close()
 
     def is_idle(self, since: float) -> bool:
-        """Return whether no request is in progress, and none was answered, since a time on the event loop's clock."""
+        """Return whether no request is in progress, and none has ended, since a time on the event loop's clock."""
         return not self._busy and self.last_used < since
 
     def close(self) -> None:
@@ -216,7 +216,7 @@
         self.limiter.request_started(connection, kind)
 
     def request_finished(self, connection: Connection) -> bool:
-        """Record that a request is answered; return whether the connection has to be closed after the response."""
+        """Record that a request has ended; return whether the connection has to be closed after the response."""
         return self.limiter.request_finished(connection)
 
     def remove(self, connection: Connection) -> None:
--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -1,7 +1,7 @@
 """The users' interface of a controller: routes, deadlines and admission control.
 
 The leader decides; followers forward requests to it. The records in the store are authoritative, so a poll that
-cannot reach the leader is answered from them.
+cannot reach the leader is served from them.
 """
 
 import asyncio
@@ -28,11 +28,11 @@
 JOBS_PATH = "/v1/jobs"
 JOB_PATTERN = "/v1/jobs/{id}"
 # A forwarded request has this fraction of its time limit at the leader. The fraction of a poll is smaller, since the
-# follower must have time left to read the records if the leader does not answer.
+# follower must have time left to read the records if the leader does not respond.
 FORWARDED_FRACTION = 0.9
 FORWARDED_POLL_FRACTION = 0.6
-# A read that the store's rate limit delays longer than the report interval divided by this is refused at once, since
-# users wait only 2 to 5 s for a response.
+# A read that the store's rate limit delays longer than the heartbeat interval divided by this is refused at once,
+# since users wait only 2 to 5 s for a response.
 STORE_WAIT_DIVISOR = 6
 
 DependencyLookupFactory = Callable[[JobRecords, LeaderLookup, RetryResponses], DependencyLookup]
@@ -101,7 +101,7 @@
         return self._responses.unavailable(reason)
 
     def drop_outstanding(self) -> None:
-        """Answer all requests that wait for a commit, as undecided: their users retry."""
+        """Complete all requests that wait for a commit, without its outcome, so that their users retry."""
         self._commits.drop_outstanding()
 
     def time_limit_s(self, method: str, forwarded: bool) -> float:
@@ -119,7 +119,7 @@
         )
 
     async def handle(self, method: str, path: str, body: bytes, forwarded: bool = False) -> Response | None:
-        """Answer a request under /v1 before its deadline; None if there is no such path.
+        """Return the response to a request under /v1 before its deadline; None if there is no such path.
 
         Guards against steps that are bounded one by one but together take longer than a user waits.
         """
--- a/driftcleat/cloud/autoscaler.py
+++ b/driftcleat/cloud/autoscaler.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-# The minimum pause between two rounds, and the maximum wait for a change after it, in report intervals.
+# The minimum pause between two rounds, and the maximum wait for a change after it, in heartbeat intervals.
 MIN_ROUND_PAUSE_INTERVALS = 1 / 4
 # The label of the rounds' processor time in `/metrics`.
 METRICS_PART = "sizing"
@@ -50,7 +50,7 @@
         self._heartbeats.last_heartbeat_at = self._clock()
 
     async def run(self) -> None:
-        """Run a round when the state has changed, and at least every half report interval unless rounds take long."""
+        """Run a round when the state has changed, at least every half heartbeat interval unless rounds take long."""
         min_pause_s = self._platform.report_s * MIN_ROUND_PAUSE_INTERVALS
         pause_s = min_pause_s
         while True:
--- a/driftcleat/cloud/inventory.py
+++ b/driftcleat/cloud/inventory.py
@@ -18,7 +18,7 @@
 # States of a machine in the cloud's list.
 RUNNING = "running"
 FAILED = "failed"
-# Number of times per report interval that the loop checks whether the list is due.
+# Number of times per heartbeat interval that the loop checks whether the list is due.
 CHECKS_PER_HEARTBEAT_INTERVAL = 4
 # The fraction of the cloud's rate limit that the pages of the list may use.
 LIST_RATE_SHARE = 1 / 3
--- a/driftcleat/cloud/machine_types.py
+++ b/driftcleat/cloud/machine_types.py
@@ -16,7 +16,7 @@
 
 # Known types are refreshed after this many seconds.
 REFRESH_INTERVAL_S = 20
-# Number of times per report interval that the loop checks whether a refresh is due.
+# Number of times per heartbeat interval that the loop checks whether a refresh is due.
 CHECKS_PER_HEARTBEAT_INTERVAL = 4
 
 
--- a/driftcleat/cloud/provisioner.py
+++ b/driftcleat/cloud/provisioner.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-# Number of rounds per report interval, and of retries per report interval after a failed request.
+# Number of rounds per heartbeat interval, and of retries per heartbeat interval after a failed request.
 ROUNDS_PER_HEARTBEAT_INTERVAL = 30
 RETRIES_PER_HEARTBEAT_INTERVAL = 6
 
--- a/driftcleat/cloud/terminator.py
+++ b/driftcleat/cloud/terminator.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-# Number of rounds per report interval, and of retries per report interval after a failed request.
+# Number of rounds per heartbeat interval, and of retries per heartbeat interval after a failed request.
 ROUNDS_PER_HEARTBEAT_INTERVAL = 15
 RETRIES_PER_HEARTBEAT_INTERVAL = 6
 
--- a/driftcleat/cloud/token_announcer.py
+++ b/driftcleat/cloud/token_announcer.py
@@ -10,12 +10,12 @@
 from driftcleat.settings import Platform
 from driftcleat.workers.dispatch import StopDispatcher
 
-# Maximum number of announcements per report interval.
+# Maximum number of announcements per heartbeat interval.
 ANNOUNCEMENTS_PER_HEARTBEAT_INTERVAL = 300
 
 
 class FencingTokenAnnouncer:
-    """Sends the term's fencing token to running machines without a heartbeat: a previous leader may hold them."""
+    """Sends the term's fencing token to running machines without a heartbeat, which may obey an older leader."""
 
     def __init__(
         self,
--- a/driftcleat/cluster/batch.py
+++ b/driftcleat/cluster/batch.py
@@ -121,7 +121,7 @@
         return self._budget.fits(count, count * MAX_HEAD_BYTES)
 
     def _change_bytes(self, job: Job, entries: int) -> int:
-        """Return the most bytes that a change of `entries` tasks of a job may add."""
+        """Return an upper bound of the bytes that a change of `entries` tasks of a job may add."""
         head = (
             0
             if job.id in self.changed_jobs
--- a/driftcleat/cluster/heartbeat_intake.py
+++ b/driftcleat/cluster/heartbeat_intake.py
@@ -55,7 +55,7 @@
     """Count heartbeats that do not show the effect of earlier heartbeat responses.
 
     Guards against a machine whose heartbeats arrive while the responses to them are lost: it looks alive although its
-    tasks end when its lease expires, and start commands would be sent to it forever.
+    tasks end when its worker lease expires, and start commands would be sent to it forever.
     """
     if machine.last_responded is None:
         return
--- a/driftcleat/controller/__init__.py
+++ b/driftcleat/controller/__init__.py
@@ -1,4 +1,4 @@
-"""One controller: the assembly of its parts, their loops, HTTP routes, the commit pipeline, recovery and status."""
+"""One controller: the assembly of its components, loops, HTTP routes, the commit pipeline, recovery and status."""
 
 from .controller import Controller
 
--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a controller, each with its dependencies as constructor arguments.
+"""Builds the components of a controller, each with its dependencies as constructor arguments.
 
 The records here are named tuples, since defining a dataclass takes several times as long at the start of a process.
 """
@@ -28,7 +28,7 @@
 # The largest number of requests that a follower forwards to the leader concurrently, per connection to it.
 MAX_FORWARDED_PER_CONNECTION = 4
 
-# Returns seconds.
+# Returns the current time in seconds.
 Clock = Callable[[], float]
 QueryPeers = Callable[[], Awaitable[PeerSurvey]]
 # Takes the arguments of `Election`: platform, tuning, store, rng, clock, recover, on_step_down, query_peers and
@@ -55,7 +55,7 @@
 
 
 class Factories(NamedTuple):
-    """Factories of the parts that differ between a plain controller, the engine of a shard and a simulation."""
+    """Factories of the components that differ between a plain controller, the engine of a shard and a simulation."""
 
     network: NetworkFactory = ProcessNetwork
     election: ElectionFactory = Election
@@ -63,7 +63,7 @@
 
 
 class BuildContext(NamedTuple):
-    """What the parts of a controller are built from."""
+    """The settings, clocks and network from which the components of a controller are built."""
 
     platform: Platform
     tuning: Tuning
@@ -85,7 +85,7 @@
 
 
 class ControllerComponents(NamedTuple):
-    """The parts of one controller, as `build_components` returns them."""
+    """The components of one controller, as `build_components` returns them."""
 
     network: Network
     active_term: ActiveTerm[Scheduler]
@@ -104,7 +104,7 @@
 
 
 def build_components(context: BuildContext, callbacks: TermCallbacks, factories: Factories) -> ControllerComponents:
-    """Build the parts of a controller; no loop runs and no listener is open yet."""
+    """Build the components of a controller; no loop runs and no listener is open yet."""
     platform = context.platform
     tuning = context.tuning
     clock = context.clock
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller: its parts, the loops that run them, and its leader terms. The scheduler makes all decisions."""
+"""One controller: its components, the loops that run them, its leader terms. The scheduler makes all decisions."""
 
 import asyncio
 import logging
@@ -154,17 +154,17 @@
         return await self.surveyor.query_all()
 
     def reply_front(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
-        """Answer a request at `bind`; heartbeats are answered without a task if possible."""
+        """Handle a request at `bind`; heartbeats are handled without a task if possible."""
         return self._routes.reply_front(method, path, body)
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `bind`."""
+        """Handle a request at `bind`."""
         return await self._routes.handle_front(method, path, body)
 
     async def handle_back(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `back`."""
+        """Handle a request at `back`."""
         return await self._routes.handle_back(method, path, body)
 
     async def handle_peer(self, body: bytes) -> Response:
-        """Answer another controller's message."""
+        """Handle another controller's message."""
         return await self._routes.handle_peer(body)
--- a/driftcleat/controller/overload.py
+++ b/driftcleat/controller/overload.py
@@ -1,4 +1,4 @@
-"""Delays placement and sizing while the leader is overloaded, so that heartbeats are answered in time."""
+"""Delays placement and sizing while the leader is overloaded, so that heartbeats get a response in time."""
 
 # The delay of the event loop, in heartbeat intervals, below which the leader is not considered overloaded.
 MIN_OVERLOAD_DELAY_INTERVALS = 0.02
--- a/driftcleat/controller/routes.py
+++ b/driftcleat/controller/routes.py
@@ -16,7 +16,7 @@
 
 
 class Routes:
-    """Dispatches each HTTP request to the part of the controller that answers it."""
+    """Dispatches each HTTP request to the component of the controller that handles it."""
 
     def __init__(
         self, platform: Platform, tuning: Tuning, clock: Callable[[], float], components: ControllerComponents
@@ -34,13 +34,13 @@
         self._leader_reached_at = float("-inf")
 
     def reply_front(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
-        """Answer a request at `bind`; heartbeats, the most frequent ones, are answered without a task if possible."""
+        """Handle a request at `bind`; heartbeats, the most frequent ones, are handled without a task if possible."""
         if path == HEARTBEAT_PATH and method == "POST":
             return self._heartbeats.handle(body)
         return self.handle_front(method, path, body)
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `bind`."""
+        """Handle a request at `bind`."""
         if path == HEARTBEAT_PATH:
             if method != "POST":
                 return _method_not_allowed("POST")
@@ -68,7 +68,7 @@
         return self._clock() - self._leader_reached_at < self._readiness_grace_s
 
     async def handle_back(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `back`."""
+        """Handle a request at `back`."""
         if path == PEER_PATH:
             return await self.handle_peer(body) if method == "POST" else _method_not_allowed("POST")
         if path in STATUS_PATHS:
@@ -76,7 +76,7 @@
         return _not_found()
 
     async def handle_peer(self, body: bytes) -> Response:
-        """Answer another controller's message."""
+        """Handle another controller's message."""
         return await self._peer_api.handle(body)
 
 
--- a/driftcleat/leadership/leader_loop.py
+++ b/driftcleat/leadership/leader_loop.py
@@ -1,4 +1,4 @@
-"""The leader's loop: keeps the lease alive, asks peers for confirmation if the store fails, steps down."""
+"""The leader's loop: keeps the lease alive, queries peers for confirmation if the store fails, steps down."""
 
 import asyncio
 import logging
--- a/driftcleat/leadership/permissions.py
+++ b/driftcleat/leadership/permissions.py
@@ -1,6 +1,6 @@
 """The leadership state of a controller, and what it may do in each role.
 
-| role               | decide, commit       | answer heartbeats | send starts          | keep worker leases only   |
+| role               | decide, commit       | handle heartbeats | send starts          | keep worker leases only   |
 | ------------------ | -------------------- | ----------------- | -------------------- | ------------------------- |
 | follower           | no                   | no                | no                   | no                        |
 | partitioned        | no                   | no                | no                   | with the last known token |
@@ -80,7 +80,7 @@
 
     @property
     def may_respond_to_heartbeats(self) -> bool:
-        """Whether heartbeats are answered with this controller's own fencing token.
+        """Whether heartbeats get a response with this controller's own fencing token.
 
         Checked against the clock at each heartbeat, so that the bound holds even if the process was suspended or a
         recovery hangs: a later leader that confirms a cancellation relies on these worker leases to expire in time.
@@ -116,7 +116,7 @@
         """The fencing token with which a partitioned follower keeps workers' leases; None if it must not keep them.
 
         Without this, the leases of all workers in a partitioned zone would expire although a controller in the zone
-        can answer them: half of a service's replicas came back only a minute after the partition had ended.
+        can respond: half of a service's replicas came back only a minute after the partition had ended.
         """
         if self.role is not Role.PARTITIONED or self.clock() - self.leader_contact_at > self.max_unconfirmed_s:
             return None
--- a/driftcleat/net/budget.py
+++ b/driftcleat/net/budget.py
@@ -1,4 +1,4 @@
-"""Divides the file descriptors of a process among its uses; what is reserved for one use is not lent to another."""
+"""Divides the file descriptors of a process among its uses; one reserved for a use is never used for another."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 # Descriptors for the event loop, the log, the listeners and what libraries keep open.
 PROCESS_DESCRIPTORS = 24
-# Lease renewal must never wait for a descriptor, even while an earlier attempt hangs.
+# Lease keep-alives must never wait for a descriptor, even while an earlier attempt hangs.
 LEASE_CONNECTIONS = 4
 CLOUD_CONNECTIONS = 6
 
@@ -28,7 +28,7 @@
     """How many connections each use may open within the descriptor limit of a process.
 
     A fleet may have more machines than a controller may have sockets. Without a budget, the connections of heartbeats
-    take the descriptors that lease renewal needs.
+    take the descriptors that lease keep-alives need.
     """
 
     def __init__(self, fd_limit: int, peers: int) -> None:
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -31,7 +31,7 @@
 
 
 class PeerApi:
-    """Answers messages of other controllers."""
+    """Responds to messages of other controllers."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._data_versions: dict[str, int] = {}
 
     async def handle(self, body: bytes) -> Response:
-        """Answer one message; 400 if it is malformed or is no request."""
+        """Return the response to one message; 400 if it is malformed or is no request."""
         try:
             message: messages.PeerMessage = wire.decode(body, messages.PeerMessage)  # type: ignore[arg-type]
         except wire.WireError as error:
@@ -70,7 +70,7 @@
         return Response.error(400, "not a question")
 
     async def _handle_forwarded(self, message: messages.ForwardRequest) -> messages.ForwardResponse:
-        """Answer a user's request that another controller has forwarded."""
+        """Handle a user's request that another controller has forwarded."""
         response = await self._users.handle(message.method, message.path, message.body.encode(), forwarded=True)
         if response is None:
             response = Response.error(404, "no such path")
--- a/driftcleat/peers/survey.py
+++ b/driftcleat/peers/survey.py
@@ -14,20 +14,20 @@
 MAX_STORE_SUCCESS_AGE_S = 0.5
 # Timeout of a view request, as a fraction of the leader lease's time to live.
 VIEW_TIMEOUT_FRACTION = 0.4
-# Timeout of a ping, as a fraction of the report interval.
+# Timeout of a ping, as a fraction of the heartbeat interval.
 PING_TIMEOUT_FRACTION = 1 / 10
 
 
 class LeaderContact(NamedTuple):
-    """Status of the leader whose leadership was confirmed last, among the controllers that answered."""
+    """Status of the leader whose leadership was confirmed last, among the controllers that responded."""
 
-    # Time on our clock; minus infinity if no leader answered.
+    # Time on our clock; minus infinity if no leader responded.
     confirmed_at: float
     cancelled_jobs: frozenset[str]
 
 
 class PeerSurveyor:
-    """Asks the other controllers about the store and the leader."""
+    """Queries the other controllers about the store and the leader."""
 
     def __init__(
         self, platform: Platform, peers: PeerClient, active_term: ActiveTerm[Scheduler], clock: Callable[[], float]
@@ -38,7 +38,7 @@
         self._clock = clock
 
     async def query_all(self) -> PeerSurvey:
-        """Ask all other controllers for their views of the store and the leader."""
+        """Query all other controllers for their views of the store and the leader."""
         asked_at = self._clock()
         views = await self._peers.request_views(self._active_term.election.ttl_s * VIEW_TIMEOUT_FRACTION)
         highest = max(views, key=lambda view: view.fencing_token, default=None)
@@ -54,7 +54,7 @@
         )
 
     async def query_leader(self) -> PeerSurvey:
-        """Ask the leader when its leadership was last confirmed."""
+        """Query the leader when its leadership was last confirmed."""
         asked_at = self._clock()
         leader = self._active_term.leader
         if leader is None or leader not in self._peers.addresses:
@@ -64,7 +64,7 @@
         return PeerSurvey(leader_confirmed_at=contact.confirmed_at, cancelled_jobs=contact.cancelled_jobs)
 
     async def reaches_leader(self) -> bool:
-        """Return whether the known leader confirms that it leads; if not, ask the other controllers who leads."""
+        """Return whether the known leader confirms that it leads; if not, query the other controllers who leads."""
         timeout_s = self._platform.report_s * PING_TIMEOUT_FRACTION
         leader = self._active_term.leader
         if leader is not None and leader in self._peers.addresses:
--- a/driftcleat/scheduler/cancellations.py
+++ b/driftcleat/scheduler/cancellations.py
@@ -51,8 +51,8 @@
         Return False if those tasks are being stopped already. This is the only change that takes effect before its
         commit, and only while the store is unreachable. The transaction may be committed without this controller
         knowing: another controller then confirms the cancellation to the user, and if the store stays down for longer
-        than a cancellation may take, this controller would keep the leases of the cancelled tasks alive. If the
-        transaction turns out not to be committed, the tasks are queued again; the user wanted them stopped anyway.
+        than a cancellation may take, this controller would keep the worker leases of the cancelled tasks alive. If
+        the transaction turns out not to be committed, the tasks are queued again; the user wanted them to stop.
         """
         unconfirmed = {job_id for job_id in batch.changed_jobs if batch.jobs[job_id].state is JobState.CANCELLED}
         if unconfirmed <= self._cluster.unconfirmed_cancellations:
--- a/driftcleat/scheduler/pacing.py
+++ b/driftcleat/scheduler/pacing.py
@@ -4,7 +4,7 @@
 
 from driftcleat.settings import Platform, Tuning
 
-# The duration of a round from which the pause after it is derived counts up to this many round budgets.
+# The pause after a round is proportional to the round's duration, which counts as at most this many round budgets.
 MAX_CHARGED_BUDGETS = 2
 
 
--- a/driftcleat/scheduler/presumed_lost_demand.py
+++ b/driftcleat/scheduler/presumed_lost_demand.py
@@ -21,9 +21,9 @@
     def demands(self, failure_detector: FailureDetector, now: float) -> list[Demand]:
         """Return the demand of the two highest priorities on machines that miss heartbeats together with many others.
 
-        Only machines whose lease has expired count. Replacements boot while it is still unknown whether the machines
-        are gone; otherwise the first one would be created only after the cloud had listed a hundred machines as
-        failed.
+        Only machines whose worker lease has expired count. Replacements boot while it is still unknown whether the
+        machines are gone; otherwise the first one would be created only after the cloud had listed a hundred machines
+        as failed.
         """
         lost_tasks: dict[str, int] = {}
         for machine in self._cluster.machines.values():
--- a/driftcleat/scheduler/scale_in.py
+++ b/driftcleat/scheduler/scale_in.py
@@ -13,8 +13,8 @@
 
 # Machines with fewer free GPUs than this are not considered for the work of other machines.
 MIN_FREE_GPUS = Resources(0.0, ROUNDING_TOLERANCE * 2, 0.0)
-# Unresponsive machines are not deleted if they are more than one in this many, and more than a minimum: most likely
-# this controller is then too slow.
+# Unresponsive machines are not deleted if they are more than one in this many, and more than a minimum: the cause is
+# then most likely that this controller is too slow, not a fault of the machines.
 TOLERATED_UNRESPONSIVE_DIVISOR = 3
 TOLERATED_UNRESPONSIVE_MACHINES = 2
 
@@ -30,7 +30,7 @@
     term_older_than_lease: bool
     # Names of the machines that are presumed lost early, since their work fits elsewhere.
     replaceable: set[str]
-    # Whether so many machines are unresponsive that this controller is more likely too slow.
+    # Whether so many machines are unresponsive that the cause is most likely this controller, not the machines.
     many_unresponsive: bool
 
 
--- a/driftcleat/settings/platform.py
+++ b/driftcleat/settings/platform.py
@@ -8,7 +8,7 @@
 
 from driftcleat.errors import DriftcleatError
 
-# With fewer file descriptors, lease renewal and other uses could not each have connections of their own.
+# With fewer file descriptors, lease keep-alives and other uses could not each have connections of their own.
 MIN_DESCRIPTORS = 128
 
 
@@ -60,7 +60,7 @@
     cloud: str
     state: str
     zones: tuple[str, ...]
-    # The most by which a clock may be off.
+    # The largest possible error of a clock, in seconds.
     clock_off_s: float
     teams: dict[str, Team]
     objectives: tuple[Objective, ...]
--- a/driftcleat/sharing/assignment.py
+++ b/driftcleat/sharing/assignment.py
@@ -25,7 +25,7 @@
 
     shard: int
     target: str
-    # Sequence number of the move: tells a late request of an earlier move from one of this move.
+    # Sequence number of the move: distinguishes a late request of an earlier move from one of this move.
     number: int
 
 
--- a/driftcleat/sharing/coordinator.py
+++ b/driftcleat/sharing/coordinator.py
@@ -77,7 +77,7 @@
     # Shard assignment.
 
     def may_start_sharing(self, now: float) -> bool:
-        """Return whether every controller runs with sharing: others would home every job on the first shard."""
+        """Return whether every controller runs with sharing: any other would put every job on the first shard."""
         return len(self.live_controllers(now)) == len(self._labels)
 
     def first_assignment(self, newest_machine: str) -> ShardAssignment:
@@ -113,7 +113,7 @@
         return None
 
     def _all_had_time_to_send_status(self, now: float) -> bool:
-        """Return whether every live controller has had time to report to this coordinator."""
+        """Return whether every live controller has had time to send its status to this coordinator."""
         return now - self._reset_at > self._status_timeout_s * 2
 
     def _without_lost_owners(
@@ -144,7 +144,7 @@
             return None
         loads = self._loads()
         if len(loads) < assignment.shard_count:
-            # A shard without a leader reports no load.
+            # The load of a shard without a leader is not known.
             return None
         self._last_proposal_at = now
         proposal = propose_move(loads, self._labels, self._settings.imbalance)
--- a/driftcleat/sharing/election.py
+++ b/driftcleat/sharing/election.py
@@ -32,7 +32,7 @@
 
 
 class ShardCandidacy:
-    """Tells from the shard assignment whether this controller may campaign for a shard."""
+    """Decides by the shard assignment whether this controller may campaign for a shard."""
 
     def __init__(self, shard: int, view: SharingView, label: str) -> None:
         self.shard = shard
--- a/driftcleat/sharing/engine.py
+++ b/driftcleat/sharing/engine.py
@@ -81,7 +81,7 @@
         await super()._recover(token)
         scheduler = self.active_term.scheduler
         if scheduler is not None:
-            # An earlier leader may have answered users from cancellations that it read from other shards.
+            # An earlier leader may have sent users responses based on cancellations that it read from other shards.
             await self._record_external_ends(scheduler)
 
     def apply_quotas(self) -> None:
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -272,7 +272,7 @@
         return shard in self.engines and self.engines[shard].is_serving
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `bind`."""
+        """Handle a request at `bind`."""
         if path == HEARTBEAT_PATH:
             reply = self.reply_front(method, path, body) if method == "POST" else None
             if reply is None:
@@ -285,7 +285,7 @@
         return await self.router.handle(method, path, body)
 
     async def handle_back(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `back`."""
+        """Handle a request at `back`."""
         if path.startswith(PEER_PATH + "/"):
             shard = path[len(PEER_PATH) + 1 :]
             if not shard.isascii() or not shard.isdigit() or int(shard) not in self.engines:
--- a/driftcleat/sharing/messages.py
+++ b/driftcleat/sharing/messages.py
@@ -1,6 +1,6 @@
 """Messages of sharing between controllers: tagged arrays, as in `wire.peers`, at a path of their own.
 
-A controller that runs without sharing answers 404 at this path, so it never counts as ready for sharing.
+A controller that runs without sharing responds with 404 at this path, so it never counts as ready for sharing.
 """
 
 import msgspec
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -59,7 +59,7 @@
         self.malformed = 0
 
     async def handle(self, method: str, path: str, body: bytes) -> Response | None:
-        """Answer a request; None if the path does not belong to sharing."""
+        """Return the response to a request; None if the path does not belong to sharing."""
         allowed_method = {PATH: "POST", "/shares": "GET", "/shares/move": "POST"}.get(path)
         if allowed_method is None:
             return None
@@ -77,7 +77,7 @@
             return Response.error(400, str(error))
 
     async def _handle_message(self, message: SharingMessage) -> Response:
-        """Answer a message of another controller."""
+        """Handle a message of another controller."""
         host = self._host
         if isinstance(message, ControllerStatus):
             return Response(200, wire.encode(host.coordinator_loops.handle_status(message)))
--- a/driftcleat/sharing/process_lease.py
+++ b/driftcleat/sharing/process_lease.py
@@ -1,4 +1,4 @@
-"""The one store lease that all leader keys of a process are attached to: more shards need no more renewals."""
+"""The store lease of a process: all its leader keys are attached to it, so more shards need no more keep-alives."""
 
 import asyncio
 import logging
@@ -10,13 +10,13 @@
 
 log = logging.getLogger(__name__)
 
-# A renewal younger than this fraction of the pause between renewals is not repeated for another shard.
+# A keep-alive is not repeated for another shard within this fraction of the pause between two keep-alives.
 RECENT_KEEP_ALIVE = 0.7
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmedLease:
-    """A lease, and when the last request was sent that restored its full time to live."""
+    """A lease, and when the last successful grant or keep-alive request was sent."""
 
     lease: int
     sent_at: float
@@ -56,7 +56,7 @@
             return self._confirmed_lease.lease
 
     async def keep_alive(self, lease: int) -> float:
-        """Keep a lease alive unless it was renewed recently; return when the last successful request was sent.
+        """Keep a lease alive unless that was done recently; return when the last successful request was sent.
 
         Raises `LeaseNotFoundError` if the lease has expired: the keys attached to it are deleted, even if the process
         holds a newer lease.
--- a/driftcleat/sharing/routing.py
+++ b/driftcleat/sharing/routing.py
@@ -25,7 +25,7 @@
         self._host = host
 
     async def handle(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a user's request, within the time limit of the users' API."""
+        """Return the response to a user's request, within the time limit of the users' API."""
         host = self._host
         users = host.first_engine.users
         try:
@@ -42,7 +42,7 @@
             return users.unavailable("no answer in time")
 
     async def _shard_for(self, method: str, path: str, body: bytes) -> int | Response:
-        """Return the shard whose engine handles a request, or the answer if no shard is needed for it."""
+        """Return the shard whose engine handles a request, or the response if no shard is needed for it."""
         host = self._host
         if not host.view.loaded:
             return host.first_engine.users.unavailable("starting")
@@ -69,7 +69,7 @@
         try:
             spec = parse_submission(raw)
         except InvalidFieldError as error:
-            # The retry of an accepted job is answered by its home shard, even if the retry is invalid.
+            # The retry of an accepted job is handled by its home shard, even if the retry is invalid.
             home_shard = await host.job_directory.home_shard(job_id, host.first_engine.users.max_store_wait_s)
             return home_shard if home_shard is not None else Response.error(400, str(error), error.field)
         # Most submissions are new, so the entry is written without a look-up of an existing one, which costs 3 reads.
--- a/driftcleat/store/client.py
+++ b/driftcleat/store/client.py
@@ -231,12 +231,12 @@
         return self._decode_ok(response, messages.LeaseGrantResponse).lease_id
 
     async def keep_lease_alive(self, lease: int, timeout_s: float) -> None:
-        """Renew a lease for its full TTL; `LeaseNotFoundError` if it has expired."""
+        """Restore the full TTL of a lease; `LeaseNotFoundError` if it has expired."""
         response = await self._call("POST", f"/leases/{lease}/renew", b"{}", timeout_s=timeout_s, urgent=True)
         if response.status == HTTPStatus.NOT_FOUND:
             raise LeaseNotFoundError(f"lease {lease} has expired")
         if response.status != HTTPStatus.OK:
-            raise self._malformed_error(f"lease {lease}: keep-alive answered with status {response.status}")
+            raise self._malformed_error(f"lease {lease}: keep-alive response has status {response.status}")
 
     async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease; the service deletes the keys attached to it."""
--- a/driftcleat/wire/peers.py
+++ b/driftcleat/wire/peers.py
@@ -43,7 +43,7 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="ping"):
-    """Asks who leads; the receiver answers from memory, without a request to the state service."""
+    """Queries who leads; the receiver responds from memory, without a request to the state service."""
 
     sender: str
     data_version: int = 1
--- a/driftcleat/workers/commands.py
+++ b/driftcleat/workers/commands.py
@@ -42,7 +42,7 @@
         commands: list[Command],
         likely_unreachable: bool = False,
     ) -> Heartbeat | None:
-        """Send commands; return the heartbeat of a worker that refused them, None if it accepted them or is silent.
+        """Send commands; return the heartbeat of a worker that refused them, None if it accepted or did not respond.
 
         Nothing is sent to a `likely_unreachable` worker while an earlier request to it is in flight.
         """
--- a/driftcleat/workers/dispatch.py
+++ b/driftcleat/workers/dispatch.py
@@ -18,7 +18,7 @@
 FIRST_WORKER_EPOCH = 1
 # Number of machines that a scan visits before it yields to the event loop.
 MACHINES_PER_SLICE = 100
-# While this controller does not lead, the loop pauses for the report interval divided by this.
+# While this controller does not lead, the loop pauses for the heartbeat interval divided by this.
 IDLE_PAUSE_DIVISOR = 10
 
 
--- a/tools/load/store.py
+++ b/tools/load/store.py
@@ -1,7 +1,7 @@
 """The state service of a load test, a separate process: `python -m tools.load.store PORT SITE`.
 
-In one process with the workers, their requests would delay the renewal of the leader's lease: the load test could not
-distinguish a slow controller from a slow state service.
+In one process with the workers, their requests would delay the keep-alives of the leader's lease: the load test could
+not distinguish a slow controller from a slow state service.
 """
 
 import asyncio
--- a/tools/load/throttle.py
+++ b/tools/load/throttle.py
@@ -13,7 +13,7 @@
 from .processes import usage
 
 CHECK_INTERVAL_S = 0.005
-# Wall time whose unused share may be used later, in seconds.
+# Wall-clock time whose unused share may be used later, in seconds.
 BURST_S = 0.1
 
 
