--- a/driftcleat/sharing/coordinator.py
+++ b/driftcleat/sharing/coordinator.py
@@ -164,7 +164,7 @@
     ) -> ShardAssignment:
         """Return the assignment with a move requested by an operator; `AssignmentError` if it is impossible."""
         if assignment is None:
-            raise AssignmentError("sharing has not begun: not every controller knows of it")
+            raise AssignmentError("sharing has not begun: not every controller has it enabled")
         if target in self._labels and target not in self.live_controllers(now):
             raise AssignmentError(f"{target} sends no status")
         self.refusals.pop(shard, None)
