--- a/driftcleat/api/users.py
+++ b/driftcleat/api/users.py
@@ -1,7 +1,7 @@
 """The users' interface of a controller: routes, deadlines and admission control.
 
 The leader decides; followers forward requests to it. The records in the store are authoritative, so a poll that
-cannot reach the leader is answered from them.
+cannot reach the leader is served from them.
 """
 
 import asyncio
@@ -28,11 +28,11 @@
 JOBS_PATH = "/v1/jobs"
 JOB_PATTERN = "/v1/jobs/{id}"
 # A forwarded request has this fraction of its time limit at the leader. The fraction of a poll is smaller, since the
-# follower must have time left to read the records if the leader does not answer.
+# follower must have time left to read the records if the leader does not respond.
 FORWARDED_FRACTION = 0.9
 FORWARDED_POLL_FRACTION = 0.6
-# A read that the store's rate limit delays longer than the report interval divided by this is refused at once, since
-# users wait only 2 to 5 s for a response.
+# A read that the store's rate limit delays longer than the heartbeat interval divided by this is refused at once,
+# since users wait only 2 to 5 s for a response.
 STORE_WAIT_DIVISOR = 6
 
 DependencyLookupFactory = Callable[[JobRecords, LeaderLookup, RetryResponses], DependencyLookup]
@@ -72,7 +72,7 @@
         self._clock = clock
         self._max_in_progress = max_in_progress
         self._in_progress = 0
-        self._requests_shed = 0
+        self._requests_rejected = 0
         self.retry_s = max(1, round(tuning.retry_after_intervals * platform.report_s))
         self.max_store_wait_s = platform.report_s / STORE_WAIT_DIVISOR
         responses = self._responses = RetryResponses(self.retry_s)
@@ -92,16 +92,16 @@
         }
 
     @property
-    def requests_shed(self) -> int:
+    def requests_rejected(self) -> int:
         """Return how many requests were refused because too many others were in progress."""
-        return self._requests_shed + self._forwarder.requests_shed
+        return self._requests_rejected + self._forwarder.requests_rejected
 
     def unavailable(self, reason: str) -> Response:
         """Return the response to a request that cannot be carried out now, with the time of a retry."""
         return self._responses.unavailable(reason)
 
     def drop_outstanding(self) -> None:
-        """Answer all requests that wait for a commit, as undecided: their users retry."""
+        """Complete all requests that wait for a commit, without its outcome, so that their users retry."""
         self._commits.drop_outstanding()
 
     def time_limit_s(self, method: str, forwarded: bool) -> float:
@@ -119,14 +119,14 @@
         )
 
     async def handle(self, method: str, path: str, body: bytes, forwarded: bool = False) -> Response | None:
-        """Answer a request under /v1 before its deadline; None if there is no such path.
+        """Return the response to a request under /v1 before its deadline; None if there is no such path.
 
         Guards against steps that are bounded one by one but together take longer than a user waits.
         """
         if self._in_progress >= self._max_in_progress and not is_cancellation(path):
             # Guards against users' requests that take the processor time and the connections that heartbeats need.
             # A cancellation is always accepted, since it ends work that is no longer needed.
-            self._requests_shed += 1
+            self._requests_rejected += 1
             return self.unavailable("too many requests are under way")
         deadline = Deadline(self._clock, self.time_limit_s(method, forwarded))
         pattern, job_id = _match(path)
--- a/driftcleat/cluster/batch.py
+++ b/driftcleat/cluster/batch.py
@@ -121,7 +121,7 @@
         return self._budget.fits(count, count * MAX_HEAD_BYTES)
 
     def _change_bytes(self, job: Job, entries: int) -> int:
-        """Return the most bytes that a change of `entries` tasks of a job may add."""
+        """Return an upper bound of the bytes that a change of `entries` tasks of a job may add."""
         head = (
             0
             if job.id in self.changed_jobs
@@ -159,10 +159,10 @@
         self.unmet_dependencies[job.id] = unmet or set()
         self._open_for_change(job.id)
 
-    def cancel_job(self, job_id: str, wall_s: float) -> None:
-        """Cancel a job; `wall_s` is the wall-clock time in seconds."""
+    def cancel_job(self, job_id: str, wall_clock_s: float) -> None:
+        """Cancel a job; `wall_clock_s` is the wall-clock time in seconds."""
         job = self._open_for_change(job_id)
-        job.cancelled_at = wall_s
+        job.cancelled_at = wall_clock_s
         transition_job(job, JobState.CANCELLED)
         self.finish_job_if_complete(job_id)
 
--- a/driftcleat/controller/routes.py
+++ b/driftcleat/controller/routes.py
@@ -5,7 +5,7 @@
 from driftcleat import wire
 from driftcleat.api import Response
 from driftcleat.api.server import ResponseOrAwaitable
-from driftcleat.controller.assembly import ControllerParts
+from driftcleat.controller.assembly import ControllerComponents
 from driftcleat.controller.network import HEARTBEAT_PATH
 from driftcleat.controller.status import StatusReport
 from driftcleat.peers.client import PEER_PATH
@@ -16,31 +16,31 @@
 
 
 class Routes:
-    """Dispatches each HTTP request to the part of the controller that answers it."""
+    """Dispatches each HTTP request to the component of the controller that handles it."""
 
     def __init__(
-        self, platform: Platform, tuning: Tuning, clock: Callable[[], float], parts: ControllerParts
+        self, platform: Platform, tuning: Tuning, clock: Callable[[], float], components: ControllerComponents
     ) -> None:
         self._clock = clock
-        self._election = parts.election
-        self._surveyor = parts.surveyor
-        self._users = parts.users
-        self._heartbeats = parts.heartbeats
-        self._peer_api = parts.peer_api
-        self._metrics = parts.metrics
-        self._status = StatusReport(platform.label, clock, parts)
+        self._election = components.election
+        self._surveyor = components.surveyor
+        self._users = components.users
+        self._heartbeats = components.heartbeats
+        self._peer_api = components.peer_api
+        self._metrics = components.metrics
+        self._status = StatusReport(platform.label, clock, components)
         # How long a controller stays ready, in seconds, after it last led or reached the leader.
         self._readiness_grace_s = platform.lease_s * tuning.readiness_grace_leases
         self._leader_reached_at = float("-inf")
 
     def reply_front(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
-        """Answer a request at `bind`; heartbeats, the most frequent ones, are answered without a task if possible."""
+        """Handle a request at `bind`; heartbeats, the most frequent ones, are handled without a task if possible."""
         if path == HEARTBEAT_PATH and method == "POST":
             return self._heartbeats.handle(body)
         return self.handle_front(method, path, body)
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `bind`."""
+        """Handle a request at `bind`."""
         if path == HEARTBEAT_PATH:
             if method != "POST":
                 return _method_not_allowed("POST")
@@ -63,20 +63,20 @@
         A follower that is rejected by the leader, or that takes a dead controller for the leader, is not ready: it
         would receive a part of the users' requests and could serve none of them.
         """
-        if self._election.may_answer_heartbeats or await self._surveyor.reaches_leader():
+        if self._election.may_respond_to_heartbeats or await self._surveyor.reaches_leader():
             self._leader_reached_at = self._clock()
         return self._clock() - self._leader_reached_at < self._readiness_grace_s
 
     async def handle_back(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `back`."""
+        """Handle a request at `back`."""
         if path == PEER_PATH:
-            return await self.answer_peer(body) if method == "POST" else _method_not_allowed("POST")
+            return await self.handle_peer(body) if method == "POST" else _method_not_allowed("POST")
         if path in STATUS_PATHS:
             return Response(200, wire.encode(self._status.read())) if method == "GET" else _method_not_allowed("GET")
         return _not_found()
 
-    async def answer_peer(self, body: bytes) -> Response:
-        """Answer another controller's message."""
+    async def handle_peer(self, body: bytes) -> Response:
+        """Handle another controller's message."""
         return await self._peer_api.handle(body)
 
 
--- a/driftcleat/scheduler/scheduler.py
+++ b/driftcleat/scheduler/scheduler.py
@@ -102,12 +102,12 @@
             self.pacing,
         )
 
-    def _record_recovered_jobs(self, now: float, wall_time: float) -> None:
+    def _record_recovered_jobs(self, now: float, wall_clock_s: float) -> None:
         """Count jobs recovered from the store as arrivals at the time of their submission."""
         for job in self.cluster.jobs.values():
             self.layout.assign_tasks_per_record(job)
             if self.cluster.dependencies_met(job):
-                self._arrivals.record(job.spec, now - max(0.0, wall_time - job.submitted_at))
+                self._arrivals.record(job.spec, now - max(0.0, wall_clock_s - job.submitted_at))
 
     # Life cycle of a batch
 
@@ -214,21 +214,27 @@
     # Fleet size
 
     def plan_scale_out(
-        self, now: float, failures: FailureDetector | None = None, max_machines: int = MAX_MACHINES_PER_REQUEST
+        self,
+        now: float,
+        failure_detector: FailureDetector | None = None,
+        max_machines: int = MAX_MACHINES_PER_REQUEST,
     ) -> CapacityPlan:
         """Return which machines to create for queued and expected work, and which existing ones that work would use.
 
-        `failures` is the result of `reachability.detect_failures`, which is called if it is None; `max_machines`
+        `failure_detector` is the result of `reachability.detect_failures`, called if it is None; `max_machines`
         limits the machines that one plan creates.
         """
-        return self.demand.plan(now, failures or self.reachability.detect_failures(now), max_machines)
+        return self.demand.plan(now, failure_detector or self.reachability.detect_failures(now), max_machines)
 
     def select_scale_in(
-        self, plan: CapacityPlan, now: float, failures: FailureDetector | None = None
+        self, plan: CapacityPlan, now: float, failure_detector: FailureDetector | None = None
     ) -> list[Machine]:
         """Return the machines to scale in: those that the plan does not need, and those that are presumed lost."""
         return self._scale_in.select(
-            plan, self._batch_builder.in_flight.machines, now, failures or self.reachability.detect_failures(now)
+            plan,
+            self._batch_builder.in_flight.machines,
+            now,
+            failure_detector or self.reachability.detect_failures(now),
         )
 
     def consolidation_candidate(self, now: float) -> Machine | None:
--- a/driftcleat/sharing/coordinator.py
+++ b/driftcleat/sharing/coordinator.py
@@ -77,7 +77,7 @@
     # Shard assignment.
 
     def may_start_sharing(self, now: float) -> bool:
-        """Return whether every controller runs with sharing: others would home every job on the first shard."""
+        """Return whether every controller runs with sharing: any other would put every job on the first shard."""
         return len(self.live_controllers(now)) == len(self._labels)
 
     def first_assignment(self, newest_machine: str) -> ShardAssignment:
@@ -104,7 +104,7 @@
         for move in assignment.moves:
             first_seen_at = self._move_first_seen_at.setdefault(move.shard, now)
             timed_out = now - first_seen_at > self._settings.move * self._heartbeat_s
-            target_lost = move.target not in live_controllers and self._all_could_report(now)
+            target_lost = move.target not in live_controllers and self._all_had_time_to_send_status(now)
             if timed_out or target_lost:
                 self.refusals[move.shard] = (
                     f"{move.target} {'sends no status' if target_lost else 'did not acquire the share in time'}"
@@ -112,15 +112,15 @@
                 return drop_move(assignment, move.shard)
         return None
 
-    def _all_could_report(self, now: float) -> bool:
-        """Return whether every live controller has had time to report to this coordinator."""
+    def _all_had_time_to_send_status(self, now: float) -> bool:
+        """Return whether every live controller has had time to send its status to this coordinator."""
         return now - self._reset_at > self._status_timeout_s * 2
 
     def _without_lost_owners(
         self, assignment: ShardAssignment, live_controllers: list[str], now: float
     ) -> ShardAssignment | None:
         """Reassign a shard of a controller that is presumed lost to the controller with the fewest shards."""
-        if not self._all_could_report(now) or not live_controllers:
+        if not self._all_had_time_to_send_status(now) or not live_controllers:
             return None
         for shard in range(1, assignment.shard_count):
             owner = assignment.owner(shard)
@@ -144,7 +144,7 @@
             return None
         loads = self._loads()
         if len(loads) < assignment.shard_count:
-            # A shard without a leader reports no load.
+            # The load of a shard without a leader is not known.
             return None
         self._last_proposal_at = now
         proposal = propose_move(loads, self._labels, self._settings.imbalance)
@@ -164,7 +164,7 @@
     ) -> ShardAssignment:
         """Return the assignment with a move requested by an operator; `AssignmentError` if it is impossible."""
         if assignment is None:
-            raise AssignmentError("sharing has not begun: not every controller knows of it")
+            raise AssignmentError("sharing has not begun: not every controller has it enabled")
         if target in self._labels and target not in self.live_controllers(now):
             raise AssignmentError(f"{target} sends no status")
         self.refusals.pop(shard, None)
--- a/driftcleat/sharing/election.py
+++ b/driftcleat/sharing/election.py
@@ -32,7 +32,7 @@
 
 
 class ShardCandidacy:
-    """Tells from the shard assignment whether this controller may campaign for a shard."""
+    """Decides by the shard assignment whether this controller may campaign for a shard."""
 
     def __init__(self, shard: int, view: SharingView, label: str) -> None:
         self.shard = shard
@@ -167,7 +167,7 @@
         key_value = await self._store.get(LEADER_KEY)
         if key_value is None or key_value.mod_revision != self._state.fencing_token:
             self.step_down("the shard is handed off" if key_value is not None else "lease expired")
-        elif self._state.clock() > deadline or not self._state.may_answer_heartbeats:
+        elif self._state.clock() > deadline or not self._state.may_respond_to_heartbeats:
             lease = key_value.lease_id
             self.step_down("no controller acquired the released shard in time")
             if lease is not None:
@@ -175,9 +175,9 @@
         else:
             await asyncio.sleep(self._state.ttl_s * HANDOFF_POLL_PAUSE)
 
-    def step_down(self, why: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Step down, which also ends a hand-off."""
-        super().step_down(why)
+        super().step_down(reason)
         self._release_deadline = None
 
     async def keep_alive(self) -> None:
--- a/driftcleat/sharing/operators.py
+++ b/driftcleat/sharing/operators.py
@@ -43,7 +43,7 @@
     shares: list[ShardRow]
 
 
-class MoveOrder(msgspec.Struct):
+class OperatorMoveRequest(msgspec.Struct):
     """An operator's request to move a shard."""
 
     share: int
@@ -59,7 +59,7 @@
         self.malformed = 0
 
     async def handle(self, method: str, path: str, body: bytes) -> Response | None:
-        """Answer a request; None if the path does not belong to sharing."""
+        """Return the response to a request; None if the path does not belong to sharing."""
         allowed_method = {PATH: "POST", "/shares": "GET", "/shares/move": "POST"}.get(path)
         if allowed_method is None:
             return None
@@ -70,14 +70,14 @@
         try:
             if path == PATH:
                 return await self._handle_message(wire.decode(body, SharingMessage))  # type: ignore[arg-type]
-            return await self._handle_order(wire.decode(body, MoveOrder))
+            return await self._handle_move(wire.decode(body, OperatorMoveRequest))
         except wire.WireError as error:
             self.malformed += 1
             log.info("malformed sharing message or move request: %s", error)
             return Response.error(400, str(error))
 
     async def _handle_message(self, message: SharingMessage) -> Response:
-        """Answer a message of another controller."""
+        """Handle a message of another controller."""
         host = self._host
         if isinstance(message, ControllerStatus):
             return Response(200, wire.encode(host.coordinator_loops.handle_status(message)))
@@ -87,10 +87,10 @@
             return Response(200, wire.encode(await host.coordinator_loops.move(message)))
         return Response.error(400, "not a question")
 
-    async def _handle_order(self, order: MoveOrder) -> Response:
+    async def _handle_move(self, move: OperatorMoveRequest) -> Response:
         """Carry out an operator's request, or forward it to the coordinator."""
         host = self._host
-        request = MoveRequest(order.share, order.receiver)
+        request = MoveRequest(move.share, move.receiver)
         coordinator = host.coordinator
         if host.may_decide:
             response: SharingMessage = await host.coordinator_loops.move(request)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -510,14 +510,14 @@
     site.store.down_for.add(follower)
     election = site.controllers[follower].election
     peers_reach_store: list[bool] = []
-    ask_peers = election.callbacks.ask_peers
+    query_peers = election.callbacks.query_peers
 
     async def ask_and_record() -> PeerSurvey:
-        survey: PeerSurvey = await ask_peers()
+        survey: PeerSurvey = await query_peers()
         peers_reach_store.append(survey.peer_reaches_store)
         return survey
 
-    election.callbacks.ask_peers = ask_and_record
+    election.callbacks.query_peers = ask_and_record
     await wait_until(lambda: len(peers_reach_store) > 3, "it has asked its peers")
     assert all(peers_reach_store) and election.lease_keeping_token is None
     assert election.role.value == "follower"
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -72,7 +72,7 @@
     leased.lease.record_grant(7, NOW)
     assert leased.is_leader is is_leading
     assert leased.may_decide is (role is Role.LEADER)
-    assert leased.may_answer_heartbeats is is_leading
+    assert leased.may_respond_to_heartbeats is is_leading
     assert leased.may_send_starts is is_leading
 
 
@@ -80,7 +80,9 @@
 def test_no_role_permits_anything_without_lease_and_confirmation(role: Role) -> None:
     without_lease = state_in_role(role)
     assert (
-        not without_lease.may_decide and not without_lease.may_answer_heartbeats and not without_lease.may_send_starts
+        not without_lease.may_decide
+        and not without_lease.may_respond_to_heartbeats
+        and not without_lease.may_send_starts
     )
     assert without_lease.lease_keeping_token is None and not without_lease.may_become_partitioned
 
@@ -88,11 +90,11 @@
 def test_peer_confirmation_permits_starts_briefly_and_heartbeat_responses_longer() -> None:
     leader = state_in_role(Role.UNCONFIRMED_LEADER)
     leader.peers_confirmed_at = NOW - leader.ttl_s * 0.39
-    assert leader.may_send_starts and leader.may_answer_heartbeats and not leader.may_decide
+    assert leader.may_send_starts and leader.may_respond_to_heartbeats and not leader.may_decide
     leader.peers_confirmed_at = NOW - leader.ttl_s * 0.41
-    assert not leader.may_send_starts and leader.may_answer_heartbeats
+    assert not leader.may_send_starts and leader.may_respond_to_heartbeats
     leader.peers_confirmed_at = NOW - leader.max_unconfirmed_s - 0.01
-    assert not leader.may_answer_heartbeats
+    assert not leader.may_respond_to_heartbeats
 
 
 def test_partitioned_follower_keeps_leases_until_the_time_limit_or_a_higher_token() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -119,7 +119,7 @@
     controller = site.controllers[leader]
     assert controller.metrics.malformed_heartbeats == 1 and not controller.scheduler.cluster.machines
     assert (
-        await controller.answer_peer(b'["shutdown"]')
+        await controller.handle_peer(b'["shutdown"]')
     ).status == 400 and controller.metrics.malformed_peer_messages == 1
 
 
@@ -231,7 +231,7 @@
     response = await controller.handle_back("GET", "/status", b"")
     status = wire.decode(response.body, dict)
     assert status["role"] == "leading" and status["leader"] == leader and status["batch"]["count"] >= 0
-    view = wire.decode((await controller.answer_peer(wire.encode(peers.ViewRequest("x")))).body, peers.ViewResponse)
+    view = wire.decode((await controller.handle_peer(wire.encode(peers.ViewRequest("x")))).body, peers.ViewResponse)
     assert view.leader == leader and 0 <= view.store_success_age_s < 5
 
 
@@ -275,7 +275,7 @@
     second = await wait_until(lambda: site.leader() if site.leader() != first else None, "another leader")
     batches = site.controllers[first].commit_pipeline.batch_sequence
     await wait_until(
-        lambda: not site.controllers[first].election.may_answer_heartbeats, "the old leader has stepped down"
+        lambda: not site.controllers[first].election.may_respond_to_heartbeats, "the old leader has stepped down"
     )
     assert site.controllers[first].commit_pipeline.batch_sequence == batches, "the old leader built no batch"
     await submit_until_accepted(site, second, raw_job(2, voyageS=0.5))
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -160,7 +160,7 @@
         assert (
             not election.may_decide and not election.may_send_starts and engine.active_term.deciding_scheduler is None
         )
-        assert election.may_answer_heartbeats, "worker leases are kept alive"
+        assert election.may_respond_to_heartbeats, "worker leases are kept alive"
         assert simulation.controllers[source].handoffs.state(1) is HandoffState.RELEASING
         # Keeping the lease of the process alive, for this or another shard, does not restore the right to decide.
         await engine.election.leader_loop.keep_alive()
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -99,7 +99,7 @@
         scheduler = controller.scheduler
         assert scheduler is not None
         await controller.handle_front("POST", "/agent/beat", b"{")
-        await controller.answer_peer(b"{")
+        await controller.handle_peer(b"{")
         await controller.handle_front("GET", "/v1/jobs/req-000001", b"")
         status = await fetch_status(simulation, label)
         assert status["controller"] == status["leader"] == label
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -166,7 +166,7 @@
 
 def test_settings_give_present_and_future_limits() -> None:
     present = platform()
-    assert (present.value_bytes, present.txn_ops, present.first_value_bytes, present.first_txn_ops) == (
+    assert (present.value_bytes, present.txn_ops, present.version_1_value_bytes, present.version_1_txn_ops) == (
         8192,
         24,
         8192,
@@ -174,7 +174,7 @@
     )
     future = platform(next=NEXT_LIMITS)
     assert (future.value_bytes, future.txn_ops, future.write_rps, future.state_rps) == (2048, 4, 35.0, 200.0)
-    assert (future.first_value_bytes, future.first_txn_ops) == (8192, 24)
+    assert (future.version_1_value_bytes, future.version_1_txn_ops) == (8192, 24)
     assert platform(next={"value_kb": 99.0}).value_bytes == 8192, (
         "a higher future limit does not raise the present one"
     )
