--- a/driftcleat/api/cancellations.py
+++ b/driftcleat/api/cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations of jobs."""
+"""Users' cancellations: queued by the leader and answered after the commit, or forwarded to it by a follower."""
 
 from functools import partial
 
--- a/driftcleat/api/requests.py
+++ b/driftcleat/api/requests.py
@@ -59,7 +59,7 @@
         self._failed = True
 
     def feed(self, data: bytes) -> None:
-        """Parse received bytes."""
+        """Parse received bytes and queue complete requests for `pop`; after malformed input nothing is parsed."""
         if self._failed:
             return
         self._received += len(data)
@@ -93,7 +93,7 @@
     # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Start a new request."""
+        """Reset the state of the request that is being parsed."""
         self._url = b""
         self._body = []
         self._body_size = 0
--- a/driftcleat/capacity/demand.py
+++ b/driftcleat/capacity/demand.py
@@ -22,8 +22,8 @@
     _hourly_cost: float | None = None
 
     def __post_init__(self) -> None:
-        # Counts the tasks of all jobs that are expected of a class: a limit by the size of one job would force the
-        # rest into machines in another zone, at any price.
+        # An expected demand holds the tasks of several jobs of a class. If the limit followed from the size of one
+        # job, the other tasks would be forced into another zone, at any price.
         if self.spec.spread:
             self.max_per_zone = -(-max(self.spec.tasks, self.tasks + sum(self.tasks_by_zone.values())) // 2)
 
--- a/driftcleat/cluster/listener.py
+++ b/driftcleat/cluster/listener.py
@@ -23,16 +23,16 @@
 
 
 class NullListener:
-    """Ignores all events."""
+    """Ignores all events; the cluster state uses it until a scheduler has set its own listener."""
 
     def task_exited(self, machine: Machine, job: Job, reason: str) -> None:
-        """Ignore the exit."""
+        """Do nothing when a task exits."""
 
     def machine_up(self) -> None:
-        """Ignore the heartbeat."""
+        """Do nothing at the first heartbeat of a machine."""
 
     def images_changed(self, machine: Machine) -> None:
-        """Ignore the fetch."""
+        """Do nothing when an image was fetched."""
 
     def termination_noticed(self, machine: Machine, notice_s: float) -> None:
-        """Ignore the notice."""
+        """Do nothing at a termination notice."""
--- a/driftcleat/controller/commit_pipeline.py
+++ b/driftcleat/controller/commit_pipeline.py
@@ -70,7 +70,7 @@
         self.batch_sequence = 0
 
     async def run(self) -> None:
-        """Commit forever."""
+        """Build and commit batches one after the other, until cancelled."""
         while True:
             try:
                 await asyncio.wait_for(
--- a/driftcleat/controller/loop_delay.py
+++ b/driftcleat/controller/loop_delay.py
@@ -35,7 +35,7 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Measure forever."""
+        """Record the largest event loop delay and the heartbeats received per heartbeat interval, until cancelled."""
         interval_s = self._heartbeat_interval_s
         while True:
             started_at = self._clock()
--- a/driftcleat/net/http_connection.py
+++ b/driftcleat/net/http_connection.py
@@ -76,7 +76,7 @@
     # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport."""
+        """Keep the transport, through which requests are written and the connection is closed."""
         self._transport = transport  # type: ignore[assignment]  # a TCP transport reads and writes
 
     def data_received(self, data: bytes) -> None:
