--- a/driftcleat/cloud/autoscaler.py
+++ b/driftcleat/cloud/autoscaler.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-# The minimum pause between two rounds, and the maximum wait for a change after it, in report intervals.
+# The minimum pause between two rounds, and the maximum wait for a change after it, in heartbeat intervals.
 MIN_ROUND_PAUSE_INTERVALS = 1 / 4
 # The label of the rounds' processor time in `/metrics`.
 METRICS_PART = "sizing"
@@ -50,7 +50,7 @@
         self._heartbeats.last_heartbeat_at = self._clock()
 
     async def run(self) -> None:
-        """Run a round when the state has changed, and at least every half report interval unless rounds take long."""
+        """Run a round when the state has changed, at least every half heartbeat interval unless rounds take long."""
         min_pause_s = self._platform.report_s * MIN_ROUND_PAUSE_INTERVALS
         pause_s = min_pause_s
         while True:
@@ -86,11 +86,11 @@
             self._terminator.terminate(scheduler.find_or_register_machine(name, now), "no heartbeat in this term")
         if now < scheduler.pacing.placement_starts_at:
             return
-        failures = scheduler.reachability.detect_failures(now)
-        plan = scheduler.plan_scale_out(now, failures, max_scale_out)
+        failure_detector = scheduler.reachability.detect_failures(now)
+        plan = scheduler.plan_scale_out(now, failure_detector, max_scale_out)
         if log.isEnabledFor(logging.DEBUG):
             log.debug("fleet: %s", scheduler.summary())
-        for machine in scheduler.select_scale_in(plan, now, failures):
+        for machine in scheduler.select_scale_in(plan, now, failure_detector):
             self._terminator.terminate(machine, f"scale-in while {machine.state.value}")
         self._consolidate(scheduler, plan, now)
         self._request_scale_out(scheduler, plan)
--- a/driftcleat/cloud/token_announcer.py
+++ b/driftcleat/cloud/token_announcer.py
@@ -10,12 +10,12 @@
 from driftcleat.settings import Platform
 from driftcleat.workers.dispatch import StopDispatcher
 
-# Maximum number of announcements per report interval.
-ANNOUNCEMENTS_PER_REPORT_INTERVAL = 300
+# Maximum number of announcements per heartbeat interval.
+ANNOUNCEMENTS_PER_HEARTBEAT_INTERVAL = 300
 
 
 class FencingTokenAnnouncer:
-    """Sends the term's fencing token to running machines without a heartbeat: a previous leader may hold them."""
+    """Sends the term's fencing token to running machines without a heartbeat, which may obey an older leader."""
 
     def __init__(
         self,
@@ -57,6 +57,6 @@
                     and machine.state is MachineState.BOOTING
                 ):
                     self._background.spawn(self._dispatcher.announce_fencing_token(machine.address))
-                    await asyncio.sleep(self._platform.report_s / ANNOUNCEMENTS_PER_REPORT_INTERVAL)
+                    await asyncio.sleep(self._platform.report_s / ANNOUNCEMENTS_PER_HEARTBEAT_INTERVAL)
         finally:
             self._in_progress = False
--- a/driftcleat/controller/assembly.py
+++ b/driftcleat/controller/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a controller, each with its dependencies as constructor arguments.
+"""Builds the components of a controller, each with its dependencies as constructor arguments.
 
 The records here are named tuples, since defining a dataclass takes several times as long at the start of a process.
 """
@@ -28,11 +28,11 @@
 # The largest number of requests that a follower forwards to the leader concurrently, per connection to it.
 MAX_FORWARDED_PER_CONNECTION = 4
 
-# Returns seconds.
+# Returns the current time in seconds.
 Clock = Callable[[], float]
-AskPeers = Callable[[], Awaitable[PeerSurvey]]
-# Takes the arguments of `Election`: platform, tuning, store, rng, clock, recover, on_step_down, ask_peers and
-# ask_leader.
+QueryPeers = Callable[[], Awaitable[PeerSurvey]]
+# Takes the arguments of `Election`: platform, tuning, store, rng, clock, recover, on_step_down, query_peers and
+# query_leader.
 ElectionFactory = Callable[
     [
         Platform,
@@ -42,8 +42,8 @@
         Clock,
         Callable[[int], Awaitable[None]],
         Callable[[], None],
-        AskPeers,
-        AskPeers,
+        QueryPeers,
+        QueryPeers,
     ],
     Election,
 ]
@@ -55,7 +55,7 @@
 
 
 class Factories(NamedTuple):
-    """Factories of the parts that differ between a plain controller, the engine of a shard and a simulation."""
+    """Factories of the components that differ between a plain controller, the engine of a shard and a simulation."""
 
     network: NetworkFactory = ProcessNetwork
     election: ElectionFactory = Election
@@ -63,7 +63,7 @@
 
 
 class BuildContext(NamedTuple):
-    """What the parts of a controller are built from."""
+    """The settings, clocks and network from which the components of a controller are built."""
 
     platform: Platform
     tuning: Tuning
@@ -81,11 +81,11 @@
     # Ends the current term.
     end_term: Callable[[], None]
     # Queries every other controller.
-    ask_peers: AskPeers
+    query_peers: QueryPeers
 
 
-class ControllerParts(NamedTuple):
-    """The parts of one controller, as `build_parts` returns them."""
+class ControllerComponents(NamedTuple):
+    """The components of one controller, as `build_components` returns them."""
 
     network: Network
     active_term: ActiveTerm[Scheduler]
@@ -103,8 +103,8 @@
     metrics: Metrics
 
 
-def build_parts(context: BuildContext, callbacks: TermCallbacks, factories: Factories) -> ControllerParts:
-    """Build the parts of a controller; no loop runs and no listener is open yet."""
+def build_components(context: BuildContext, callbacks: TermCallbacks, factories: Factories) -> ControllerComponents:
+    """Build the components of a controller; no loop runs and no listener is open yet."""
     platform = context.platform
     tuning = context.tuning
     clock = context.clock
@@ -121,7 +121,7 @@
     users = _build_users(context, active_term, factories.users)
     heartbeats = HeartbeatApi(platform, tuning, active_term, metrics, clock, context.network.front.limiter)
     dispatcher = StopDispatcher(platform, tuning, clients.workers, active_term, background, clock)
-    return ControllerParts(
+    return ControllerComponents(
         network=context.network,
         active_term=active_term,
         election=election,
@@ -152,8 +152,8 @@
         context.clock,
         callbacks.recover,
         callbacks.end_term,
-        callbacks.ask_peers,
-        surveyor.ask_leader,
+        callbacks.query_peers,
+        surveyor.query_leader,
     )
 
 
--- a/driftcleat/controller/controller.py
+++ b/driftcleat/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller: its parts, the loops that run them, and its leader terms. The scheduler makes all decisions."""
+"""One controller: its components, the loops that run them, its leader terms. The scheduler makes all decisions."""
 
 import asyncio
 import logging
@@ -8,7 +8,7 @@
 
 from driftcleat.api import Response
 from driftcleat.api.server import ResponseOrAwaitable
-from driftcleat.controller.assembly import BuildContext, Factories, TermCallbacks, build_parts
+from driftcleat.controller.assembly import BuildContext, Factories, TermCallbacks, build_components
 from driftcleat.controller.recovery import recover
 from driftcleat.controller.routes import Routes
 from driftcleat.leadership import PeerSurvey
@@ -45,28 +45,28 @@
         factories = factories if factories is not None else Factories()
         network = factories.network(platform, clock, self.reply_front, self.handle_back)
         context = BuildContext(platform, tuning, self.rng, clock, network)
-        callbacks = TermCallbacks(self._recover, self._end_term, self._ask_peers)
-        parts = build_parts(context, callbacks, factories)
+        callbacks = TermCallbacks(self._recover, self._end_term, self._query_peers)
+        components = build_components(context, callbacks, factories)
         self._network = network
         self.front = network.front
         self.store = network.clients.store
         self.cloud = network.clients.cloud
         self.workers = network.clients.workers
         self.peers = network.clients.peers
-        self.active_term = parts.active_term
-        self.election = parts.election
-        self.surveyor = parts.surveyor
-        self.users = parts.users
-        self.heartbeats = parts.heartbeats
-        self.peer_api = parts.peer_api
-        self.commit_pipeline = parts.commit_pipeline
-        self.dispatcher = parts.dispatcher
-        self.fleet_manager = parts.fleet_manager
-        self.overload = parts.overload
-        self.background = parts.background
-        self.metrics = parts.metrics
-        self._loop_delay = parts.loop_delay
-        self._routes = Routes(platform, tuning, clock, parts)
+        self.active_term = components.active_term
+        self.election = components.election
+        self.surveyor = components.surveyor
+        self.users = components.users
+        self.heartbeats = components.heartbeats
+        self.peer_api = components.peer_api
+        self.commit_pipeline = components.commit_pipeline
+        self.dispatcher = components.dispatcher
+        self.fleet_manager = components.fleet_manager
+        self.overload = components.overload
+        self.background = components.background
+        self.metrics = components.metrics
+        self._loop_delay = components.loop_delay
+        self._routes = Routes(platform, tuning, clock, components)
         self._is_serving = False
 
     async def run(self) -> None:
@@ -143,7 +143,7 @@
         self.users.drop_outstanding()
         self.active_term.announce_commit()
 
-    async def _ask_peers(self) -> PeerSurvey:
+    async def _query_peers(self) -> PeerSurvey:
         """Query the other controllers about the store and the leader.
 
         A leader does so only while its leadership is unconfirmed, so users' requests that wait for a commit are
@@ -151,20 +151,20 @@
         """
         if self.election.is_leader:
             self.users.drop_outstanding()
-        return await self.surveyor.ask_all()
+        return await self.surveyor.query_all()
 
     def reply_front(self, method: str, path: str, body: bytes) -> ResponseOrAwaitable:
-        """Answer a request at `bind`; heartbeats are answered without a task if possible."""
+        """Handle a request at `bind`; heartbeats are handled without a task if possible."""
         return self._routes.reply_front(method, path, body)
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `bind`."""
+        """Handle a request at `bind`."""
         return await self._routes.handle_front(method, path, body)
 
     async def handle_back(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `back`."""
+        """Handle a request at `back`."""
         return await self._routes.handle_back(method, path, body)
 
-    async def answer_peer(self, body: bytes) -> Response:
-        """Answer another controller's message."""
-        return await self._routes.answer_peer(body)
+    async def handle_peer(self, body: bytes) -> Response:
+        """Handle another controller's message."""
+        return await self._routes.handle_peer(body)
--- a/driftcleat/leadership/leader_loop.py
+++ b/driftcleat/leadership/leader_loop.py
@@ -1,4 +1,4 @@
-"""The leader's loop: keeps the lease alive, asks peers for confirmation if the store fails, steps down."""
+"""The leader's loop: keeps the lease alive, queries peers for confirmation if the store fails, steps down."""
 
 import asyncio
 import logging
@@ -96,7 +96,7 @@
         """
         state = self._state
         sent_at = state.clock()
-        survey = await self._callbacks.ask_peers()
+        survey = await self._callbacks.query_peers()
         if survey.highest_fencing_token > state.fencing_token:
             state.back_off_until = state.clock() + self._back_off_s
             self.step_down(f"a controller has seen term {survey.highest_fencing_token}")
@@ -104,7 +104,7 @@
             return
         if survey.all_have_read_leader_key:
             state.peers_confirmed_at = sent_at
-        if not state.may_answer_heartbeats:
+        if not state.may_respond_to_heartbeats:
             # If another controller reaches the store, a new leader has sent its token to the workers by now, unless
             # they and this controller are partitioned from it together.
             self.step_down("unconfirmed for too long")
--- a/driftcleat/sharing/host.py
+++ b/driftcleat/sharing/host.py
@@ -272,7 +272,7 @@
         return shard in self.engines and self.engines[shard].is_serving
 
     async def handle_front(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `bind`."""
+        """Handle a request at `bind`."""
         if path == HEARTBEAT_PATH:
             reply = self.reply_front(method, path, body) if method == "POST" else None
             if reply is None:
@@ -285,13 +285,13 @@
         return await self.router.handle(method, path, body)
 
     async def handle_back(self, method: str, path: str, body: bytes) -> Response:
-        """Answer a request at `back`."""
+        """Handle a request at `back`."""
         if path.startswith(PEER_PATH + "/"):
             shard = path[len(PEER_PATH) + 1 :]
             if not shard.isascii() or not shard.isdigit() or int(shard) not in self.engines:
                 return Response.error(404, "no such share")
             return await self.engines[int(shard)].handle_back(method, PEER_PATH, body)
-        answer = await self.operators.handle(method, path, body)
-        if answer is not None:
-            return answer
+        response = await self.operators.handle(method, path, body)
+        if response is not None:
+            return response
         return await self.first_engine.handle_back(method, path, body)
--- a/tools/shares/history.py
+++ b/tools/shares/history.py
@@ -1,4 +1,4 @@
-"""What happened, as typed events in the order of their times: what store, workers and users saw."""
+"""Typed events of a history, in the order of their times: what the store, the workers and the users observed."""
 
 from dataclasses import dataclass
 
@@ -6,61 +6,61 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Led:
-    """A controller became the leader of a share: the store took its key."""
+class LeaderElected:
+    """A controller became the leader of a shard: the store committed its leader key."""
 
     at: float
-    share: int
+    shard: int
     label: str
-    token: int
+    fencing_token: int
 
 
 @dataclass(frozen=True, slots=True)
 class MachineAssigned:
-    """The store says which share a machine belongs to."""
+    """The store committed the shard that a machine belongs to."""
 
     at: float
     machine: str
-    share: int
+    shard: int
 
 
 @dataclass(frozen=True, slots=True)
-class Allotted:
-    """The store has new parts of a team's limit."""
+class QuotaAllocated:
+    """The store committed a new allocation of a team's quota to the shards."""
 
     at: float
     team: str
-    allotment: QuotaAllocation
+    allocation: QuotaAllocation
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
-    """A worker took the answer to a report, with this token."""
+class HeartbeatAnswered:
+    """A worker accepted a heartbeat response that carried this fencing token."""
 
     at: float
     machine: str
-    token: int
+    fencing_token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lapsed:
-    """A worker's lease ran out."""
+class LeaseExpired:
+    """A worker's lease expired."""
 
     at: float
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
-class MachineEnded:
-    """A machine is gone."""
+class MachineDeleted:
+    """A machine was deleted."""
 
     at: float
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
-    """A task started."""
+class TaskStarted:
+    """A task started on a machine."""
 
     at: float
     machine: str
@@ -71,8 +71,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stopped:
-    """A task is on its machine no more; `done` if it has completed."""
+class TaskStopped:
+    """A task left its machine; `done` tells whether it had completed."""
 
     at: float
     machine: str
@@ -82,23 +82,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A user was told a job's state, having asked at some time before."""
+class StateReported:
+    """A user received a job's state in response to a request that was sent at `requested_at`."""
 
     at: float
     job: str
     state: str
     tasks: int
-    asked_at: float
+    requested_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """The history is over; these jobs were asked for and nobody knew them, or they never ended."""
+class HistoryEnded:
+    """The history is complete; lists jobs that were not found, and jobs that reached no final state."""
 
     at: float
     unknown: tuple[str, ...]
     unfinished: tuple[str, ...]
 
 
-Event = Led | MachineAssigned | Allotted | Answered | Lapsed | MachineEnded | Started | Stopped | Told | Ended
+Event = (
+    LeaderElected
+    | MachineAssigned
+    | QuotaAllocated
+    | HeartbeatAnswered
+    | LeaseExpired
+    | MachineDeleted
+    | TaskStarted
+    | TaskStopped
+    | StateReported
+    | HistoryEnded
+)
