--- a/tests/protocol_doubles.py
+++ b/tests/protocol_doubles.py
@@ -2,7 +2,9 @@
 
 import asyncio
 import bisect
+import itertools
 import json
+import os
 import random
 import socket
 from typing import Any, Self
@@ -19,12 +21,25 @@
 from .reference_model import InMemoryStore, ReferenceModel, ReferenceWorker
 from .samples import MACHINE_TYPES, raw_settings
 
+# Ports below the range from which the kernel takes those of connections. Each test process has a block of its own, so
+# that test suites that run at the same time do not take each other's ports before a server listens on them.
+FIRST_PORT = 10_000
+PORT_BLOCKS = 100
+PORTS_PER_BLOCK = 220
+_block_start = FIRST_PORT + os.getpid() % PORT_BLOCKS * PORTS_PER_BLOCK
+_ports = itertools.cycle(range(_block_start, _block_start + PORTS_PER_BLOCK))
+
 
 def free_port() -> int:
-    """Return a loopback port that is free at the time of the call."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
+    """Return a loopback port of this process's block that is free at the time of the call."""
+    while True:
+        port = next(_ports)
+        with socket.socket() as probe:
+            try:
+                probe.bind(("127.0.0.1", port))
+            except OSError:
+                continue
+            return port
 
 
 async def wait_until(condition: Any, what: str, timeout_s: float = 60.0) -> Any:
