--- a/driftcleat/cloud/autoscaler.py
+++ b/driftcleat/cloud/autoscaler.py
@@ -1,4 +1,4 @@
-"""Autoscaling: compares the fleet with the capacity plan, and has machines created, drained and terminated."""
+"""Autoscaling: compares the fleet with the capacity plan, and requests, drains and terminates machines."""
 
 import asyncio
 import logging
@@ -16,9 +16,9 @@
 
 log = logging.getLogger(__name__)
 
-# The shortest pause between two rounds, and the longest wait for a change before one, in report intervals.
+# The minimum pause between two rounds, and the maximum wait for a change after it, in report intervals.
 MIN_ROUND_PAUSE_INTERVALS = 1 / 4
-# The name of a round's processor time in `/metrics`.
+# The label of the rounds' processor time in `/metrics`.
 METRICS_PART = "sizing"
 
 
@@ -46,11 +46,11 @@
         self._clock = clock
 
     def start_term(self) -> None:
-        """Start a term: workers have from now on to reach this leader."""
+        """Start a term: from now on, workers have to reach this leader."""
         self._heartbeats.last_heartbeat_at = self._clock()
 
     async def run(self) -> None:
-        """Scale when the state has changed, and at least every half report interval unless rounds take long."""
+        """Run a round when the state has changed, and at least every half report interval unless rounds take long."""
         min_pause_s = self._platform.report_s * MIN_ROUND_PAUSE_INTERVALS
         pause_s = min_pause_s
         while True:
@@ -66,14 +66,14 @@
                 self.scale(scheduler, started_at, self.max_scale_out(pause_s))
             spent_s = self._clock() - started_at
             self._metrics.record_part(METRICS_PART, spent_s)
-            # Scaling can wait, heartbeats cannot: on a small share of a processor it is done less often.
-            earned_s = spent_s / (self._platform.core_share * self._tuning.capacity_planning_cpu_share)
-            pause_s = max(min_pause_s, min(earned_s, self._platform.report_s))
+            # Heartbeats are more urgent than scaling: with a small share of a processor, rounds are less frequent.
+            cpu_pause_s = spent_s / (self._platform.core_share * self._tuning.capacity_planning_cpu_share)
+            pause_s = max(min_pause_s, min(cpu_pause_s, self._platform.report_s))
             if scheduler is not None:
                 pause_s += scheduler.pacing.overload_pause_s()
 
     def max_scale_out(self, pause_s: float) -> int:
-        """Return how many machines can be requested of the cloud within the pause until the next round."""
+        """Return how many machines the cloud's rate limit permits to request in the pause until the next round."""
         return max(MAX_MACHINES_PER_REQUEST, round(MAX_MACHINES_PER_REQUEST * self._cloud.rate_limit.rate * pause_s))
 
     def scale(self, scheduler: Scheduler, now: float, max_scale_out: int) -> None:
@@ -97,16 +97,16 @@
         self._check_heartbeats(scheduler, now)
 
     def _consolidate(self, scheduler: Scheduler, plan: CapacityPlan, now: float) -> None:
-        """Drain a machine whose replicas fit elsewhere, unless capacity is short already."""
+        """Drain a machine whose replicas fit elsewhere, unless the plan scales out."""
         machine = scheduler.consolidation_candidate(now) if not plan.scale_out else None
         if machine is not None:
             scheduler.drainer.drain(machine, "consolidation: its replicas fit elsewhere")
             self._active_term.wake_committer()
 
     def _request_scale_out(self, scheduler: Scheduler, plan: CapacityPlan) -> None:
-        """Create the plan's scale-out requests, unless as many are unsettled as the cloud takes in a second.
+        """Request the plan's scale-out, unless as many requests are unsettled as the cloud accepts in a second.
 
-        Requests that wait for the rate limit would be many small ones: the need adds up to fewer large ones instead.
+        Guards against many small requests that wait for the rate limit: demand accumulates into fewer large ones.
         """
         if plan.scale_out and len(scheduler.scale_out.unsettled) < max(1.0, self._platform.cloud_rps):
             log.info("scale-out: requesting %s", plan.scale_out)
@@ -114,9 +114,9 @@
             self._active_term.wake_committer()
 
     def _check_heartbeats(self, scheduler: Scheduler, now: float) -> None:
-        """Step down if no worker reaches this leader any more, although some did in this term."""
-        silent_s = now - self._heartbeats.last_heartbeat_at
-        if silent_s <= self._platform.lease_s * self._tuning.heartbeat_loss_timeout_leases:
+        """Step down if no worker reaches this leader any longer, although some did in this term."""
+        heartbeat_age_s = now - self._heartbeats.last_heartbeat_at
+        if heartbeat_age_s <= self._platform.lease_s * self._tuning.heartbeat_loss_timeout_leases:
             return
         if any(machine.last_heartbeat is not None for machine in scheduler.cluster.machines.values()):
             self._heartbeats.last_heartbeat_at = now
--- a/driftcleat/cloud/client.py
+++ b/driftcleat/cloud/client.py
@@ -1,4 +1,4 @@
-"""The cloud's client: typed requests over pooled connections, with a time-out each and a client-side rate limit."""
+"""The client for the cloud: typed requests over pooled connections, with a timeout and a client-side rate limit."""
 
 import logging
 from collections.abc import Callable
@@ -14,21 +14,21 @@
 
 T = TypeVar("T")
 
-# The most machines that the cloud lists in one response, and that it deletes for one request.
+# The maximum number of machines that the cloud lists in one response, and deletes in one request.
 LIST_PAGE_SIZE = 500
 MAX_MACHINES_PER_DELETE = 100
-# The part of the cloud's rate limit that is used, and the seconds whose requests it permits in one burst.
+# The fraction of the cloud's rate limit that is used, and the size of a burst as seconds of that rate.
 RATE_LIMIT_SHARE = 0.9
 BURST_S = 2.0
 
 STATUS_OK = 200
 STATUS_UNAVAILABLE = 503
-# What the body of the response holds if the status is due to a lack of machines, not to an outage.
+# The body of a 503 response contains this text if the cloud has no machines left, rather than an outage.
 NO_CAPACITY_TEXT = b"no capacity"
 
 
 class CloudError(DriftcleatError):
-    """The cloud gave no usable response; the request may still be carried out."""
+    """The cloud gave no usable response; it may still have carried out the request."""
 
 
 class NoCapacityError(CloudError):
@@ -41,43 +41,43 @@
     def __init__(
         self, client: HttpClient, address: str, rps: float, timeout_s: float, clock: Callable[[], float]
     ) -> None:
-        """Create a client that sends at most `rps` requests a second, each of which may take `timeout_s`."""
+        """Set up a client for a cloud that permits `rps` requests a second; a request times out after `timeout_s`."""
         self.client = client
         self.address = address
         self.timeout_s = timeout_s
         self.malformed_responses = 0
         self.rate_limit = TokenBucket(rps * RATE_LIMIT_SHARE, clock, burst_s=BURST_S)
 
-    async def _call(self, method: str, path: str, body: bytes | None, kind: type[T]) -> T:
+    async def _call(self, method: str, path: str, body: bytes | None, response_type: type[T]) -> T:
         """Send one request within the rate limit and decode its response."""
         await self.rate_limit.acquire(1)
         try:
-            answer = await self.exchange(method, path, body)
+            response = await self.exchange(method, path, body)
         except (HttpError, TimeoutError) as error:
             raise CloudError(f"{method} {path}: no response: {error!r}") from None
-        if answer.status == STATUS_UNAVAILABLE and NO_CAPACITY_TEXT in answer.body:
-            raise NoCapacityError(f"{method} {path}: {answer.body.decode('utf-8', 'replace')}")
-        if answer.status != STATUS_OK:
-            raise CloudError(f"{method} {path}: status {answer.status}")
+        if response.status == STATUS_UNAVAILABLE and NO_CAPACITY_TEXT in response.body:
+            raise NoCapacityError(f"{method} {path}: {response.body.decode('utf-8', 'replace')}")
+        if response.status != STATUS_OK:
+            raise CloudError(f"{method} {path}: status {response.status}")
         try:
-            return wire.decode(answer.body, kind)
+            return wire.decode(response.body, response_type)
         except wire.WireError as error:
             self.malformed_responses += 1
             log.warning("cloud: %s %s: malformed response: %s", method, path, error)
             raise CloudError(f"{method} {path}: malformed response: {error}") from None
 
     async def exchange(self, method: str, path: str, body: bytes | None) -> HttpAnswer:
-        """Send one request and return its response, whatever its status; `HttpError` if there is none."""
+        """Send one HTTP request and return its response with any status; `HttpError` if there is none."""
         return await self.client.request(method, self.address, path, body, self.timeout_s)
 
     async def list_machine_types(self) -> tuple[messages.MachineType, ...]:
-        """Return the machine types on offer."""
+        """Return the machine types that the cloud offers."""
         return (await self._call("GET", "/machine_types", None, messages.MachineTypesResponse)).types
 
     async def create_machines(self, request: messages.CreateMachinesRequest) -> tuple[str, ...]:
-        """Create machines and return their names; the request is idempotent by its id.
+        """Create machines and return their names, which may be fewer than requested; idempotent by `request_id`.
 
-        `NoCapacityError` if the cloud has none of them; it may also create fewer than requested.
+        `NoCapacityError` if the cloud can create none of them.
         """
         return (await self._call("POST", "/rentals", wire.encode(request), messages.CreateMachinesResponse)).machines
 
@@ -86,7 +86,7 @@
         await self._call("POST", "/rentals/return", wire.encode(messages.DeleteMachinesRequest(names)), object)
 
     async def list_machines(self) -> list[messages.ListedMachine]:
-        """Return the whole machine list in order of names, as it was up to the list's lag ago."""
+        """Return the whole machine list in order of names; it may be outdated by the list's lag."""
         machines: list[messages.ListedMachine] = []
         after = ""
         while True:
--- a/driftcleat/cloud/inventory.py
+++ b/driftcleat/cloud/inventory.py
@@ -18,18 +18,18 @@
 # States of a machine in the cloud's list.
 RUNNING = "running"
 FAILED = "failed"
-# How often in a report interval it is checked whether the list is due.
+# Number of times per report interval that the loop checks whether the list is due.
 CHECKS_PER_REPORT_INTERVAL = 4
-# The part of the cloud's rate limit that the pages of the list may use.
+# The fraction of the cloud's rate limit that the pages of the list may use.
 LIST_RATE_SHARE = 1 / 3
-# The list is requested at most once in so many seconds' requests of the cloud's rate limit, and at most so many times
-# in its lag, since it changes no faster.
+# The minimum pause between two lists, in request intervals of the cloud's rate limit, and the maximum number of lists
+# per lag of the list, which shows changes only after that lag.
 MIN_LIST_REQUEST_INTERVALS = 2.0
 LISTS_PER_LAG = 2
-# A booting machine that is missing from the list for longer than this many of its lags was lost: the list may be late
-# by twice its lag.
+# A booting machine is lost if it is missing from the list for longer than this many lags of the list, since the list
+# may be late by twice its lag.
 MISSING_LIST_LAGS = 3
-# Recovered image hints of machines that are not listed are deleted after a lease and this many lags of the list.
+# Recovered image hints of unlisted machines are deleted after a worker lease and this many lags of the list.
 IMAGE_HINT_LIST_LAGS = 2
 
 
@@ -52,7 +52,7 @@
         self._announcer = announcer
         self._clock = clock
         self._listed_at = float("-inf")
-        # Since when booting machines are missing from the list, by name.
+        # Time since when a booting machine is missing from the list, by name.
         self._missing_since: dict[str, float] = {}
 
     def start_term(self) -> None:
@@ -62,7 +62,7 @@
         self._announcer.start_term()
 
     async def run(self) -> None:
-        """List the machines whenever the list is due."""
+        """List and reconcile the machines whenever the list is due; never returns."""
         pause_s = 0.0
         while True:
             scheduler = self._active_term.enforcing_scheduler
@@ -78,9 +78,10 @@
             await asyncio.sleep(self._platform.report_s / CHECKS_PER_REPORT_INTERVAL)
 
     def list_pause_s(self, machines: int) -> float:
-        """Return the seconds between lists of so many machines, whose pages use a part of the rate limit only.
+        """Return the pause in seconds between two lists of this many machines.
 
-        Guards against a deletion for a cancelled task that waits behind the pages of thousands of machines.
+        The pages use only a fraction of the rate limit. Guards against a deletion for a cancelled task that waits
+        behind the pages of thousands of machines.
         """
         pages = machines // LIST_PAGE_SIZE + 1
         return max(
@@ -119,20 +120,20 @@
         if not machine.address:
             machine.address = entry.address
         if entry.state == FAILED:
-            self._terminator.terminate(machine, "failed")
+            self._terminator.terminate(machine, "listed as failed")
         elif entry.state == RUNNING and machine.listed_running_since is None:
             machine.listed_running_since = now
         return machine
 
     def _forget_image_hints(self, scheduler: Scheduler, names: set[str], now: float) -> None:
-        """Delete the image hints of machines that are not listed, once all that exist must have been."""
+        """Delete the image hints of unlisted machines, once every existing machine must have been listed."""
         settled_after_s = self._platform.lease_s + self._platform.list_lag_s * IMAGE_HINT_LIST_LAGS
         if now - scheduler.cluster.started_at > settled_after_s:
             for name in [name for name in scheduler.cluster.image_hints if name not in names]:
                 scheduler.garbage_collector.forget_images(name)
 
     def _terminate_missing(self, scheduler: Scheduler, names: set[str], now: float) -> None:
-        """Terminate machines that never came up and have been missing from the list for long."""
+        """Terminate machines that never came up and have been missing from the list for several of its lags."""
         lost_after_s = self._platform.list_lag_s * MISSING_LIST_LAGS + self._platform.report_s
         for machine in scheduler.cluster.machines.values():
             if machine.name in names or machine.state is not MachineState.BOOTING:
--- a/driftcleat/cloud/machine_types.py
+++ b/driftcleat/cloud/machine_types.py
@@ -1,4 +1,4 @@
-"""The machine types that the cloud offers: listed in each term, and stored once for the leaders that follow."""
+"""The machine types that the cloud offers: listed in each term, and stored once for later leaders."""
 
 import asyncio
 import logging
@@ -14,9 +14,9 @@
 
 log = logging.getLogger(__name__)
 
-# Known types are listed again after so many seconds.
+# Known types are refreshed after this many seconds.
 REFRESH_INTERVAL_S = 20
-# How often in a report interval it is checked whether they are due.
+# Number of times per report interval that the loop checks whether a refresh is due.
 CHECKS_PER_REPORT_INTERVAL = 4
 
 
@@ -43,7 +43,7 @@
         self._stored = stored
 
     async def run(self) -> None:
-        """List the machine types whenever they are due."""
+        """Refresh the machine types whenever that is due; never returns."""
         while True:
             scheduler = self._active_term.deciding_scheduler
             if scheduler is not None and self._is_due(scheduler):
@@ -63,7 +63,7 @@
             self._update(scheduler, {machine_type.name: machine_type for machine_type in types})
 
     def _update(self, scheduler: Scheduler, types: dict[str, MachineType]) -> None:
-        """Replace the types in the cluster state, also those of its machines, and store them if they are not yet."""
+        """Replace the types in the cluster state, also those of its machines, and store them if needed."""
         scheduler.cluster.machine_types.clear()
         scheduler.cluster.machine_types.update(types)
         for machine in scheduler.cluster.machines.values():
--- a/driftcleat/cloud/manager.py
+++ b/driftcleat/cloud/manager.py
@@ -1,4 +1,4 @@
-"""The fleet manager: makes the loops that keep machines in line with the cloud and the capacity plan."""
+"""The fleet manager: creates the loops that reconcile the fleet with the cloud and the capacity plan."""
 
 from collections.abc import Awaitable, Callable
 
@@ -19,7 +19,7 @@
 
 
 class FleetManager:
-    """The loops that run while this controller leads; they keep nothing that a new leader would need."""
+    """Owns the loops that manage the fleet while this controller leads; they hold no state that must be recovered."""
 
     def __init__(
         self,
--- a/driftcleat/cloud/provisioner.py
+++ b/driftcleat/cloud/provisioner.py
@@ -1,4 +1,4 @@
-"""Provisioning: sends the stored scale-out requests to the cloud until it settles them."""
+"""Provisioning: sends the stored scale-out requests to the cloud until it has settled them."""
 
 import asyncio
 import logging
@@ -13,13 +13,13 @@
 
 log = logging.getLogger(__name__)
 
-# How often in a report interval requests are sent, and the part of it to wait after a failed one.
+# Number of rounds per report interval, and of retries per report interval after a failed request.
 ROUNDS_PER_REPORT_INTERVAL = 30
 RETRIES_PER_REPORT_INTERVAL = 6
 
 
 class Provisioner:
-    """Sends scale-out requests one after the other, and records what became of them."""
+    """Sends scale-out requests one after the other, and records their results."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Send all open requests, time and again."""
+        """Send all open requests periodically; never returns."""
         while True:
             await asyncio.sleep(self._platform.report_s / ROUNDS_PER_REPORT_INTERVAL)
             scheduler = self._active_term.deciding_scheduler
@@ -46,7 +46,7 @@
                 await self._send(scheduler, request)
 
     async def _send(self, scheduler: Scheduler, request: ScaleOutRequest) -> None:
-        """Send one request; without a usable response it stays open, and is sent again under the same id."""
+        """Send one request; without a usable response it stays open and is retried under the same id."""
         record = request.record
         message = CreateMachinesRequest(request.name, record.machine_type, record.zone, record.spot, record.count)
         try:
--- a/driftcleat/cloud/terminator.py
+++ b/driftcleat/cloud/terminator.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-# How often in a report interval machines are deleted, and the part of it to wait after a failed request.
+# Number of rounds per report interval, and of retries per report interval after a failed request.
 ROUNDS_PER_REPORT_INTERVAL = 15
 RETRIES_PER_REPORT_INTERVAL = 6
 
@@ -37,12 +37,15 @@
         self.to_fence: set[str] = set()
 
     def start_term(self) -> None:
-        """Start a term: what an earlier one was to delete is found out anew."""
+        """Start a term without machines to delete: they are determined anew."""
         self.to_delete = set()
         self.to_fence = set()
 
     def fence(self, machine: Machine) -> None:
-        """Delete a machine that keeps a cancelled task; no new decision, so an unconfirmed leader does it too."""
+        """Have a machine deleted that keeps a cancelled task.
+
+        An unconfirmed leader may do this too, since it only enforces a committed decision.
+        """
         self.to_fence.add(machine.name)
         self.terminate(machine, "fencing a cancelled task")
 
@@ -58,7 +61,7 @@
         self.to_delete.add(machine.name)
 
     async def run(self) -> None:
-        """Delete machines, a batch at a time."""
+        """Delete machines in batches; never returns."""
         while True:
             await asyncio.sleep(self._platform.report_s / ROUNDS_PER_REPORT_INTERVAL)
             scheduler = self._active_term.enforcing_scheduler
@@ -77,9 +80,9 @@
                 self._record_deleted(scheduler, names)
 
     def next_batch(self, may_decide: bool) -> list[str]:
-        """Return the names for the next request: machines to fence go first, since their time is limited.
+        """Return the names for the next request: machines to fence come first, since their time is limited.
 
-        Without `may_decide` there are no others: an unconfirmed leader only enforces what is committed.
+        Without `may_decide` there are no others: an unconfirmed leader only enforces committed decisions.
         """
         fenced = sorted(self.to_delete & self.to_fence)
         others = sorted(self.to_delete - self.to_fence) if may_decide else []
--- a/driftcleat/cloud/token_announcer.py
+++ b/driftcleat/cloud/token_announcer.py
@@ -10,7 +10,7 @@
 from driftcleat.settings import Platform
 from driftcleat.workers.dispatch import StopDispatcher
 
-# At most so many announcements are sent in a report interval.
+# Maximum number of announcements per report interval.
 ANNOUNCEMENTS_PER_REPORT_INTERVAL = 300
 
 
@@ -33,7 +33,7 @@
         self._in_progress = False
 
     def start_term(self) -> None:
-        """Start a term, whatever the announcements of the term before it have come to."""
+        """Start a term: announcements of the previous term no longer count as in progress."""
         self._in_progress = False
 
     def announce(self, scheduler: Scheduler, machines: list[Machine]) -> None:
@@ -42,10 +42,10 @@
             self._background.spawn(self._announce(scheduler, machines))
 
     async def _announce(self, scheduler: Scheduler, machines: list[Machine]) -> None:
-        """Announce the token, one machine at a time, to those that still send no heartbeats by then.
+        """Announce the token once placement starts, one machine at a time, to those that still send no heartbeats.
 
-        Guards against hundreds of calls while all workers are moving to the new leader anyway, and against machines
-        that are unreachable at first and stay with the previous leader once they are reachable.
+        Guards against hundreds of requests while all workers move to the new leader anyway, and against machines that
+        are unreachable at first and still accept the previous leader once they are reachable.
         """
         self._in_progress = True
         try:
--- a/driftcleat/peers/client.py
+++ b/driftcleat/peers/client.py
@@ -14,7 +14,7 @@
 
 
 class PeerError(DriftcleatError):
-    """No usable response of a controller; the request may still be carried out."""
+    """A controller gave no usable response; it may still have carried out the request."""
 
 
 class PeerClient:
@@ -27,40 +27,40 @@
         self.addresses = {peer.label: peer.address for peer in platform.peers}
 
     async def send(self, label: str, message: messages.PeerMessage, timeout_s: float) -> messages.PeerMessage:
-        """Send one message; return the response, `PeerError` if there is none."""
+        """Send one message to the controller `label`; return the response, `PeerError` if there is no usable one."""
         address = self.addresses.get(label)
         if address is None:
             raise PeerError(f"controller {label}: unknown")
         try:
-            answer = await self.exchange(address, wire.encode(message), timeout_s)
+            response = await self.exchange(address, wire.encode(message), timeout_s)
         except (HttpError, TimeoutError) as error:
             raise PeerError(f"controller {label}: no response: {error!r}") from None
-        if answer.status != HTTP_OK:
-            raise PeerError(f"controller {label}: status {answer.status}")
+        if response.status != HTTP_OK:
+            raise PeerError(f"controller {label}: status {response.status}")
         try:
-            return wire.decode(answer.body, messages.PeerMessage)  # type: ignore[arg-type]
+            return wire.decode(response.body, messages.PeerMessage)  # type: ignore[arg-type]
         except wire.WireError as error:
             raise PeerError(f"controller {label}: malformed response: {error}") from None
 
     async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpAnswer:
-        """Send one request; a subclass may replace the transport."""
+        """Send one HTTP request and return its response; a subclass may replace the transport."""
         return await self._client.request("POST", address, self.path, body, timeout_s)
 
     async def ping(self, labels: list[str], timeout_s: float) -> list[messages.Pong]:
-        """Ping controllers, which tell who leads; return the responses in time."""
+        """Ping controllers to learn who leads; return the responses that arrive in time."""
         ping = messages.Ping(self.label, DATA_VERSION)
-        answers = await asyncio.gather(
+        responses = await asyncio.gather(
             *(self.send(label, ping, timeout_s) for label in labels), return_exceptions=True
         )
-        return [answer for answer in answers if isinstance(answer, messages.Pong)]
+        return [response for response in responses if isinstance(response, messages.Pong)]
 
     async def request_views(self, timeout_s: float) -> list[messages.ViewResponse]:
-        """Request the views of the store and the leader of all other controllers; return the responses in time."""
-        answers = await asyncio.gather(
+        """Request the views of all other controllers; return the responses that arrive in time."""
+        responses = await asyncio.gather(
             *(
                 self.send(label, messages.ViewRequest(self.label, DATA_VERSION), timeout_s)
                 for label in self.addresses
             ),
             return_exceptions=True,
         )
-        return [answer for answer in answers if isinstance(answer, messages.ViewResponse)]
+        return [response for response in responses if isinstance(response, messages.ViewResponse)]
--- a/driftcleat/peers/server.py
+++ b/driftcleat/peers/server.py
@@ -19,19 +19,19 @@
 
 log = logging.getLogger(__name__)
 
-# Size limit of the list of cancelled jobs in a response, and the encoded size of one job id. If there are more, none
-# is listed: a follower without the whole list cannot extend the leases of workers in its partition.
+# Size limit of the list of cancelled jobs in a response, and the encoded size of one job id. A longer list is not
+# sent at all: a follower may extend the leases of workers in its partition only if it has the whole list.
 MAX_CANCELLED_JOBS_BYTES = 128 * 1024
 JOB_ID_BYTES = 16
 MAX_CANCELLED_JOBS = MAX_CANCELLED_JOBS_BYTES // JOB_ID_BYTES
-# Fraction of the leader lease's time to live that a read of the store may take before a view is sent without it.
+# Timeout of the read of the store before a view is sent, as a fraction of the leader lease's time to live.
 STORE_READ_FRACTION = 0.3
-# The age of what never happened.
+# Age that is sent for an event that has not happened.
 NO_AGE_S = -1.0
 
 
 class PeerApi:
-    """Answers messages of the other controllers."""
+    """Answers messages of other controllers."""
 
     def __init__(
         self,
@@ -48,11 +48,11 @@
         self._active_term = active_term
         self._metrics = metrics
         self._clock = clock
-        # The data version that each controller can write, as it announced it.
+        # Latest data version that each controller announced to be able to write, by controller label.
         self._data_versions: dict[str, int] = {}
 
     async def handle(self, body: bytes) -> Response:
-        """Answer one message."""
+        """Answer one message; 400 if it is malformed or is no request."""
         try:
             message: messages.PeerMessage = wire.decode(body, messages.PeerMessage)  # type: ignore[arg-type]
         except wire.WireError as error:
@@ -70,16 +70,17 @@
         return Response.error(400, "not a question")
 
     async def _handle_forwarded(self, message: messages.ForwardRequest) -> messages.ForwardResponse:
-        """Answer a user's request that another controller forwards."""
-        answer = await self._users.handle(message.method, message.path, message.body.encode(), forwarded=True)
-        if answer is None:
-            answer = Response.error(404, "no such path")
-        return messages.ForwardResponse(answer.status, answer.body.decode(), answer.retry_after_s)
+        """Answer a user's request that another controller has forwarded."""
+        response = await self._users.handle(message.method, message.path, message.body.encode(), forwarded=True)
+        if response is None:
+            response = Response.error(404, "no such path")
+        return messages.ForwardResponse(response.status, response.body.decode(), response.retry_after_s)
 
     def record_data_version(self, label: str, version: int) -> None:
-        """Record which data version a controller can write; once all can write ours, request the migration's latch.
+        """Record the newest data version that a controller can write.
 
-        A controller is never downgraded, so versions announced at different times may be combined.
+        Once all controllers can write ours, the leader requests the latch of the record migration. A controller is
+        never downgraded, so versions that were announced at different times may be combined.
         """
         self._data_versions[label] = version
         scheduler = self._active_term.scheduler
@@ -101,7 +102,7 @@
         )
 
     async def _view(self) -> messages.ViewResponse:
-        """Return our view of the store, after a read just now, and of the leader."""
+        """Return our view of the leader and of the store, which is read first."""
         election = self._active_term.election
         try:
             await asyncio.wait_for(self._store.get(LEADER_KEY), election.ttl_s * STORE_READ_FRACTION)
@@ -119,9 +120,9 @@
             DATA_VERSION,
         )
 
-    def _age(self, moment: float | None) -> float:
-        """Return the seconds since a moment; negative if there is none."""
-        return self._clock() - moment if moment is not None else NO_AGE_S
+    def _age(self, time: float | None) -> float:
+        """Return the seconds since a time of the monotonic clock; negative if it is None."""
+        return self._clock() - time if time is not None else NO_AGE_S
 
     def _leader_status(self) -> messages.LeaderStatus | None:
         """Return our status as a leader, with the cancelled jobs that are still placed; None if we do not lead."""
@@ -129,6 +130,6 @@
         election = self._active_term.election
         if scheduler is None or not election.is_leader:
             return None
-        cancelled = sorted(scheduler.cancellations.jobs_still_placed())
-        listed = cancelled if len(cancelled) <= MAX_CANCELLED_JOBS else None
-        return messages.LeaderStatus(self._clock() - election.last_confirmed_at, listed)
+        cancelled_jobs = sorted(scheduler.cancellations.jobs_still_placed())
+        listed_jobs = cancelled_jobs if len(cancelled_jobs) <= MAX_CANCELLED_JOBS else None
+        return messages.LeaderStatus(self._clock() - election.last_confirmed_at, listed_jobs)
--- a/driftcleat/peers/survey.py
+++ b/driftcleat/peers/survey.py
@@ -10,18 +10,18 @@
 from driftcleat.settings import Platform
 from driftcleat.wire import peers as messages
 
-# A controller reaches the store if its last successful request was at most this long ago.
+# A controller counts as reaching the store if its last successful request is younger than this.
 MAX_STORE_SUCCESS_AGE_S = 0.5
-# Timeouts of messages: of a view request as a fraction of the leader lease's time to live, of a ping as a fraction of
-# the report interval.
+# Timeout of a view request, as a fraction of the leader lease's time to live.
 VIEW_TIMEOUT_FRACTION = 0.4
+# Timeout of a ping, as a fraction of the report interval.
 PING_TIMEOUT_FRACTION = 1 / 10
 
 
 class LeaderContact(NamedTuple):
-    """What the most recently confirmed leader among those asked has said."""
+    """Status of the leader whose leadership was confirmed last, among the controllers that answered."""
 
-    # On our clock; minus infinity if no leader answered.
+    # Time on our clock; minus infinity if no leader answered.
     confirmed_at: float
     cancelled_jobs: frozenset[str]
 
@@ -64,7 +64,7 @@
         return PeerSurvey(leader_confirmed_at=contact.confirmed_at, cancelled_jobs=contact.cancelled_jobs)
 
     async def reaches_leader(self) -> bool:
-        """Return whether the known leader says that it leads; if not, ask the others for the leader."""
+        """Return whether the known leader confirms that it leads; if not, ask the other controllers who leads."""
         timeout_s = self._platform.report_s * PING_TIMEOUT_FRACTION
         leader = self._active_term.leader
         if leader is not None and leader in self._peers.addresses:
@@ -78,14 +78,14 @@
 
 
 def _leader_contact(asked_at: float, statuses: list[messages.LeaderStatus | None]) -> LeaderContact:
-    """Return what the last confirmed leader says; a status without the list of cancelled jobs does not count."""
-    known = [status for status in statuses if status is not None and status.cancelled_jobs is not None]
-    if not known:
+    """Return the status that was confirmed last; one without the list of cancelled jobs is ignored."""
+    complete = [status for status in statuses if status is not None and status.cancelled_jobs is not None]
+    if not complete:
         return LeaderContact(float("-inf"), frozenset())
-    latest = min(known, key=lambda status: status.confirmed_age_s)
+    latest = min(complete, key=lambda status: status.confirmed_age_s)
     return LeaderContact(asked_at - latest.confirmed_age_s, frozenset(latest.cancelled_jobs or ()))
 
 
 def _reaches_store(view: messages.ViewResponse) -> bool:
-    """Return whether the store has answered this controller just now."""
+    """Return whether a controller has reached the store recently."""
     return 0 <= view.store_success_age_s < MAX_STORE_SUCCESS_AGE_S
--- a/driftcleat/wire/__init__.py
+++ b/driftcleat/wire/__init__.py
@@ -1,10 +1,10 @@
 """The wire formats: the only package that knows the protocols' JSON.
 
-Each struct is one message, or a part of one, of `PROTOCOL-driftcleat.md`. The protocols name their fields in words of
-their own (`helm`, `hands`, `bollard`): `name=` gives the protocol's field, and that mapping is made here once. The
-attributes have the field's terms (`fencing_token`, `tasks`, `machine`), as in `docs/glossary.md`.
+Each struct is one message, or a part of one, of `PROTOCOL-driftcleat.md`. The names of the protocols' fields (`helm`,
+`hands`, `bollard`) differ from the standard terms that the code uses (`fencing_token`, `tasks`, `machine`; see
+`docs/glossary.md`). They are mapped only here: an attribute has the standard term, `name=` has the protocol's name.
 
-Clients of driftcleat may use this package by itself.
+Clients of driftcleat may use this package without the others.
 """
 
 from typing import Any, TypeVar
@@ -23,12 +23,12 @@
 
 
 def encode(value: Any) -> bytes:
-    """Return the JSON text of a struct or of plain data."""
+    """Return a struct or plain data as JSON."""
     return _encoder.encode(value)
 
 
 def decode(data: bytes, kind: type[T]) -> T:
-    """Return JSON text as a `kind`; `WireError` when it is not one."""
+    """Return the value of type `kind` that JSON text encodes; `WireError` if the text is not valid for that type."""
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -36,7 +36,7 @@
 
 
 def convert(value: Any, kind: type[T]) -> T:
-    """Return plain data that is decoded already as a `kind`; `WireError` when it is not one."""
+    """Return decoded plain data as a value of type `kind`; `WireError` if it is not valid for that type."""
     try:
         return msgspec.convert(value, kind)
     except (msgspec.MsgspecError, RecursionError) as error:
--- a/driftcleat/wire/cloud.py
+++ b/driftcleat/wire/cloud.py
@@ -1,4 +1,4 @@
-"""Messages between the leader and the cloud: machine types, scale out, scale in, the machine list."""
+"""Messages between the leader and the cloud: machine types, creation and deletion of machines, the machine list."""
 
 import msgspec
 
@@ -35,7 +35,7 @@
 
 
 class CreateMachinesResponse(msgspec.Struct, frozen=True):
-    """The response of `POST /rentals`: the names of the machines created, which may be fewer than asked for."""
+    """The response of `POST /rentals`: the names of the machines created, which may be fewer than requested."""
 
     machines: tuple[str, ...] = msgspec.field(name="bollards")
 
@@ -47,7 +47,7 @@
 
 
 class ListedMachine(msgspec.Struct, frozen=True):
-    """One machine of `GET /rentals`, as it was some seconds ago; `state` is `starting`, `running` or `failed`."""
+    """One machine of `GET /rentals`, possibly outdated by seconds; `state` is `starting`, `running` or `failed`."""
 
     name: str = msgspec.field(name="nameId")
     address: str = msgspec.field(name="addr")
--- a/driftcleat/wire/job_ids.py
+++ b/driftcleat/wire/job_ids.py
@@ -1,4 +1,4 @@
-"""Job ids: their form, and a compact encoding of many of them."""
+"""Job ids: their form, and a compact encoding of lists of them."""
 
 import re
 from typing import TypeGuard
@@ -8,12 +8,12 @@
 
 
 def is_job_id(text: object) -> TypeGuard[str]:
-    """Tell whether `text` has the form of a job id, such as `req-000412`."""
+    """Return whether `text` has the form of a job id, such as `req-000412`."""
     return isinstance(text, str) and _PATTERN.match(text) is not None
 
 
 def encode_job_ids(job_ids: tuple[str, ...]) -> str:
-    """Return job ids as a compact text; their order is lost.
+    """Return job ids as a compact text, which does not keep their order.
 
     Ids are grouped by their number of digits. A group is `DIGITS:STEP,STEP,...`, the steps between its sorted numbers
     in hexadecimal; groups are separated by semicolons.
@@ -31,7 +31,7 @@
 
 
 def decode_job_ids(text: str) -> tuple[str, ...]:
-    """Return the job ids of a text that `encode_job_ids` wrote, in order within each number of digits."""
+    """Return the job ids of a text by `encode_job_ids`, ordered by number of digits, then by number."""
     job_ids: list[str] = []
     for group in text.split(";") if text else ():
         digit_count, _, steps = group.partition(":")
--- a/driftcleat/wire/job_spec_parsing.py
+++ b/driftcleat/wire/job_spec_parsing.py
@@ -1,4 +1,4 @@
-"""Parses and validates submissions.
+"""Parsing and validation of submissions.
 
 The texts of `InvalidFieldError` go to the user, so they name fields as the protocol does.
 """
@@ -13,17 +13,17 @@
 from driftcleat.wire.users import JobSpec
 
 MAX_TASKS = 100_000
-# The most bytes of a name, in UTF-8.
+# Maximum length of a name in UTF-8.
 MAX_TEXT_BYTES = 200
 MAX_MACHINE_TYPES = 64
-# The largest amount of a resource, and the longest duration in seconds.
+# Maximum amount of a resource, and maximum duration in seconds.
 MAX_AMOUNT = 1e9
 
-# The protocol's names of the attributes of `JobSpec`.
+# The protocol's field name of each attribute of `JobSpec`.
 _WIRE_NAMES = dict(zip(JobSpec.__struct_fields__, JobSpec.__struct_encode_fields__, strict=True))
-# Attributes of `JobSpec` that are names, or amounts.
-_TEXTS = ("job_class", "team", "image", "zone")
-_AMOUNTS = (
+# Attributes of `JobSpec` that are names, and those that are amounts or durations.
+_NAME_ATTRIBUTES = ("job_class", "team", "image", "zone")
+_AMOUNT_ATTRIBUTES = (
     "cpus",
     "gpus",
     "memory_gb",
@@ -67,7 +67,7 @@
 def _convert(raw: dict[str, Any]) -> JobSpec:
     """Return a specification whose fields have the right types."""
     known = {field.encode_name: field for field in msgspec.structs.fields(JobSpec)}
-    # One field at a time, since an error of the whole does not name its field.
+    # Fields are checked one by one, since an error of the whole struct does not name the field.
     for name, field in known.items():
         if name not in raw:
             if field.required:
@@ -83,13 +83,13 @@
 def _validate(spec: JobSpec) -> None:
     """Check the values of all fields; the order decides which invalid field is reported."""
     _require_job_id(spec.id)
-    for attribute in _TEXTS:
+    for attribute in _NAME_ATTRIBUTES:
         text = getattr(spec, attribute)
         if text is not None and not _is_text(text):
             raise _invalid(attribute, f"must have 1 to {MAX_TEXT_BYTES} bytes")
     if not 1 <= spec.tasks <= MAX_TASKS:
         raise _invalid("tasks", f"must be 1 to {MAX_TASKS}")
-    for attribute in _AMOUNTS:
+    for attribute in _AMOUNT_ATTRIBUTES:
         amount = getattr(spec, attribute)
         if amount is not None and not (math.isfinite(amount) and 0 <= amount <= MAX_AMOUNT):
             raise _invalid(attribute, "must be a number that is not negative")
--- a/driftcleat/wire/peers.py
+++ b/driftcleat/wire/peers.py
@@ -1,34 +1,34 @@
-"""Messages between controllers: arrays, the tag first.
+"""Messages between controllers: JSON arrays whose first element is the tag.
 
-The protocol leaves them to us. Versions that run side by side understand one another: a version ignores trailing
-fields that it does not know, and uses the default of those that are missing. So fields are added only at the end, and
-with a default. `data_version` is the newest data version of the records that the sender can write.
+These messages are internal to driftcleat. Versions that run side by side understand one another, since a version
+ignores trailing fields that it does not know, and uses the defaults of those that are missing. So fields are added
+only at the end and with a default. `data_version` is the newest data version of records that the sender can write.
 """
 
 import msgspec
 
 
 class ViewRequest(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
-    """Asks a controller for its view of leadership and of the state service."""
+    """Requests a controller's view of the leader and of the state service."""
 
     sender: str
     data_version: int = 1
 
 
 class LeaderStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a leader reports of its term."""
+    """A leader's status in its current term."""
 
-    # The age of its last confirmed leadership, in seconds.
+    # Seconds since its leadership was last confirmed.
     confirmed_age_s: float
-    # Cancelled jobs that may still have tasks on machines; None if they are too many to name.
+    # Cancelled jobs that may still have tasks on machines; None if there are too many to list.
     cancelled_jobs: list[str] | None
 
 
 class ViewResponse(msgspec.Struct, frozen=True, array_like=True, tag="view"):
-    """A controller's view; ages are in seconds, and negative for what never happened.
+    """A controller's view; ages are in seconds, and negative if the event has not happened.
 
-    `has_read_leader_key` tells that the sender has read the leader key since it was started. Only then does it know
-    that it has led under no higher token than `fencing_token`, also in an earlier incarnation.
+    `has_read_leader_key` says whether the sender has read the leader key since it was started. Only then is it sure
+    that the sender, in any incarnation, has not led under a higher token than `fencing_token`.
     """
 
     sender: str
@@ -43,14 +43,14 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag="ping"):
-    """Asks who leads, as far as the receiver knows; it answers without a request to the state service."""
+    """Asks who leads; the receiver answers from memory, without a request to the state service."""
 
     sender: str
     data_version: int = 1
 
 
 class Pong(msgspec.Struct, frozen=True, array_like=True, tag="pong"):
-    """Answers a `Ping`: who leads as far as the sender knows, and whether it leads itself."""
+    """The response to a `Ping`: the leader that the sender knows, and whether the sender leads."""
 
     sender: str
     leads: bool
@@ -61,7 +61,7 @@
 
 
 class ForwardRequest(msgspec.Struct, frozen=True, array_like=True, tag="forward"):
-    """A user's request, forwarded to the leader."""
+    """A user's request that a follower forwards to the leader."""
 
     method: str
     path: str
@@ -69,7 +69,7 @@
 
 
 class ForwardResponse(msgspec.Struct, frozen=True, array_like=True, tag="forwarded"):
-    """The leader's answer to a forwarded request."""
+    """The leader's response to a forwarded request."""
 
     status: int
     body: str
--- a/driftcleat/wire/state.py
+++ b/driftcleat/wire/state.py
@@ -6,7 +6,7 @@
 
 
 class KeyValue(msgspec.Struct, frozen=True):
-    """The response of `GET /store/{key}`, and a row of `GET /store`; the value is left undecoded."""
+    """The response of `GET /store/{key}`, and a row of `GET /store`; the value is not decoded."""
 
     value: msgspec.Raw = msgspec.field(name="v")
     mod_revision: int = msgspec.field(name="entry")
@@ -23,7 +23,7 @@
 
 
 class Compare(msgspec.Struct, frozen=True):
-    """A condition of a transaction: the key has this mod revision (0: it does not exist)."""
+    """A compare of a transaction: the key has this mod revision; 0 means that the key does not exist."""
 
     key: str
     mod_revision: int = msgspec.field(name="entry")
@@ -44,7 +44,7 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """The request of `POST /txn`: if all compares hold, all operations are carried out, or else none."""
+    """The request of `POST /txn`: all operations are carried out if all compares hold, otherwise none."""
 
     compares: list[Compare] = msgspec.field(name="if")
     operations: list[Put | Delete | Any] = msgspec.field(name="then")
@@ -75,7 +75,7 @@
 
 
 class WatchResponse(msgspec.Struct, frozen=True):
-    """The response of `GET /watch`: the changes under a prefix up to `revision`; none if the time ran out."""
+    """The response of `GET /watch`: the changes under a prefix up to `revision`; none if the watch timed out."""
 
     revision: int = msgspec.field(name="logline")
     events: tuple[Any, ...] = msgspec.field(name="log", default=())
--- a/driftcleat/wire/users.py
+++ b/driftcleat/wire/users.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-# The most bytes of a request's body.
+# Maximum size of a request's body.
 MAX_BODY_BYTES = 64 * 1024
 
 
 class JobKind(StrEnum):
-    """How a job's tasks belong together; the protocol's `rig`."""
+    """How a job's tasks are scheduled together; the protocol's `rig`."""
 
     # Independent tasks.
     ARRAY = "array"
@@ -29,7 +29,7 @@
 
     @property
     def level(self) -> int:
-        """The priority as a number; 0 is the most urgent."""
+        """Return the priority as a number; 0 is the most urgent."""
         return _LEVELS[self]
 
 
@@ -54,15 +54,15 @@
     spread: bool = msgspec.field(name="spread")
     spot: bool = msgspec.field(name="driftwood")
     estimated_run_s: float = msgspec.field(name="voyageS")
-    # 0: the tasks save no checkpoints.
+    # If 0, the tasks save no checkpoints.
     checkpoint_interval_s: float = msgspec.field(name="mooringS")
     checkpoint_duration_s: float = msgspec.field(name="stowS")
-    # None: any machine type, any zone.
+    # If None, any machine type or any zone.
     machine_types: tuple[str, ...] | None = msgspec.field(name="builds", default=None)
     zone: str | None = msgspec.field(name="harbor", default=None)
-    # Counted from the submission.
+    # Relative to the submission.
     deadline_s: float | None = msgspec.field(name="tideS", default=None)
-    # Ids of jobs that must be done before any task of this one starts; distinct.
+    # Distinct ids of the jobs that must be done before any task of this job starts.
     dependencies: tuple[str, ...] | None = msgspec.field(name="tows", default=None)
 
 
--- a/driftcleat/wire/workers.py
+++ b/driftcleat/wire/workers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-# The most digits of a task's index that are accepted; a job's largest has five (see `job_spec_parsing.MAX_TASKS`).
+# Maximum number of digits of a task's index; valid ones have at most five (see `job_spec_parsing.MAX_TASKS`).
 MAX_INDEX_DIGITS = 6
 
 
@@ -13,16 +13,16 @@
 
     START = "start"
     STOP = "kill"
-    # The attempt's exit is committed: the worker need not report it any longer.
+    # The attempt's exit is committed, so the worker no longer needs to report it.
     FORGET = "forget"
 
 
 class TaskPhase(StrEnum):
-    """The phase of an attempt as its worker reports it; the protocol's `bearing`."""
+    """The phase of an attempt, as its worker reports it; the protocol's `bearing`."""
 
-    # Waits for its image.
+    # The attempt waits for its image.
     FETCHING = "pulling"
-    # A gang's task that waits for the others of its attempt.
+    # A gang's task waits for the other tasks of the gang.
     WAITING = "waiting"
     RUNNING = "running"
     CHECKPOINTING = "saving"
@@ -34,12 +34,12 @@
 
     DONE = "done"
     STOPPED = "stopped"
-    # Another task of the gang is gone.
+    # Another task of the gang was lost.
     GANG_MEMBER_LOST = "mates_gone"
     # The gang was not complete within `gang_wait_s`.
     GANG_INCOMPLETE = "alone"
     ERROR = "error"
-    # The worker refused the start: resources are missing, another attempt is present, the job or task is unknown.
+    # The worker refused the start: resources are missing, another attempt is present, or the job or task is unknown.
     INSUFFICIENT_RESOURCES = "no_room"
     OTHER_ATTEMPT_PRESENT = "busy"
     UNKNOWN_JOB = "unknown"
@@ -56,9 +56,9 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """The request of `POST /agent/beat`, and the worker's answer to `POST /commands` and `GET /inspect`.
+    """The request of `POST /agent/beat`, and the worker's response to `POST /commands` and `GET /inspect`.
 
-    The newer of two messages of a machine has the larger (`worker_epoch`, `sequence`).
+    Of two messages from a machine, the one with the larger pair (`worker_epoch`, `sequence`) is newer.
     """
 
     machine: str = msgspec.field(name="bollard")
@@ -98,7 +98,7 @@
 
 
 class Redirect(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The 421 response of `POST /agent/beat`: another controller takes heartbeats, by its name if it is known."""
+    """The 421 response of `POST /agent/beat`: the controller that accepts heartbeats, if it is known."""
 
     leader: str | None = msgspec.field(name="harbormaster", default=None)
 
@@ -109,9 +109,9 @@
 
 
 def parse_task_name(name: str) -> tuple[str, int] | None:
-    """Return job id and index of a task's name, or None if it is not one.
+    """Return the job id and the index in a task's name, or None if it is not a valid task name.
 
-    A plain tuple, since this runs for every task of every heartbeat that changes.
+    The result is a plain tuple for speed: this runs for every task of every changed heartbeat.
     """
     job, slash, index = name.rpartition("/")
     if not slash or not index.isascii() or not index.isdigit() or len(index) > MAX_INDEX_DIGITS:
--- a/driftcleat/workers/__init__.py
+++ b/driftcleat/workers/__init__.py
@@ -1,4 +1,4 @@
-"""Command requests sent to workers directly."""
+"""Command requests, which are sent to workers' own addresses."""
 
 from driftcleat.workers.commands import WorkerClient
 
--- a/driftcleat/workers/commands.py
+++ b/driftcleat/workers/commands.py
@@ -1,6 +1,6 @@
 """The client for command requests to workers: stops that cannot wait for a heartbeat, and the fencing token.
 
-Starts are never sent this way: a request delayed by a partition is carried out late, a heartbeat response never is.
+Starts are sent in heartbeat responses only: a partition may delay a request, which the worker then carries out late.
 """
 
 import asyncio
@@ -12,17 +12,16 @@
 
 log = logging.getLogger(__name__)
 
-# The timeout is divided by this for a likely unreachable worker.
+# For a likely unreachable worker the timeout is divided by this.
 UNREACHABLE_TIMEOUT_DIVISOR = 3
 HTTP_CONFLICT = 409
 
 
 class WorkerClient:
-    """Sends command requests to workers' own addresses, a bounded number at once.
+    """Sends command requests to workers' own addresses, a bounded number concurrently.
 
-    Likely unreachable workers have their own half of the fan-out limit and a shorter timeout. Guards against a stop
-    of a cancelled job that is queued behind hundreds of requests to terminated machines, each of which takes its full
-    timeout.
+    Likely unreachable workers have their own half of the fan-out limit and a shorter timeout. This guards against a
+    stop of a cancelled job that waits behind hundreds of requests to terminated machines, each of which times out.
     """
 
     def __init__(self, client: HttpClient, timeout_s: float, fan_out_limit: int) -> None:
@@ -43,7 +42,7 @@
         commands: list[Command],
         likely_unreachable: bool = False,
     ) -> Heartbeat | None:
-        """Send commands; return the heartbeat of a worker that refused them, None if it took them or did not respond.
+        """Send commands; return the heartbeat of a worker that refused them, None if it accepted them or is silent.
 
         Nothing is sent to a `likely_unreachable` worker while an earlier request to it is in flight.
         """
@@ -64,15 +63,15 @@
 
     async def _post(self, address: str, body: bytes, timeout_s: float) -> Heartbeat | None:
         try:
-            answer = await self.exchange(address, body, timeout_s)
-            if answer.status == HTTP_CONFLICT:
-                return wire.decode(answer.body, Heartbeat)
+            response = await self.exchange(address, body, timeout_s)
+            if response.status == HTTP_CONFLICT:
+                return wire.decode(response.body, Heartbeat)
         except (HttpError, TimeoutError, wire.WireError) as error:
             log.debug("worker %s: command request failed: %r", address, error)
         return None
 
     async def exchange(self, address: str, body: bytes, timeout_s: float) -> HttpAnswer:
-        """Send one request; a subclass may replace the transport."""
-        # Several workers may share a port: the path in the address tells them apart.
+        """Send one HTTP request and return its response; a subclass may replace the transport."""
+        # Several workers may share a port: the path in an address identifies the worker.
         host, slash, path = address.partition("/")
         return await self._client.request("POST", host, f"{slash}{path}/commands", body, timeout_s)
--- a/driftcleat/workers/dispatch.py
+++ b/driftcleat/workers/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of commands that do not wait for a heartbeat: committed stops, and a new leader's fencing token."""
+"""Dispatch of commands without waiting for a heartbeat: committed stops, and a new leader's fencing token."""
 
 import asyncio
 import logging
@@ -14,16 +14,16 @@
 
 log = logging.getLogger(__name__)
 
-# The worker epoch that every worker begins with: tried when the current one is not known.
+# The worker epoch of a worker that has just started; assumed if the current epoch is not known.
 FIRST_WORKER_EPOCH = 1
-# Machines that a scan visits before it yields to the event loop.
+# Number of machines that a scan visits before it yields to the event loop.
 MACHINES_PER_SLICE = 100
-# Pause while this controller does not lead: the report interval divided by this.
+# While this controller does not lead, the loop pauses for the report interval divided by this.
 IDLE_PAUSE_DIVISOR = 10
 
 
 class StopDispatcher:
-    """Sends stops to workers directly: as soon as they are committed, and again with each scan."""
+    """Sends stops to workers as soon as they are committed, and again in each scan."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Send stops as soon as they are committed."""
+        """Send stops as soon as they are committed; never returns."""
         while True:
             await self._active_term.wait_for_commit()
             scheduler = self._active_term.scheduler
@@ -53,7 +53,7 @@
                 self._send_stops(scheduler, scheduler.urgent_stops.pop())
 
     async def scan(self) -> None:
-        """Visit all machines periodically and resend their stops."""
+        """Visit all machines periodically and send their stops again; never returns."""
         while True:
             await asyncio.sleep(self._platform.report_s * self._tuning.command_scan_intervals)
             scheduler = self._active_term.scheduler
@@ -92,7 +92,7 @@
             self._step_down(address, refusal)
 
     async def announce_fencing_token(self, address: str) -> None:
-        """Make a worker see our fencing token, so that it no longer accepts an earlier leader."""
+        """Send our fencing token to a worker, so that it no longer accepts commands of an earlier leader."""
         token = self._active_term.election.fencing_token
         refusal = await self._workers.send(address, token, FIRST_WORKER_EPOCH, [], likely_unreachable=True)
         if refusal is None:
@@ -103,5 +103,5 @@
             await self._workers.send(address, token, refusal.worker_epoch, [], likely_unreachable=True)
 
     def _step_down(self, address: str, refusal: Heartbeat) -> None:
-        """Step down: a worker has seen a later leader."""
+        """Step down, since a worker has seen a later leader."""
         self._active_term.election.request_step_down(f"worker {address} has seen term {refusal.fencing_token}")
